--- a/lease/dispatcher.c
+++ b/lease/dispatcher.c
@@ -4,8 +4,8 @@
 #include "lease/dispatcher_state.h"
 
 #define PERCENT 100
-/* A task may end so much sooner than its estimate says. */
-#define LEAST_OF_ESTIMATE 55
+/* Share of its estimate that a task takes at least. */
+#define MIN_ESTIMATE_PERCENT 55
 
 Dispatcher *
 Dispatcher_New(const Dispatcher_Config *config, const Dispatcher_Ports *ports,
@@ -16,7 +16,7 @@
     self->config = *config;
     self->ports = ports;
     self->context = context;
-    self->end_ms = INT64_MAX;
+    self->shutdown_ms = INT64_MAX;
     self->started_ms = now_ms;
     Fleet_Init(&self->fleet);
     Delegates_Init(&self->delegates, config->node.incarnation);
@@ -92,7 +92,7 @@
 }
 
 static bool
-attach_to_known(Dispatcher *self, int64_t now_ms, Dispatcher_Submit *submit)
+attach_to_existing(Dispatcher *self, int64_t now_ms, Dispatcher_Submit *submit)
 {
     Active_Job *job = g_hash_table_lookup(self->by_id, &submit->job.id);
 
@@ -102,7 +102,7 @@
     if (job->closing || job->kept ||
         g_strcmp0(job->queue, submit->route->name) != 0) {
         refuse(self, submit->request_id, submit->job.id, ERR_UNSETTLED,
-               "an earlier run of this job is being stopped",
+               "an earlier run of this job is still being stopped",
                DISPATCHER_RETRY_MS);
     }
     else {
@@ -114,11 +114,11 @@
     return true;
 }
 
-/* How long the job's starts would wait for the link, if that is too long; else
- * 0. */
+/* Returns how long the job's starts would wait for the link, in ms, if that
+ * exceeds the job's slack; else 0. */
 static int64_t
-too_long_for_link(const Dispatcher *self, int64_t now_ms,
-                  const Dispatcher_Submit *submit)
+excessive_link_wait_ms(const Dispatcher *self, int64_t now_ms,
+                       const Dispatcher_Submit *submit)
 {
     Dispatcher_Arrival arrival = {
         .priority = submit->route->priority,
@@ -139,31 +139,32 @@
     Active_Job *job;
 
     Counter_Add(&self->counters, COUNTER_JOBS_SUBMITTED, 1);
-    if (attach_to_known(self, now_ms, submit)) {
+    if (attach_to_existing(self, now_ms, submit)) {
         return;
     }
     if (Handle_Count(self->jobs) >= self->config.max_jobs) {
-        Err_Set(&status, ERR_QUEUE_FULL, "%u jobs are here",
+        Err_Set(&status, ERR_QUEUE_FULL, "%u jobs are open at this entry",
                 Handle_Count(self->jobs));
     }
     else if (!self->paused && DispatcherHosts_Isolated(self, now_ms)) {
         Err_Set(&status, ERR_WAIT_TOO_LONG,
                 "this entry is cut off from all companions");
     }
-    else if (DispatcherHalls_ClosedTo(self, now_ms, &submit->job,
-                                      submit->route->service)) {
+    else if (DispatcherHalls_AllClosedFor(self, now_ms, &submit->job,
+                                          submit->route->service)) {
         Err_Set(&status, ERR_HALL_CLOSED,
-                "operators have closed the halls it can run in");
+                "operators have closed all halls that could run the job");
     }
-    else if (DispatcherFit_Nowhere(self, now_ms, &submit->job,
-                                   submit->route->service)) {
+    else if (DispatcherCapacity_ExceedsAll(self, now_ms, &submit->job,
+                                           submit->route->service)) {
         Err_Set(&status, ERR_WAIT_TOO_LONG,
-                "no upstream has the capacity for one of its tasks");
+                "a task of the job exceeds the capacity of every upstream");
     }
     else if (Route_Check(submit->route, &submit->job, &status) == ERR_OK &&
-             (wait_ms = too_long_for_link(self, now_ms, submit)) > 0) {
+             (wait_ms = excessive_link_wait_ms(self, now_ms, submit)) > 0) {
         Err_Set(&status, ERR_WAIT_TOO_LONG,
-                "its starts would wait %lld ms for this entry's link",
+                "the job's starts would wait %lld ms for this entry's "
+                "network link",
                 (long long)wait_ms);
         Counter_Add(&self->counters, COUNTER_REFUSED_LINK, 1);
         retry_ms = DispatcherLink_RetryMs(self, wait_ms);
@@ -180,7 +181,7 @@
     g_hash_table_insert(self->by_id, &job->spec.id, job);
     Dispatcher_AttachRequest(self, job, submit->request_id);
     Reserve_Note(&self->reserve, now_ms, job->priority, job->task_count);
-    self->unsettled = true;
+    self->dispatch_pending = true;
 }
 
 void
@@ -201,8 +202,9 @@
         }
     }
     if (job->requests->len == 0) {
-        DispatcherEnd_Note(self, now_ms, job, QUEUE_OUTCOME_CALLER_GONE,
-                           "its caller left, its runs are stopped");
+        DispatcherEnd_RecordOutcome(
+            self, now_ms, job, QUEUE_OUTCOME_CALLER_GONE,
+            "the caller disconnected; stopping the job's runs");
         DispatcherEnd_Close(self, job);
     }
 }
@@ -213,7 +215,7 @@
 {
     Dispatcher_Answer answer = {.outcome = DISPATCHER_CANCELLED,
                                 .kind = ERR_CANCELLED,
-                                .message = "cancelled by its caller"};
+                                .message = "cancelled by the caller"};
     Active_Job *job = g_hash_table_lookup(self->by_id, &id);
 
     if (job == NULL || g_strcmp0(job->queue, queue) != 0) {
@@ -227,14 +229,14 @@
 
 bool
 Dispatcher_Look(const Dispatcher *self, uint64_t id, const char *queue,
-                bool *begun)
+                bool *started)
 {
     const Active_Job *job = g_hash_table_lookup(self->by_id, &id);
 
     if (job == NULL || job->closing || g_strcmp0(job->queue, queue) != 0) {
         return false;
     }
-    *begun = Active_HasBegun(job);
+    *started = Active_HasBegun(job);
     return true;
 }
 
@@ -254,9 +256,9 @@
 void
 Dispatcher_Settle(Dispatcher *self, int64_t now_ms)
 {
-    if (self->unsettled && !self->paused) {
-        self->unsettled = false;
-        DispatcherQueue_Pass(self, now_ms);
+    if (self->dispatch_pending && !self->paused) {
+        self->dispatch_pending = false;
+        DispatcherQueue_Dispatch(self, now_ms);
     }
 }
 
@@ -273,9 +275,9 @@
 }
 
 void
-Dispatcher_EndBy(Dispatcher *self, int64_t end_ms)
+Dispatcher_EndBy(Dispatcher *self, int64_t shutdown_ms)
 {
-    self->end_ms = end_ms;
+    self->shutdown_ms = shutdown_ms;
 }
 
 void
@@ -294,26 +296,27 @@
 Dispatcher_Resume(Dispatcher *self)
 {
     self->paused = false;
-    self->unsettled = true;
+    self->dispatch_pending = true;
 }
 
-/* Returns valid_until_ms for a repeated RUN call. LC_HOLD_NONE keeps the
- * companion from starting a run unknown to it, which may have ended. */
+/* Returns valid_until_ms for a repeated RUN call. LC_HOLD_NONE prevents the
+ * companion from starting a run that is unknown to it and may have ended. */
 static int64_t
-ask_valid_until_ms(const Dispatcher *self, const Active_Job *job,
-                   const Active_Task *task)
+retry_valid_until_ms(const Dispatcher *self, const Active_Job *job,
+                     const Active_Task *task)
 {
     const Fleet_Host *host = DispatcherEnd_HostOf(self, task);
 
     if (host == NULL || task->asked_since_ms != 0) {
         return LC_HOLD_NONE;
     }
-    return DispatcherOrigin_Limit(job, host, host->valid_until_ms);
+    return DispatcherOrigin_LimitLease(job, host, host->valid_until_ms);
 }
 
-/* Asks again for runs whose fate is open, holding them no longer. */
+/* Repeats the calls about runs in an unknown state, without extending their
+ * leases. */
 static void
-ask_again(Dispatcher *self, int64_t now_ms, Active_Job *job)
+repeat_calls(Dispatcher *self, int64_t now_ms, Active_Job *job)
 {
     uint32_t i;
 
@@ -330,35 +333,36 @@
         else if (task->state == ACTIVE_ORPHANED) {
             Active_Move(job, task, ACTIVE_SENT);
             DispatcherCall_Run(self, job, task,
-                               ask_valid_until_ms(self, job, task));
+                               retry_valid_until_ms(self, job, task));
         }
     }
 }
 
-/* A job whose tasks still wait when their end would be worth nothing is given
- * up, begun or not: it would hold room that others can use in time, and its
- * caller would learn of it no sooner than at its deadline. */
+/* A job whose tasks still wait when they can no longer end in time to be of
+ * use is given up, started or not: it would occupy room that other jobs can
+ * use in time, and its caller would be told only at the deadline. */
 static bool
-is_hopeless(const Active_Job *job, int64_t now_ms)
+cannot_finish_in_time(const Active_Job *job, int64_t now_ms)
 {
-    int64_t least_ms = (int64_t)Active_RemainingMs(job) * LEAST_OF_ESTIMATE /
-                       PERCENT;
+    int64_t least_ms = (int64_t)Active_RemainingMs(job) *
+                       MIN_ESTIMATE_PERCENT / PERCENT;
 
     return job->waiting > 0 && now_ms + least_ms > Active_WorthlessAfter(job);
 }
 
-/* A job that has not begun when it can no longer meet its objective, although
- * companions are open, has found no room all the while. It is refused, so that
- * the room it would take serves others in time. */
+/* A job that has not started when it can no longer meet its objective,
+ * although companions are open, has found no room until then. It is refused,
+ * so that the room it would take serves other jobs in time. */
 static bool
-is_crowded_out(const Dispatcher *self, const Active_Job *job, int64_t now_ms)
+cannot_meet_objective(const Dispatcher *self, const Active_Job *job,
+                      int64_t now_ms)
 {
     return !Active_HasBegun(job) && Active_SlackMs(job, now_ms) < 0 &&
            Dispatcher_ReadyHosts(self, now_ms) > 0;
 }
 
 static void
-refuse_waiting(Dispatcher *self, int64_t now_ms, Active_Job *job)
+refuse_if_not_started(Dispatcher *self, int64_t now_ms, Active_Job *job)
 {
     if (!Active_HasBegun(job)) {
         DispatcherEnd_GiveUp(self, now_ms, job, ERR_WAIT_TOO_LONG,
@@ -373,36 +377,38 @@
         DispatcherEnd_GiveUp(self, now_ms, job, ERR_DEADLINE,
                              "its deadline passed");
     }
-    else if (now_ms >= self->end_ms) {
+    else if (now_ms >= self->shutdown_ms) {
         DispatcherEnd_GiveUp(self, now_ms, job, ERR_STOPPING,
                              "this entry is being stopped");
     }
-    else if (is_hopeless(job, now_ms)) {
+    else if (cannot_finish_in_time(job, now_ms)) {
         DispatcherEnd_GiveUp(self, now_ms, job, ERR_DEADLINE,
-                             "it cannot end before its deadline");
+                             "the job cannot finish before its deadline");
     }
     else if (!Active_HasBegun(job) &&
-             DispatcherHalls_ClosedTo(self, now_ms, &job->spec,
-                                      job->service)) {
-        DispatcherEnd_GiveUp(self, now_ms, job, ERR_HALL_CLOSED,
-                             "operators have closed the halls it can run in");
+             DispatcherHalls_AllClosedFor(self, now_ms, &job->spec,
+                                          job->service)) {
+        DispatcherEnd_GiveUp(
+            self, now_ms, job, ERR_HALL_CLOSED,
+            "operators have closed all halls that could run the job");
     }
     else if (!Active_HasBegun(job) &&
-             DispatcherFit_Nowhere(self, now_ms, &job->spec, job->service)) {
+             DispatcherCapacity_ExceedsAll(self, now_ms, &job->spec,
+                                           job->service)) {
         DispatcherEnd_GiveUp(self, now_ms, job, ERR_WAIT_TOO_LONG,
-                             "no upstream has the capacity for one of its "
-                             "tasks");
+                             "a task of the job exceeds the capacity of every "
+                             "upstream");
     }
-    else if (is_crowded_out(self, job, now_ms)) {
+    else if (cannot_meet_objective(self, job, now_ms)) {
         DispatcherEnd_GiveUp(self, now_ms, job, ERR_WAIT_TOO_LONG,
                              LinkBudget_IsShort(&self->link, now_ms)
-                                 ? "this entry's link carried no start of it "
-                                   "in time for its objective"
-                                 : "it found no room in time for its "
-                                   "objective");
+                                 ? "this entry's network link was too busy to "
+                                   "start the job in time for its objective"
+                                 : "no companion had room in time for the "
+                                   "job's objective");
     }
     else if (isolated) {
-        refuse_waiting(self, now_ms, job);
+        refuse_if_not_started(self, now_ms, job);
     }
 }
 
@@ -412,7 +418,7 @@
     bool isolated = !self->paused && DispatcherHosts_Isolated(self, now_ms);
     uint32_t i;
 
-    DispatcherLink_Note(self, now_ms);
+    DispatcherLink_LogChange(self, now_ms);
     DispatcherOrigin_Tick(self, now_ms);
     DispatcherForward_Tick(self, now_ms);
     for (i = 0; i < Handle_Size(self->jobs); i++) {
@@ -420,9 +426,9 @@
         if (job == NULL) {
             continue;
         }
-        ask_again(self, now_ms, job);
+        repeat_calls(self, now_ms, job);
         if (job->spec.repeat_count > 0 && !job->closing) {
-            Active_Unblock(job, now_ms + self->wall_ahead_ms);
+            Active_Unblock(job, now_ms + self->wall_offset_ms);
         }
         if (!job->closing && !job->kept) {
             check_job(self, now_ms, job, isolated);
@@ -432,7 +438,7 @@
         DispatcherHosts_Check(self, now_ms,
                               g_ptr_array_index(self->fleet.hosts, i));
     }
-    self->unsettled = true;
+    self->dispatch_pending = true;
 }
 
 bool
--- a/lease/dispatcher.h
+++ b/lease/dispatcher.h
@@ -1,11 +1,12 @@
 /**
  * @file dispatcher.h
- * @brief An entry's decisions on leased jobs: which task runs next, at which
- * companion, when it is tried elsewhere, and when its caller gets an answer.
+ * @brief Schedules leased jobs at an entry: which task runs next, at which
+ * companion, when it is retried elsewhere, and when its caller is answered.
  *
- * The entry that received a job runs it; nothing is kept. What keeps two runs
- * of a task apart is time alone, see term.h. No I/O and no clock; ports never
- * call back. Arguments are borrowed unless said otherwise.
+ * The entry that received a job runs it and persists nothing. Two runs of a
+ * task are kept from overlapping by lease times alone, see term.h. The module
+ * does no I/O and reads no clock; ports must not call back into it. Arguments
+ * are borrowed unless stated otherwise.
  */
 #ifndef LC_LEASE_DISPATCHER_H
 #define LC_LEASE_DISPATCHER_H
@@ -24,48 +25,49 @@
 #include "lease/route.h"
 #include "lease/term.h"
 
-/** When a caller whose job was not run should come back, in ms. */
+/** Retry delay suggested to a caller whose job was not run, in ms. */
 #define DISPATCHER_RETRY_MS 1000
 
-/** How a job is over for its caller. */
+/** Final outcome of a job as reported to its caller. */
 typedef enum {
     DISPATCHER_SUCCEEDED,
-    DISPATCHER_FAILED,   /**< a task failed too often */
-    DISPATCHER_NOT_RUN,  /**< no task was started and none will be */
-    DISPATCHER_GIVEN_UP, /**< tasks were started; the job has no result */
+    DISPATCHER_FAILED,   /**< a task used up its attempts */
+    DISPATCHER_NOT_RUN,  /**< no task has started or will start */
+    DISPATCHER_GIVEN_UP, /**< tasks were started, but there is no result */
     DISPATCHER_CANCELLED,
-    DISPATCHER_KEPT /**< it is written down and will be run */
+    DISPATCHER_KEPT /**< recorded in the store; it will be run */
 } Dispatcher_Outcome;
 
-/** Answer to a caller. */
+/** Answer sent to a caller. */
 typedef struct {
     Dispatcher_Outcome outcome;
     Err_Kind kind;
     const char *message;
-    uint32_t retry_ms; /**< when to come back; 0 for never */
+    uint32_t retry_ms; /**< delay before a retry, in ms; 0: do not retry */
 } Dispatcher_Answer;
 
-/** Functions through which a dispatcher acts; none may call it back. */
+/** Callbacks for the dispatcher's actions; none may call back into it. */
 typedef struct {
     void (*call)(void *context, Address to, uint64_t call_id,
                  const Msg_Call *call);
     void (*reset)(void *context, Address to);
     void (*answer)(void *context, uint64_t request_id,
                    const Dispatcher_Answer *answer);
-    /** Writes an admitted event; takes the fields. */
+    /** Writes an event that Event_Admit let through; takes ownership of the
+     * fields. */
     void (*event)(void *context, Event_Id id, json_t *fields);
-    /** A run of a kept job ended, well or badly. */
+    /** A run of a durable job ended; @p done tells whether it succeeded. */
     void (*kept_end)(void *context, const lc_run_id *id, uint32_t task,
                      lc_node host, bool done);
-    /** An upstream has crashed under a run of a kept job's task. */
+    /** An upstream crashed while it ran a task of a durable job. */
     void (*kept_crash)(void *context, const lc_run_id *id, uint32_t task);
-    /** A kept job is over. */
+    /** A durable job has ended. */
     void (*kept_over)(void *context, uint64_t job, Dispatcher_Outcome outcome);
-    /** Starts several tasks of a job; row i ends as @p call_ids[i]. Not used
-     * unless the settings say so. */
+    /** Starts several tasks of a job; the reply to row i comes under
+     * @p call_ids[i]. Only used if `join_runs` is set. */
     void (*runs)(void *context, Address to, const uint64_t *call_ids,
                  const lc_runs_args *runs);
-    /** Answers a call of another entry. */
+    /** Replies to a call of another entry. */
     void (*reply)(void *context, uint64_t reply_id, const Msg_Reply *reply);
 } Dispatcher_Ports;
 
@@ -74,34 +76,33 @@
     lc_node node;
     Term term;
     char hall[LC_MAX_NAME];
-    uint32_t max_jobs; /**< at once */
-    double link_mbps;  /**< of this entry's link; 0: not known */
-    bool join_runs; /**< tasks of a job that go to one host are started in one
-                     call */
+    uint32_t max_jobs; /**< open at the same time */
+    double link_mbps;  /**< capacity of this entry's link; 0: unknown */
+    bool join_runs; /**< starts tasks of a job at the same host in one call */
 } Dispatcher_Config;
 
-/** A job handed in. */
+/** A job submitted by a caller. */
 typedef struct {
     uint64_t request_id;
     const Route *route;
-    int64_t deadline_ms; /**< from now; after it the caller does not wait */
-    LeasedJob job;       /**< the dispatcher takes what it owns */
+    int64_t deadline_ms; /**< from now; the caller stops waiting after it */
+    LeasedJob job;       /**< contents move to the dispatcher */
 } Dispatcher_Submit;
 
-/** A run of a kept job that was found at a companion. */
+/** A run of a durable job that a companion has reported. */
 typedef struct {
     lc_run_id id;
     lc_node host;
 } Dispatcher_Placement;
 
-/** A kept job to be run, or gone on with. */
+/** A durable job to start or to resume. */
 typedef struct {
     const Route *route;
-    LeasedJob job;          /**< the dispatcher takes what it owns */
-    const GByteArray *done; /**< a bit for each task */
+    LeasedJob job;          /**< contents move to the dispatcher */
+    const GByteArray *done; /**< bitmap of the finished tasks */
     const GArray *failures; /**< lc_kept_failures, see KEPT_CRASHES */
     const GArray *runs;     /**< Dispatcher_Placement */
-    uint32_t run_base;      /**< earlier runs are numbered up to this */
+    uint32_t run_base;      /**< highest run number used before */
 } Dispatcher_Kept;
 
 /** Opaque dispatcher. */
@@ -112,126 +113,138 @@
                            int64_t now_ms);
 void Dispatcher_Free(Dispatcher *self);
 
-/** Identity of this entry. */
+/** Returns the identity of this entry. */
 lc_node Dispatcher_Node(const Dispatcher *self);
 
-/** Takes a job; it is answered in the end, at once if it is refused. */
+/** Submits a job. Its caller is answered when the job ends, or during this
+ * call if the job is refused. */
 void Dispatcher_OnSubmit(Dispatcher *self, int64_t now_ms,
                          Dispatcher_Submit *submit);
 
-/** A caller has gone: its job is stopped and not answered. */
+/** Handles a caller's disconnect: its job is stopped and not answered. */
 void Dispatcher_OnCallerGone(Dispatcher *self, int64_t now_ms,
                              uint64_t request_id);
 
-/** A job is cancelled; false if it is not known here. */
+/** Cancels a job; returns false if it is not known here. */
 bool Dispatcher_OnCancel(Dispatcher *self, int64_t now_ms, uint64_t job,
                          const char *queue);
 
-/** Whether a job is known here and not over; @p begun tells if a task is. */
+/** Whether a job is known here and still open; sets @p started to whether any
+ * of its tasks has been started. */
 bool Dispatcher_Look(const Dispatcher *self, uint64_t job, const char *queue,
-                     bool *begun);
+                     bool *started);
 
-/** Counts the jobs of which no task was started. Names are borrowed. */
+/** Adds the jobs without a started task to @p counts, by queue. Queue names
+ * are borrowed. */
 void Dispatcher_AddWaiting(const Dispatcher *self, QueueCounts *counts);
 
-/** Sets the identity under which kept jobs are run. All kept jobs of an
- * earlier one are forgotten as they are: others look after them. */
+/** Sets the incarnation under which durable jobs are run. Durable jobs of the
+ * previous one are dropped without stopping their runs: other entries take
+ * them over. */
 void Dispatcher_OwnKept(Dispatcher *self, uint64_t incarnation);
 
-/** Whether kept jobs may be started and their leases renewed. */
-void Dispatcher_HoldKept(Dispatcher *self, bool held);
+/** Sets whether durable jobs may be started and their leases renewed. */
+void Dispatcher_HoldKept(Dispatcher *self, bool enabled);
 
-/** Sets how far the wall clock is ahead of the monotonic one; to be called
- * before each tick, as the former may step. */
-void Dispatcher_SetWall(Dispatcher *self, int64_t ahead_ms);
+/** Sets the offset of the wall clock from the monotonic clock, in ms; to be
+ * called before each tick, as the wall clock may step. */
+void Dispatcher_SetWall(Dispatcher *self, int64_t offset_ms);
 
-/** Takes a kept job; it has no caller and no deadline. */
+/** Adds a durable job; it has no caller and no deadline. */
 void Dispatcher_AddKept(Dispatcher *self, int64_t now_ms,
                         Dispatcher_Kept *start);
 
-/** All companions known. */
+/** Returns all known companions. */
 const Fleet *Dispatcher_Fleet(const Dispatcher *self);
 
-/** Companion at an address, or NULL. */
+/** Returns the companion at an address, or NULL. */
 const Fleet_Host *Dispatcher_Host(const Dispatcher *self, Address address);
 
-/** A companion reports. */
+/** Handles a companion's report. */
 void Dispatcher_OnReport(Dispatcher *self, int64_t now_ms,
                          const lc_report_args *report);
 
-/** Takes what @p source knows of the halls that operators have closed; see
- * Closures_Take for @p asked_ms. */
+/** Merges the list of halls closed by operators as received from @p source;
+ * see Closures_Take for @p asked_ms. */
 void Dispatcher_TakeClosures(Dispatcher *self, int64_t now_ms,
-                             int64_t asked_ms, const lc_closures *told,
+                             int64_t asked_ms, const lc_closures *received,
                              const char *source);
 
-/** What is known of the closed halls here. */
+/** Returns the closed halls as known here. */
 const Closures *Dispatcher_Closures(const Dispatcher *self);
 
-/** A call ended; @p reply is NULL when its connection broke. */
+/** Handles the reply to a call; @p reply is NULL if the connection broke. */
 void Dispatcher_OnReply(Dispatcher *self, int64_t now_ms, uint64_t call_id,
                         const Msg_Reply *reply);
 
-/** Sends the waiting tasks that find room. To be called when all input at
- * hand has been taken: the functions above only note what came. */
+/** Starts the waiting tasks for which a companion has room. To be called once
+ * all available input has been processed: the functions above only record it.
+ */
 void Dispatcher_Settle(Dispatcher *self, int64_t now_ms);
 
-/** When Dispatcher_Settle is to be called again though nothing comes, or
- * INT64_MAX: starts wait for the link. */
+/** Returns the time in ms at which Dispatcher_Settle must be called
+ * again even without input, since starts wait for the link; INT64_MAX if none
+ * wait. */
 int64_t Dispatcher_DueMs(const Dispatcher *self);
 
-/** Whether the entries that live should be offered now. */
+/** Whether Dispatcher_OfferDelegates should be called now with the live
+ * entries. */
 bool Dispatcher_WantsDelegates(const Dispatcher *self, int64_t now_ms);
 
-/** Names entries that could run jobs for this one. */
+/** Offers the addresses of entries that could run jobs for this one. */
 void Dispatcher_OfferDelegates(Dispatcher *self, const Address *addresses,
                                guint count);
 
-/** Version of the routes in force. */
+/** Sets the version of the routes in force. */
 void Dispatcher_SetRoutesVersion(Dispatcher *self, int64_t version);
 
-/** Another entry hands a job on; @p route is its queue here, or NULL. */
+/** Handles a job forwarded by another entry; @p route is its queue here, or
+ * NULL. */
 void Dispatcher_OnForward(Dispatcher *self, int64_t now_ms, uint64_t reply_id,
                           const lc_forward_args *args, const Route *route);
 
-/** Another entry extends its lease on the jobs that it has handed on. */
+/** Handles an EXTEND: another entry renews its lease on the jobs that it has
+ * forwarded here. */
 void Dispatcher_OnExtend(Dispatcher *self, int64_t now_ms, uint64_t reply_id,
                          const lc_extend_args *args);
 
-/** Bytes other than starts that this entry has put on its link. */
+/** Counts bytes other than starts that this entry has sent over its link. */
 void Dispatcher_NoteSent(Dispatcher *self, int64_t bytes);
 
-/** The process ends soon after @p end_ms: jobs that are open by then are given
- * up and answered, so that no caller's connection just breaks. */
-void Dispatcher_EndBy(Dispatcher *self, int64_t end_ms);
+/** Announces that the process exits soon after @p shutdown_ms. Jobs still open
+ * then are given up and answered, so that no caller sees only a broken
+ * connection. */
+void Dispatcher_EndBy(Dispatcher *self, int64_t shutdown_ms);
 
-/** Starts nothing until Dispatcher_Resume: input that waited while the process
- * stood still must be read first. */
+/** Starts no task until Dispatcher_Resume: after the process was suspended,
+ * the input that arrived meanwhile must be read first. */
 void Dispatcher_Pause(Dispatcher *self);
 void Dispatcher_Resume(Dispatcher *self);
 
-/** Time has passed; to be called every `term.tick_ms` or more often. */
+/** Runs periodic work; to be called at least every `term.tick_ms`. */
 void Dispatcher_Tick(Dispatcher *self, int64_t now_ms);
 
-/** Whether no job is unanswered and no run is unaccounted for. */
+/** Whether all requests are answered and all runs are known to have ended. */
 bool Dispatcher_IsIdle(const Dispatcher *self);
 
-/** How often a companion should report changes at most, in ms, so that the
- * reports of all together stay few. */
+/** Returns the minimum interval between two reports of one companion, in ms.
+ * It grows with the number of companions to bound the total report rate. */
 uint32_t Dispatcher_ReportGapMs(const Dispatcher *self);
 
-/** Companions that take tasks now. */
+/** Returns the number of companions that accept tasks now. */
 uint32_t Dispatcher_ReadyHosts(const Dispatcher *self, int64_t now_ms);
 
-/** Companions that are well, also those whose halls are closed. */
+/** Returns the number of healthy companions, including those in closed halls.
+ */
 uint32_t Dispatcher_WellHosts(const Dispatcher *self, int64_t now_ms);
 
-/** Appends figures for scrapers. */
+/** Appends metrics in the text format of scrapers. */
 void Dispatcher_Metrics(const Dispatcher *self, int64_t now_ms, GString *out);
 
+/** Returns the event counters, owned by the dispatcher. */
 Counters *Dispatcher_Counters(Dispatcher *self);
 
-/** State for operators; the caller owns the result. */
+/** Returns the state as JSON for operators; the caller owns the result. */
 json_t *Dispatcher_Dump(const Dispatcher *self, int64_t now_ms);
 
 #endif
--- a/lease/dispatcher_calls.c
+++ b/lease/dispatcher_calls.c
@@ -24,15 +24,15 @@
     return about;
 }
 
-/* Kept jobs are run under an identity that others may take over, jobs of other
- * entries under one for each of those. */
+/* Durable jobs run under an identity that another entry may take over, jobs of
+ * another entry under an identity for that entry. */
 static lc_node
 owner_of(const Dispatcher *self, const Active_Job *job)
 {
     lc_node owner = self->config.node;
 
     if (job->kept) {
-        owner.incarnation = self->kept;
+        owner.incarnation = self->durable_owner;
     }
     else if (job->origin != NULL) {
         owner.incarnation = job->origin->owner;
@@ -54,7 +54,7 @@
                        .crashes = task->crashes,
                        .spec = job->spec.spec};
 
-    /* Of a task that lasts nothing is expected but that it goes on. */
+    /* A long-running task has no expected end. */
     run.estimate_ms = step->long_running ? 0 : step->estimate_ms;
     return run;
 }
@@ -79,7 +79,7 @@
     DispatcherCall_Send(self, &about, &call);
 }
 
-/* Starts tasks that go to one host, two or more, in one call. */
+/* Starts two or more tasks at one host in one call. */
 static void
 send_joined(Dispatcher *self, const Active_Job *job, Active_Task *const *tasks,
             guint count, int64_t valid_until_ms)
@@ -122,7 +122,7 @@
     return left < right ? -1 : left > right;
 }
 
-/* How many tasks of the array from one on go to the same host. */
+/* Counts the consecutive tasks, from index @p from on, that go to one host. */
 static guint
 count_same_host(const GPtrArray *tasks, guint from)
 {
@@ -152,7 +152,7 @@
         guint count = self->config.join_runs ? count_same_host(tasks, from)
                                              : 1;
         Fleet_Host *host = Fleet_Find(&self->fleet, group[0]->host.address);
-        int64_t valid_until_ms = DispatcherOrigin_Limit(
+        int64_t valid_until_ms = DispatcherOrigin_LimitLease(
             job, host, Fleet_Hold(host, &self->config.term, now_ms));
         ForwardChoice_NoteStarts(&self->sends, now_ms, count);
         if (count > 1) {
@@ -185,7 +185,7 @@
     Msg_Call call = {.kind = MSG_RENEW};
 
     call.u.renew.owner = self->config.node;
-    call.u.renew.kept = self->kept_held ? self->kept : 0;
+    call.u.renew.kept = self->durable_enabled ? self->durable_owner : 0;
     call.u.renew.target = host->node.incarnation;
     call.u.renew.valid_until_ms = Fleet_Hold(host, &self->config.term, now_ms);
     host->renew_ms = now_ms;
--- a/lease/dispatcher_ends.c
+++ b/lease/dispatcher_ends.c
@@ -1,13 +1,14 @@
 #include "lease/dispatcher_state.h"
 
-/* Failures at upstreams on trial are no attempts, up to a number. */
-#define FREE_ATTEMPTS 4
-/* A task is given up when so many upstreams have crashed under it: the least
- * that the platform's rules allow, as each crash takes all that runs beside
- * it. One that lasts is one of a few, and may meet two by chance in its life:
- * one more. */
-#define CRASHES_MOST 2
-#define CRASHES_MOST_LASTING 3
+/* Attempts that a task gets beyond its limit when it fails at an upstream on
+ * trial, as such failures should not count against it. */
+#define TRIAL_EXTRA_ATTEMPTS 4
+/* A task is given up after this many upstreams have crashed while running it:
+ * the minimum that the platform's rules allow, as each crash also ends all
+ * other runs at that upstream. Long-running tasks are few, and one may meet
+ * two unrelated crashes in its lifetime, so they are allowed one more. */
+#define MAX_CRASHES 2
+#define MAX_CRASHES_LONG_RUNNING 3
 
 Fleet_Host *
 DispatcherEnd_HostOf(const Dispatcher *self, const Active_Task *task)
@@ -21,30 +22,29 @@
 }
 
 bool
-DispatcherEnd_IsOut(const Active_Task *task)
+DispatcherEnd_IsInFlight(const Active_Task *task)
 {
     return task->state == ACTIVE_SENT || task->state == ACTIVE_ORPHANED ||
            task->state == ACTIVE_HALTING;
 }
 
-/* A run is over, or was never begun. */
 void
-DispatcherEnd_LeaveHost(Dispatcher *self, const Active_Task *task)
+DispatcherEnd_ReleaseHost(Dispatcher *self, const Active_Task *task)
 {
     Fleet_Host *host = DispatcherEnd_HostOf(self, task);
 
-    if (host != NULL && DispatcherEnd_IsOut(task) && host->running > 0) {
+    if (host != NULL && DispatcherEnd_IsInFlight(task) && host->running > 0) {
         host->running--;
     }
 }
 
 void
-DispatcherEnd_AskFor(Dispatcher *self, int64_t now_ms, Active_Job *job,
-                     Active_Task *task, lc_node host)
+DispatcherEnd_QueryRun(Dispatcher *self, int64_t now_ms, Active_Job *job,
+                       Active_Task *task, lc_node host)
 {
     Fleet_Host *row;
 
-    DispatcherEnd_LeaveHost(self, task);
+    DispatcherEnd_ReleaseHost(self, task);
     task->host = host;
     task->asks = 0;
     if (task->asked_since_ms == 0) {
@@ -59,9 +59,9 @@
 }
 
 void
-DispatcherEnd_Forget(Dispatcher *self, Active_Job *job)
+DispatcherEnd_FreeJob(Dispatcher *self, Active_Job *job)
 {
-    DispatcherOrigin_Leave(self, job);
+    DispatcherOrigin_RemoveJob(self, job);
     if (g_hash_table_lookup(self->by_id, &job->spec.id) == job) {
         g_hash_table_remove(self->by_id, &job->spec.id);
     }
@@ -105,8 +105,9 @@
 }
 
 void
-DispatcherEnd_Note(Dispatcher *self, int64_t now_ms, const Active_Job *job,
-                   Queue_Outcome outcome, const char *detail)
+DispatcherEnd_RecordOutcome(Dispatcher *self, int64_t now_ms,
+                            const Active_Job *job, Queue_Outcome outcome,
+                            const char *detail)
 {
     Queue_Stats *stats = QueueStats_Of(&self->stats, job->queue);
 
@@ -135,8 +136,8 @@
         self->ports->kept_over(self->context, job->spec.id, answer->outcome);
     }
     Counter_Add(&self->counters, counters[answer->outcome], 1);
-    DispatcherEnd_Note(self, now_ms, job, outcome_of(now_ms, job, answer),
-                       answer->message);
+    DispatcherEnd_RecordOutcome(
+        self, now_ms, job, outcome_of(now_ms, job, answer), answer->message);
     for (i = 0; i < job->requests->len; i++) {
         uint64_t request = g_array_index(job->requests, uint64_t, i);
         g_hash_table_remove(self->by_request, &request);
@@ -148,7 +149,6 @@
     g_array_set_size(job->requests, 0);
 }
 
-/* Stops what runs of an answered job; frees it when nothing does. */
 void
 DispatcherEnd_Close(Dispatcher *self, Active_Job *job)
 {
@@ -156,7 +156,7 @@
 
     job->closing = true;
     if (job->delegate != 0) {
-        DispatcherForward_Drop(self, job);
+        DispatcherForward_Withdraw(self, job);
     }
     for (i = 0; i < job->task_count; i++) {
         Active_Task *task = &job->tasks[i];
@@ -169,7 +169,7 @@
         }
     }
     if (job->open == 0) {
-        DispatcherEnd_Forget(self, job);
+        DispatcherEnd_FreeJob(self, job);
     }
 }
 
@@ -212,11 +212,10 @@
         return;
     }
     if (job->spec.step_count > 1) {
-        Active_Unblock(job, now_ms + self->wall_ahead_ms);
+        Active_Unblock(job, now_ms + self->wall_offset_ms);
     }
 }
 
-/* The task may be sent again; its last run is certainly over. */
 void
 DispatcherEnd_Requeue(Dispatcher *self, Active_Job *job, Active_Task *task,
                       int64_t not_before_ms)
@@ -224,7 +223,7 @@
     if (job->closing) {
         Active_Move(job, task, ACTIVE_OVER);
         if (job->open == 0) {
-            DispatcherEnd_Forget(self, job);
+            DispatcherEnd_FreeJob(self, job);
         }
         return;
     }
@@ -243,24 +242,27 @@
               task->crashes > 1 ? Address_Text(task->crashed) : "none",
               sizeof(earlier));
     g_snprintf(detail, sizeof(detail),
-               "task %u.%u, run %u: upstream beside %s crashed, %u so far, "
-               "the one before beside %s",
+               "task %u.%u, run %u: upstream of %s crashed, crash %u of this "
+               "task, previous at %s",
                task->id.step, task->id.index, task->id.run,
                Address_Text(task->host.address), task->crashes, earlier);
     DispatcherLog_Job(self, EVENT_RUN_CRASHED, now_ms, job, detail);
 }
 
 bool
-DispatcherEnd_GiveUpCrashing(Dispatcher *self, int64_t now_ms, Active_Job *job,
-                             const Active_Task *task)
+DispatcherEnd_CheckCrashLimit(Dispatcher *self, int64_t now_ms,
+                              Active_Job *job, const Active_Task *task)
 {
-    Dispatcher_Answer answer = {.outcome = DISPATCHER_FAILED,
-                                .kind = ERR_TASK_CRASHES,
-                                .message = "upstreams crash under a task"};
-    uint32_t most = Active_Step(job, task)->long_running ? CRASHES_MOST_LASTING
-                                                         : CRASHES_MOST;
-
-    if (job->closing || task->crashes < most) {
+    Dispatcher_Answer answer = {
+        .outcome = DISPATCHER_FAILED,
+        .kind = ERR_TASK_CRASHES,
+        .message = "several upstreams crashed while running the same "
+                   "task"};
+    uint32_t limit = Active_Step(job, task)->long_running
+                         ? MAX_CRASHES_LONG_RUNNING
+                         : MAX_CRASHES;
+
+    if (job->closing || task->crashes < limit) {
         return false;
     }
     Counter_Add(&self->counters, COUNTER_JOBS_CRASHING, 1);
@@ -281,24 +283,25 @@
                                 LeasedJob_TaskNumber(&job->spec, &task->id));
     }
     Active_Move(job, task, ACTIVE_WAITING);
-    return DispatcherEnd_GiveUpCrashing(self, now_ms, job, task);
+    return DispatcherEnd_CheckCrashLimit(self, now_ms, job, task);
 }
 
 void
 DispatcherEnd_Fail(Dispatcher *self, int64_t now_ms, Active_Job *job,
                    Active_Task *task, const Fleet_Host *host)
 {
-    Dispatcher_Answer answer = {.outcome = DISPATCHER_FAILED,
-                                .kind = ERR_UPSTREAM_FAILED,
-                                .message = "a task failed too often"};
-    uint32_t most = job->max_attempts;
+    Dispatcher_Answer answer = {
+        .outcome = DISPATCHER_FAILED,
+        .kind = ERR_UPSTREAM_FAILED,
+        .message = "a task failed in all its attempts"};
+    uint32_t limit = job->max_attempts;
 
     task->failures++;
     task->avoid = task->host.address;
     if (host != NULL && host->state == LC_UPSTREAM_TRIAL && !job->kept) {
-        most += FREE_ATTEMPTS;
+        limit += TRIAL_EXTRA_ATTEMPTS;
     }
-    if (!job->closing && task->failures >= most) {
+    if (!job->closing && task->failures >= limit) {
         Active_Move(job, task, ACTIVE_OVER);
         DispatcherEnd_Job(self, now_ms, job, &answer);
         return;
--- a/lease/dispatcher_forward.c
+++ b/lease/dispatcher_forward.c
@@ -1,13 +1,12 @@
 /*
- * Jobs that this entry hands to others: given while its link is short, watched
+ * Jobs that this entry forwards to others: sent while its link is short, held
  * by leases, answered when the other entry answers.
  */
 #include "lease/dispatcher_state.h"
 #include "lease/job_wire.h"
 
-/* Time that a job handed on needs beside its work: two ways between entries.
- */
-#define HOP_MS 20
+/* Time added by forwarding a job: one message each way between entries. */
+#define FORWARD_OVERHEAD_MS 20
 
 static bool
 may_forward(const Dispatcher *self, int64_t now_ms, const Active_Job *job)
@@ -15,10 +14,12 @@
     return LinkBudget_IsShort(&self->link, now_ms) && !job->kept &&
            job->origin == NULL && !job->forward_refused &&
            job->first_sent_ms == 0 && job->spec.repeat_count == 0 &&
-           self->end_ms == INT64_MAX && job->deadline_ms - now_ms > HOP_MS;
+           self->shutdown_ms == INT64_MAX &&
+           job->deadline_ms - now_ms > FORWARD_OVERHEAD_MS;
 }
 
-/* The other entry has its waiting tasks, or has given them back. */
+/* Moves all tasks in one state to another, as the other entry accepts or
+ * returns the job. */
 static void
 move_tasks(Active_Job *job, Active_State from, Active_State to)
 {
@@ -33,17 +34,18 @@
 
 static void
 log_forward(const Dispatcher *self, int64_t now_ms, const Active_Job *job,
-            const Delegate *delegate, int64_t kept, int64_t forward)
+            const Delegate *delegate, int64_t local_bytes,
+            int64_t forward_bytes)
 {
     char detail[160];
 
     g_snprintf(detail, sizeof(detail),
-               "to %s, which could take %lld bytes %lld ms ago; %lld bytes "
-               "here, %lld so",
+               "to %s, with a credit of %lld bytes %lld ms ago; costs %lld "
+               "bytes here, %lld forwarded",
                Address_Text(delegate->node.address),
                (long long)delegate->credit_bytes,
-               (long long)(now_ms - delegate->received_ms), (long long)kept,
-               (long long)forward);
+               (long long)(now_ms - delegate->received_ms),
+               (long long)local_bytes, (long long)forward_bytes);
     DispatcherLog_Job(self, EVENT_JOB_FORWARDED, now_ms, job, detail);
 }
 
@@ -64,7 +66,8 @@
                                                 now_ms);
     args->routes_version = self->routes_version;
     args->waited_ms = (uint32_t)MAX(now_ms - job->arrived_ms, 0);
-    args->deadline_ms = (uint32_t)(job->deadline_ms - now_ms - HOP_MS);
+    args->deadline_ms = (uint32_t)(job->deadline_ms - now_ms -
+                                   FORWARD_OVERHEAD_MS);
     args->queue = job->queue;
     DispatcherCall_Send(self, &about, &call);
     g_free(args->steps.steps_val);
@@ -74,39 +77,39 @@
 DispatcherForward_Try(Dispatcher *self, int64_t now_ms, Active_Job *job,
                       const lc_resources *largest)
 {
-    int64_t kept;
-    int64_t forward;
+    int64_t local_bytes;
+    int64_t forward_bytes;
     Delegate *delegate;
 
     if (!may_forward(self, now_ms, job)) {
         return false;
     }
-    kept = ForwardChoice_KeptBytes(&self->sends, job, largest);
-    forward = ForwardChoice_ForwardBytes(job);
-    if (!ForwardChoice_IsBetter(kept, forward)) {
+    local_bytes = ForwardChoice_KeptBytes(&self->sends, job, largest);
+    forward_bytes = ForwardChoice_ForwardBytes(job);
+    if (!ForwardChoice_IsBetter(local_bytes, forward_bytes)) {
         return false;
     }
-    delegate = Delegates_Pick(&self->delegates, now_ms, kept);
+    delegate = Delegates_Pick(&self->delegates, now_ms, local_bytes);
     if (delegate == NULL) {
         return false;
     }
-    log_forward(self, now_ms, job, delegate, kept, forward);
-    delegate->credit_bytes -= kept;
+    log_forward(self, now_ms, job, delegate, local_bytes, forward_bytes);
+    delegate->credit_bytes -= local_bytes;
     delegate->jobs++;
     job->delegate = delegate->node.address;
-    job->forward_number = ++self->last_number;
+    job->forward_number = ++self->last_forward_number;
     job->starts++;
     job->first_sent_ms = now_ms;
     move_tasks(job, ACTIVE_WAITING, ACTIVE_AWAY);
     JobTrace_Add(job->trace, now_ms, JOB_TRACE_FORWARDED, &job->tasks[0].id,
-                 job->delegate, (int32_t)kept);
+                 job->delegate, (int32_t)local_bytes);
     Counter_Add(&self->counters, COUNTER_JOBS_FORWARDED, 1);
-    LinkBudget_Spend(&self->link, forward);
+    LinkBudget_Spend(&self->link, forward_bytes);
     send_forward(self, now_ms, job, delegate);
     return true;
 }
 
-/* The job is not at another entry any more. */
+/* Detaches the job from its delegate, which is returned, or NULL. */
 static Delegate *
 end_forward(const Dispatcher *self, Active_Job *job)
 {
@@ -120,7 +123,7 @@
 }
 
 void
-DispatcherForward_Drop(Dispatcher *self, Active_Job *job)
+DispatcherForward_Withdraw(Dispatcher *self, Active_Job *job)
 {
     Delegate *delegate = end_forward(self, job);
 
@@ -129,9 +132,9 @@
     }
 }
 
-/* The other entry took nothing: the job goes on here. */
+/* The other entry refused the job, which therefore runs here. */
 static void
-take_back(Dispatcher *self, int64_t now_ms, Active_Job *job)
+on_forward_refused(Dispatcher *self, int64_t now_ms, Active_Job *job)
 {
     Delegate *delegate = end_forward(self, job);
 
@@ -147,20 +150,20 @@
     move_tasks(job, ACTIVE_AWAY, ACTIVE_WAITING);
 }
 
-/* Nobody can say what became of it; the other entry stops it by itself when
- * its lease ends, before the caller may come again. */
+/* The job's outcome cannot be known. The other entry stops the job itself when
+ * its lease expires, which is before the caller may resubmit it. */
 static void
-lose_forward(Dispatcher *self, int64_t now_ms, Active_Job *job)
+on_forward_lost(Dispatcher *self, int64_t now_ms, Active_Job *job)
 {
     Counter_Add(&self->counters, COUNTER_FORWARDS_LOST, 1);
-    DispatcherForward_Drop(self, job);
+    DispatcherForward_Withdraw(self, job);
     DispatcherEnd_GiveUp(self, now_ms, job, ERR_LOST,
                          "the entry that ran it was lost");
 }
 
 static void
-pass_answer(Dispatcher *self, int64_t now_ms, Active_Job *job,
-            const lc_forward_res *result)
+relay_answer(Dispatcher *self, int64_t now_ms, Active_Job *job,
+             const lc_forward_res *result)
 {
     Err_Kind kind = Err_FromText(result->error);
     Dispatcher_Answer answer = {.outcome = (Dispatcher_Outcome)result->outcome,
@@ -189,13 +192,13 @@
         return;
     }
     if (result == NULL) {
-        lose_forward(self, now_ms, job);
+        on_forward_lost(self, now_ms, job);
     }
     else if (!result->taken) {
-        take_back(self, now_ms, job);
+        on_forward_refused(self, now_ms, job);
     }
     else {
-        pass_answer(self, now_ms, job, result);
+        relay_answer(self, now_ms, job, result);
     }
 }
 
@@ -204,7 +207,8 @@
 {
     Dispatcher_Call about = {.kind = MSG_EXTEND, .host = row->node};
     Msg_Call call = {.kind = MSG_EXTEND};
-    /* What cannot be told at once is not kept alive by the rest. */
+    /* If the numbers of withdrawn jobs exceed one message, the lease is not
+     * extended, as it would also keep alive those left out. */
     bool extends = row->jobs > 0 && row->gone->len <= LC_MAX_PEERS;
 
     call.u.extend.from = self->config.node;
@@ -233,9 +237,9 @@
 }
 
 void
-DispatcherForward_OnExtended(Dispatcher *self, int64_t now_ms,
-                             const Dispatcher_Call *about, uint64_t call_id,
-                             const lc_extend_res *result)
+DispatcherForward_OnExtendReply(Dispatcher *self, int64_t now_ms,
+                                const Dispatcher_Call *about, uint64_t call_id,
+                                const lc_extend_res *result)
 {
     Delegate *row = Delegates_Find(&self->delegates, about->host.address);
 
--- a/lease/dispatcher_halls.c
+++ b/lease/dispatcher_halls.c
@@ -3,13 +3,14 @@
 #include "lease/choice.h"
 
 void
-DispatcherHalls_Mark(const Dispatcher *self, Fleet_Host *host)
+DispatcherHalls_UpdateClosed(const Dispatcher *self, Fleet_Host *host)
 {
     host->closed = Closures_Has(&self->closures, host->hall);
 }
 
-/* Hosts that are known in closed halls, and runs of this entry there. A hall
- * without any is of no deployment, or its hosts have not reported yet. */
+/* Counts the known hosts in each closed hall, and this entry's runs there. A
+ * hall without hosts belongs to no deployment, or its hosts have not reported
+ * yet. */
 static json_t *
 describe_halls(const Dispatcher *self)
 {
@@ -52,19 +53,19 @@
 
 void
 Dispatcher_TakeClosures(Dispatcher *self, int64_t now_ms, int64_t asked_ms,
-                        const lc_closures *told, const char *source)
+                        const lc_closures *received, const char *source)
 {
     guint i;
 
-    if (Closures_Take(&self->closures, now_ms, asked_ms, told) !=
+    if (Closures_Take(&self->closures, now_ms, asked_ms, received) !=
         CLOSURES_DIFFERENT) {
         return;
     }
     for (i = 0; i < self->fleet.hosts->len; i++) {
-        DispatcherHalls_Mark(self, self->fleet.hosts->pdata[i]);
+        DispatcherHalls_UpdateClosed(self, self->fleet.hosts->pdata[i]);
     }
     log_halls(self, source);
-    self->unsettled = true;
+    self->dispatch_pending = true;
 }
 
 const Closures *
@@ -74,8 +75,8 @@
 }
 
 static bool
-step_is_closed_out(const Dispatcher *self, int64_t now_ms,
-                   const LeasedJob_Step *step, const char *service)
+step_is_closed_everywhere(const Dispatcher *self, int64_t now_ms,
+                          const LeasedJob_Step *step, const char *service)
 {
     bool closed = false;
     guint i;
@@ -83,7 +84,7 @@
     for (i = 0; i < self->fleet.hosts->len; i++) {
         const Fleet_Host *host = self->fleet.hosts->pdata[i];
         if (!Choice_IsHeard(host, now_ms) ||
-            !DispatcherFit_CouldRun(step, service, host)) {
+            !DispatcherCapacity_CouldRun(step, service, host)) {
             continue;
         }
         if (!host->closed) {
@@ -95,8 +96,8 @@
 }
 
 bool
-DispatcherHalls_ClosedTo(const Dispatcher *self, int64_t now_ms,
-                         const LeasedJob *job, const char *service)
+DispatcherHalls_AllClosedFor(const Dispatcher *self, int64_t now_ms,
+                             const LeasedJob *job, const char *service)
 {
     uint32_t i;
 
@@ -104,7 +105,7 @@
         return false;
     }
     for (i = 0; i < job->step_count; i++) {
-        if (step_is_closed_out(self, now_ms, &job->steps[i], service)) {
+        if (step_is_closed_everywhere(self, now_ms, &job->steps[i], service)) {
             return true;
         }
     }
--- a/lease/dispatcher_hosts.c
+++ b/lease/dispatcher_hosts.c
@@ -3,12 +3,13 @@
 #include "base/address.h"
 #include "lease/choice.h"
 
-/* A companion that has not answered a renewal for so long is suspected. */
+/* A companion that has not answered a renewal for this long is suspect. */
 #define SUSPECT_MS 250
-/* Five hundred reports a second of all companions, within bounds. */
-#define REPORT_GAP_EACH_MS 2U
-#define REPORT_GAP_LEAST_MS 15U
-#define REPORT_GAP_MOST_MS 500U
+/* Limits the reports of all companions together to 500 a second, within bounds
+ * on the interval of each. */
+#define REPORT_INTERVAL_PER_HOST_MS 2U
+#define REPORT_INTERVAL_MIN_MS 15U
+#define REPORT_INTERVAL_MAX_MS 500U
 
 bool
 DispatcherHosts_Isolated(const Dispatcher *self, int64_t now_ms)
@@ -23,17 +24,17 @@
     return self->fleet.hosts->len > 0;
 }
 
-/* The run is over, but how it ended may be known to the companion or to its
- * successor: the task is left to be asked for. */
+/* The run is over, but the companion or its next incarnation may know how it
+ * ended. If so, leaves the task to be queried and returns true. */
 static bool
-ask_first(Dispatcher *self, int64_t now_ms, Active_Job *job, Active_Task *task,
-          Fleet_Host *host, bool reborn)
+query_outcome(Dispatcher *self, int64_t now_ms, Active_Job *job,
+              Active_Task *task, Fleet_Host *host, bool restarted)
 {
     if (!job->kept || job->closing) {
         return false;
     }
-    if (reborn) {
-        DispatcherEnd_AskFor(self, now_ms, job, task, host->node);
+    if (restarted) {
+        DispatcherEnd_QueryRun(self, now_ms, job, task, host->node);
         return true;
     }
     if (now_ms - host->received_ms >= DISPATCHER_OUTCOME_TIMEOUT_MS) {
@@ -43,11 +44,11 @@
     return true;
 }
 
-/* Takes back every run at an address, but for those of one incarnation (0 for
- * none): all of them are certainly over. */
+/* Requeues the tasks of all runs at an address, which are certainly over,
+ * except those of one incarnation (0: no exception). */
 static void
 end_runs_at(Dispatcher *self, int64_t now_ms, Fleet_Host *host,
-            uint64_t but_incarnation)
+            uint64_t except_incarnation)
 {
     Address address = host->node.address;
     uint32_t i;
@@ -58,21 +59,22 @@
         Active_Job *job = Handle_At(self->jobs, i);
         for (j = 0; job != NULL && j < job->task_count; j++) {
             Active_Task *task = &job->tasks[j];
-            if (!DispatcherEnd_IsOut(task) || task->host.address != address ||
-                task->host.incarnation == but_incarnation) {
+            if (!DispatcherEnd_IsInFlight(task) ||
+                task->host.address != address ||
+                task->host.incarnation == except_incarnation) {
                 continue;
             }
-            if (ask_first(self, now_ms, job, task, host,
-                          but_incarnation != 0)) {
+            if (query_outcome(self, now_ms, job, task, host,
+                              except_incarnation != 0)) {
                 continue;
             }
             JobTrace_Add(job->trace, now_ms,
-                         but_incarnation == 0 ? JOB_TRACE_EXPIRED
-                                              : JOB_TRACE_REBORN,
+                         except_incarnation == 0 ? JOB_TRACE_EXPIRED
+                                                 : JOB_TRACE_REBORN,
                          &task->id, address, 0);
             task->avoid = address;
             DispatcherEnd_Requeue(self, job, task, now_ms);
-            /* A job that was closing may be gone now. */
+            /* A job that was closing may have been freed. */
             job = Handle_At(self->jobs, i);
         }
     }
@@ -91,7 +93,7 @@
     if (change == FLEET_STALE) {
         return;
     }
-    DispatcherHalls_Mark(self, host);
+    DispatcherHalls_UpdateClosed(self, host);
     if (change != FLEET_KNOWN) {
         DispatcherLog_Host(self, EVENT_COMPANION_FOUND, now_ms, host,
                            change == FLEET_NEW ? "new"
@@ -100,7 +102,7 @@
     if (change == FLEET_REBORN) {
         end_runs_at(self, now_ms, host, host->node.incarnation);
     }
-    self->unsettled = true;
+    self->dispatch_pending = true;
 }
 
 void
@@ -109,7 +111,7 @@
     if (!host->suspect) {
         host->suspect = true;
         DispatcherLog_Host(self, EVENT_SUSPECT, now_ms, host,
-                           "no answer in time");
+                           "did not answer in time");
     }
 }
 
@@ -135,8 +137,8 @@
 uint32_t
 Dispatcher_ReportGapMs(const Dispatcher *self)
 {
-    return CLAMP(self->fleet.hosts->len * REPORT_GAP_EACH_MS,
-                 REPORT_GAP_LEAST_MS, REPORT_GAP_MOST_MS);
+    return CLAMP(self->fleet.hosts->len * REPORT_INTERVAL_PER_HOST_MS,
+                 REPORT_INTERVAL_MIN_MS, REPORT_INTERVAL_MAX_MS);
 }
 
 static uint32_t
--- a/lease/dispatcher_kept.c
+++ b/lease/dispatcher_kept.c
@@ -1,8 +1,8 @@
 #include "lease/dispatcher_state.h"
 #include "lease/kept.h"
 
-/* Kept jobs have no deadline. */
-#define NEVER_MS (INT64_MAX / 4)
+/* Deadline of durable jobs, which have none. */
+#define NO_DEADLINE_MS (INT64_MAX / 4)
 
 void
 Dispatcher_OwnKept(Dispatcher *self, uint64_t incarnation)
@@ -10,34 +10,34 @@
     uint32_t i;
     uint32_t j;
 
-    self->kept = incarnation;
+    self->durable_owner = incarnation;
     for (i = 0; i < Handle_Size(self->jobs); i++) {
         Active_Job *job = Handle_At(self->jobs, i);
         if (job == NULL || !job->kept) {
             continue;
         }
         for (j = 0; j < job->task_count; j++) {
-            DispatcherEnd_LeaveHost(self, &job->tasks[j]);
+            DispatcherEnd_ReleaseHost(self, &job->tasks[j]);
         }
-        DispatcherEnd_Forget(self, job);
+        DispatcherEnd_FreeJob(self, job);
     }
 }
 
 void
-Dispatcher_SetWall(Dispatcher *self, int64_t ahead_ms)
+Dispatcher_SetWall(Dispatcher *self, int64_t offset_ms)
 {
-    self->wall_ahead_ms = ahead_ms;
+    self->wall_offset_ms = offset_ms;
 }
 
 void
-Dispatcher_HoldKept(Dispatcher *self, bool held)
+Dispatcher_HoldKept(Dispatcher *self, bool enabled)
 {
-    self->kept_held = held;
-    self->unsettled |= held;
+    self->durable_enabled = enabled;
+    self->dispatch_pending |= enabled;
 }
 
 static void
-take_failures(Active_Job *job, const GArray *failures)
+restore_failures(Active_Job *job, const GArray *failures)
 {
     guint i;
 
@@ -58,7 +58,7 @@
 }
 
 static void
-take_done(Active_Job *job, const Dispatcher_Kept *start, int64_t wall_ms)
+restore_done(Active_Job *job, const Dispatcher_Kept *start, int64_t wall_ms)
 {
     uint32_t i;
 
@@ -74,10 +74,11 @@
     Active_Unblock(job, wall_ms);
 }
 
-/* The latest run of a task that a companion knows is asked for. */
+/* Adopts a run that a companion has reported if it is the task's latest, and
+ * schedules a query for it. */
 static void
-take_run(Dispatcher *self, int64_t now_ms, Active_Job *job,
-         const Dispatcher_Placement *run)
+restore_run(Dispatcher *self, int64_t now_ms, Active_Job *job,
+            const Dispatcher_Placement *run)
 {
     uint32_t i;
 
@@ -85,18 +86,18 @@
         Active_Task *task = &job->tasks[i];
         if (task->done || task->id.occurrence != run->id.occurrence ||
             task->id.step != run->id.step || task->id.index != run->id.index ||
-            (DispatcherEnd_IsOut(task) && task->id.run >= run->id.run)) {
+            (DispatcherEnd_IsInFlight(task) && task->id.run >= run->id.run)) {
             continue;
         }
         task->id.run = run->id.run;
-        DispatcherEnd_AskFor(self, now_ms, job, task, run->host);
+        DispatcherEnd_QueryRun(self, now_ms, job, task, run->host);
         job->starts++;
     }
 }
 
-/* What was written down may be all that there was to do. */
+/* Ends the job if its recorded progress already decides its outcome. */
 static void
-end_if_over(Dispatcher *self, int64_t now_ms, Active_Job *job)
+end_if_decided(Dispatcher *self, int64_t now_ms, Active_Job *job)
 {
     Dispatcher_Answer answer = {
         .outcome = DISPATCHER_SUCCEEDED, .kind = ERR_OK, .message = ""};
@@ -110,11 +111,11 @@
         if (job->tasks[i].failures >= job->max_attempts) {
             answer.outcome = DISPATCHER_FAILED;
             answer.kind = ERR_UPSTREAM_FAILED;
-            answer.message = "a task failed too often";
+            answer.message = "a task failed in all its attempts";
             DispatcherEnd_Job(self, now_ms, job, &answer);
             return;
         }
-        if (DispatcherEnd_GiveUpCrashing(self, now_ms, job, &job->tasks[i])) {
+        if (DispatcherEnd_CheckCrashLimit(self, now_ms, job, &job->tasks[i])) {
             return;
         }
     }
@@ -123,21 +124,22 @@
 void
 Dispatcher_AddKept(Dispatcher *self, int64_t now_ms, Dispatcher_Kept *start)
 {
-    Active_Job *job = Active_New(&start->job, start->route, now_ms, NEVER_MS);
+    Active_Job *job = Active_New(&start->job, start->route, now_ms,
+                                 NO_DEADLINE_MS);
     guint i;
 
     job->kept = true;
     job->handle = Handle_Add(self->jobs, job);
     g_hash_table_replace(self->by_id, &job->spec.id, job);
-    take_done(job, start, now_ms + self->wall_ahead_ms);
-    take_failures(job, start->failures);
+    restore_done(job, start, now_ms + self->wall_offset_ms);
+    restore_failures(job, start->failures);
     for (i = 0; i < start->runs->len; i++) {
-        take_run(self, now_ms, job,
-                 &g_array_index(start->runs, Dispatcher_Placement, i));
+        restore_run(self, now_ms, job,
+                    &g_array_index(start->runs, Dispatcher_Placement, i));
     }
     Counter_Add(&self->counters, COUNTER_JOBS_SUBMITTED, 1);
-    self->unsettled = true;
-    end_if_over(self, now_ms, job);
+    self->dispatch_pending = true;
+    end_if_decided(self, now_ms, job);
 }
 
 const Fleet *
--- a/lease/dispatcher_link.c
+++ b/lease/dispatcher_link.c
@@ -1,6 +1,6 @@
 /*
- * Admission by what the entry's link carries: a job whose start would wait for
- * the link until its objective cannot be met is refused as it arrives.
+ * Admission control by link capacity: a job whose starts would wait for the
+ * entry's link until its objective cannot be met is refused on arrival.
  */
 #include "lease/dispatcher_state.h"
 
@@ -9,16 +9,16 @@
 #define MS_PER_S 1000
 
 void
-DispatcherLink_Note(Dispatcher *self, int64_t now_ms)
+DispatcherLink_LogChange(Dispatcher *self, int64_t now_ms)
 {
     bool is_short = LinkBudget_IsShort(&self->link, now_ms);
     uint32_t waiting = 0;
     uint32_t i;
 
-    if (is_short == self->link_was_short) {
+    if (is_short == self->logged_link_short) {
         return;
     }
-    self->link_was_short = is_short;
+    self->logged_link_short = is_short;
     if (!Event_Admit(EVENT_LINK_SHORT)) {
         return;
     }
@@ -35,11 +35,11 @@
                   "sends_percent", (int)self->sends.sends_percent));
 }
 
-/* Whether the waiting starts of a job leave before those of one that arrives
- * now: the order of the queue, but for ranks. */
+/* Whether the waiting starts of a job are sent before those of one that
+ * arrives now. Follows the queue order, except that it ignores ranks. */
 static bool
-goes_first(const Active_Job *job, const Dispatcher_Arrival *arrival,
-           int64_t now_ms)
+is_sent_before(const Active_Job *job, const Dispatcher_Arrival *arrival,
+               int64_t now_ms)
 {
     if (job->priority != arrival->priority) {
         return job->priority < arrival->priority;
@@ -48,17 +48,17 @@
 }
 
 static int64_t
-bytes_of(const Dispatcher *self, const Active_Job *job,
-         const lc_resources *largest, int64_t now_ms)
+start_bytes(const Dispatcher *self, const Active_Job *job,
+            const lc_resources *largest, int64_t now_ms)
 {
-    int64_t kept = ForwardChoice_KeptBytes(&self->sends, job, largest);
-    int64_t forward = ForwardChoice_ForwardBytes(job);
+    int64_t local_bytes = ForwardChoice_KeptBytes(&self->sends, job, largest);
+    int64_t forward_bytes = ForwardChoice_ForwardBytes(job);
 
-    if (ForwardChoice_IsBetter(kept, forward) &&
-        Delegates_Pick(&self->delegates, now_ms, kept) != NULL) {
-        return forward;
+    if (ForwardChoice_IsBetter(local_bytes, forward_bytes) &&
+        Delegates_Pick(&self->delegates, now_ms, local_bytes) != NULL) {
+        return forward_bytes;
     }
-    return kept;
+    return local_bytes;
 }
 
 int64_t
@@ -77,8 +77,8 @@
     for (i = 0; i < Handle_Size(self->jobs); i++) {
         const Active_Job *job = Handle_At(self->jobs, i);
         if (job != NULL && !job->closing && job->waiting > 0 &&
-            goes_first(job, arrival, now_ms)) {
-            bytes += bytes_of(self, job, &largest, now_ms);
+            is_sent_before(job, arrival, now_ms)) {
+            bytes += start_bytes(self, job, &largest, now_ms);
         }
     }
     return bytes * MS_PER_S / self->link.bytes_per_s;
@@ -87,7 +87,7 @@
 uint32_t
 DispatcherLink_RetryMs(Dispatcher *self, int64_t wait_ms)
 {
-    /* Spread, as many are refused in the same moment. */
+    /* Randomized, as many callers are refused at the same moment. */
     return (uint32_t)wait_ms + DISPATCHER_RETRY_MS +
            (uint32_t)(Random_Next(&self->random) % DISPATCHER_RETRY_MS);
 }
--- a/lease/dispatcher_log.c
+++ b/lease/dispatcher_log.c
@@ -3,7 +3,6 @@
 #include "base/address.h"
 #include "lease/run_id.h"
 
-/* A line about a job of which only the identity is known. */
 void
 DispatcherLog_Identity(const Dispatcher *self, Event_Id id, uint64_t job,
                        const char *detail)
@@ -18,7 +17,6 @@
     }
 }
 
-/* Everything that was decided about a job, and why it ended as it did. */
 void
 DispatcherLog_Job(const Dispatcher *self, Event_Id id, int64_t now_ms,
                   const Active_Job *job, const char *detail)
--- a/lease/dispatcher_origin.c
+++ b/lease/dispatcher_origin.c
@@ -1,17 +1,18 @@
 /*
- * Jobs that other entries hand to this one: run like its own, under an
- * identity for each of those entries, whose leases at companions reach no
- * further than what that entry grants.
+ * Jobs that other entries forward to this one. They run like its own, but
+ * under a separate identity for each origin, whose leases at companions never
+ * last longer than the lease granted by that origin.
  */
 #include "lease/dispatcher_state.h"
 #include "lease/job_wire.h"
 
-/* Requests of other entries, beside those of callers. */
+/* Marks the ids of other entries' requests, to tell them from callers'. */
 #define ORIGIN_REQUEST (UINT64_C(1) << 62)
-/* An identity is this process's incarnation, which counts microseconds, and a
- * number above it. */
+/* An owner identity is this process's incarnation, a time in microseconds,
+ * with a sequence number in the bits above it. */
 #define OWNER_SHIFT 52
-/* Clocks are read to whole ms at one place more than for own leases. */
+/* Allows for clocks that are read in whole ms, at one place more than for own
+ * leases. */
 #define ROUNDING_MS 4
 
 static Dispatcher_Origin *
@@ -21,7 +22,7 @@
 
     for (i = 0; i < self->origins->len; i++) {
         Dispatcher_Origin *row = g_ptr_array_index(self->origins, i);
-        if (!row->lapsed && Msg_SameNode(&row->node, node)) {
+        if (!row->expired && Msg_SameNode(&row->node, node)) {
             return row;
         }
     }
@@ -41,7 +42,7 @@
 }
 
 void
-DispatcherOrigin_Leave(Dispatcher *self, Active_Job *job)
+DispatcherOrigin_RemoveJob(Dispatcher *self, Active_Job *job)
 {
     Dispatcher_Origin *row = job->origin;
 
@@ -50,28 +51,31 @@
     }
     job->origin = NULL;
     row->jobs--;
-    if (row->lapsed && row->jobs == 0) {
+    if (row->expired && row->jobs == 0) {
         g_ptr_array_remove(self->origins, row);
     }
 }
 
-/* The other entry is gone or cut off: its callers may come again elsewhere. */
+/* The origin has stopped or is unreachable: its callers may resubmit their
+ * jobs elsewhere. */
 static void
-lapse(Dispatcher *self, int64_t now_ms, Dispatcher_Origin *row)
+expire_origin(Dispatcher *self, int64_t now_ms, Dispatcher_Origin *row)
 {
     uint32_t i;
 
-    row->lapsed = true;
+    row->expired = true;
     if (row->jobs > 0) {
-        DispatcherLog_Origin(self, EVENT_FORWARD_LAPSED, row,
-                             "the entry that forwarded them is silent");
+        DispatcherLog_Origin(
+            self, EVENT_FORWARD_LAPSED, row,
+            "the lease of the entry that forwarded them expired");
     }
-    row->jobs++; /* keeps the row while its jobs go */
+    row->jobs++; /* keeps the row while its jobs are freed */
     for (i = 0; i < Handle_Size(self->jobs); i++) {
         Active_Job *job = Handle_At(self->jobs, i);
         if (job != NULL && job->origin == row && !job->closing) {
-            DispatcherEnd_GiveUp(self, now_ms, job, ERR_LOST,
-                                 "the entry that forwarded it is silent");
+            DispatcherEnd_GiveUp(
+                self, now_ms, job, ERR_LOST,
+                "the lease of the entry that forwarded it expired");
         }
     }
     row->jobs--;
@@ -80,17 +84,19 @@
     }
 }
 
-/* The end of an origin's lease on a companion's clock: as if the companion's
- * last word had taken no time, so that it is earlier, never later. */
+/* Converts the end of an origin's lease to a companion's clock. Assumes that
+ * the companion's last message took no time, so that the result may be too
+ * early but never too late. */
 static int64_t
 lease_end_at(const Dispatcher_Origin *row, const Fleet_Host *host)
 {
-    return host->stamp_ms + row->until_ms - host->received_ms - ROUNDING_MS;
+    return host->stamp_ms + row->lease_end_ms - host->received_ms -
+           ROUNDING_MS;
 }
 
 int64_t
-DispatcherOrigin_Limit(const Active_Job *job, const Fleet_Host *host,
-                       int64_t valid_until_ms)
+DispatcherOrigin_LimitLease(const Active_Job *job, const Fleet_Host *host,
+                            int64_t valid_until_ms)
 {
     if (job->origin == NULL) {
         return valid_until_ms;
@@ -113,7 +119,8 @@
     DispatcherCall_Send(self, &about, &call);
 }
 
-/* Companions that run tasks of an entry's jobs; free the set. */
+/* Returns the set of companions that run tasks of an origin's jobs; the caller
+ * frees it. */
 static GHashTable *
 hosts_of(const Dispatcher *self, const Dispatcher_Origin *row)
 {
@@ -128,7 +135,7 @@
         }
         for (j = 0; j < job->task_count; j++) {
             Fleet_Host *host = DispatcherEnd_HostOf(self, &job->tasks[j]);
-            if (host != NULL && DispatcherEnd_IsOut(&job->tasks[j])) {
+            if (host != NULL && DispatcherEnd_IsInFlight(&job->tasks[j])) {
                 g_hash_table_add(hosts, host);
             }
         }
@@ -161,11 +168,11 @@
 
     while (i > 0) {
         Dispatcher_Origin *row = g_ptr_array_index(self->origins, --i);
-        if (row->lapsed) {
+        if (row->expired) {
             continue;
         }
-        if (now_ms >= row->until_ms) {
-            lapse(self, now_ms, row);
+        if (now_ms >= row->lease_end_ms) {
+            expire_origin(self, now_ms, row);
         }
         else if (row->jobs > 0 &&
                  now_ms - row->renewed_ms >= DISPATCHER_RENEW_MS) {
@@ -174,10 +181,10 @@
     }
 }
 
-/* Why a job is not taken, or NULL. */
+/* Returns why a forwarded job is refused, or NULL if it is accepted. */
 static const char *
-reason_not_to(const Dispatcher *self, int64_t now_ms,
-              const lc_forward_args *args, const Route *route)
+refusal_reason(const Dispatcher *self, int64_t now_ms,
+               const lc_forward_args *args, const Route *route)
 {
     int64_t id = (int64_t)args->job;
 
@@ -188,22 +195,22 @@
     if (route == NULL || self->routes_version < args->routes_version) {
         return "its routes are not known here";
     }
-    if (self->paused || self->end_ms != INT64_MAX) {
-        return "this entry takes nothing";
+    if (self->paused || self->shutdown_ms != INT64_MAX) {
+        return "this entry accepts no forwarded jobs now";
     }
     if (LinkBudget_IsShort(&self->link, now_ms) ||
         Handle_Count(self->jobs) >= self->config.max_jobs ||
         DispatcherHosts_Isolated(self, now_ms)) {
-        return "this entry has no room for it";
+        return "this entry has no capacity for the job";
     }
     if (g_hash_table_contains(self->by_id, &id)) {
-        return "the job is here already";
+        return "the job is already known at this entry";
     }
     return NULL;
 }
 
 static void
-reply_not_taken(const Dispatcher *self, uint64_t reply_id, const char *reason)
+reply_refused(const Dispatcher *self, uint64_t reply_id, const char *reason)
 {
     Msg_Reply reply = {.kind = MSG_FORWARD};
 
@@ -220,15 +227,15 @@
     int64_t arrived_ms = now_ms - (int64_t)args->waited_ms;
     Active_Job *job = Active_New(spec, route, arrived_ms,
                                  now_ms + (int64_t)args->deadline_ms);
-    uint64_t request = ++self->last_request | ORIGIN_REQUEST;
+    uint64_t request = ++self->last_origin_request | ORIGIN_REQUEST;
 
     if (row == NULL) {
         row = add_origin(self, &args->from);
     }
     if (row->jobs == 0) {
-        /* Others are extended by EXTEND alone, which also tells of those that
-         * are not wanted any more. */
-        row->until_ms = MAX(row->until_ms, args->valid_until_ms);
+        /* With jobs open, only EXTEND may extend the lease, as it also lists
+         * the jobs that were withdrawn. */
+        row->lease_end_ms = MAX(row->lease_end_ms, args->valid_until_ms);
     }
     row->jobs++;
     job->origin = row;
@@ -242,7 +249,7 @@
     Reserve_Note(&self->reserve, now_ms, job->priority, job->task_count);
     Counter_Add(&self->counters, COUNTER_FORWARDS_TAKEN, 1);
     DispatcherLog_Origin(self, EVENT_FORWARD_TAKEN, row, "");
-    self->unsettled = true;
+    self->dispatch_pending = true;
 }
 
 void
@@ -250,12 +257,12 @@
                      const lc_forward_args *args, const Route *route)
 {
     Dispatcher_Origin *row = find_origin(self, &args->from);
-    const char *reason = reason_not_to(self, now_ms, args, route);
+    const char *reason = refusal_reason(self, now_ms, args, route);
     Status status = {ERR_OK, ""};
     LeasedJob spec;
 
-    if (row != NULL && now_ms >= row->until_ms) {
-        lapse(self, now_ms, row);
+    if (row != NULL && now_ms >= row->lease_end_ms) {
+        expire_origin(self, now_ms, row);
     }
     if (reason == NULL && JobWire_Get(args, &spec, &status) != ERR_OK) {
         reason = status.message;
@@ -265,7 +272,7 @@
         reason = status.message;
     }
     if (reason != NULL) {
-        reply_not_taken(self, reply_id, reason);
+        reply_refused(self, reply_id, reason);
         return;
     }
     take_job(self, now_ms, reply_id, args, route, &spec);
@@ -294,10 +301,10 @@
     return true;
 }
 
-/* Other callers of a job may still wait for it. */
+/* Drops an origin's request for a job; other callers may still wait for it. */
 static void
-let_go(Dispatcher *self, int64_t now_ms, const Dispatcher_Origin *row,
-       uint64_t number)
+drop_request(Dispatcher *self, int64_t now_ms, const Dispatcher_Origin *row,
+             uint64_t number)
 {
     uint32_t i;
     guint j;
@@ -322,7 +329,7 @@
 static uint64_t
 headroom(const Dispatcher *self, int64_t now_ms)
 {
-    if (self->paused || self->end_ms != INT64_MAX ||
+    if (self->paused || self->shutdown_ms != INT64_MAX ||
         DispatcherHosts_Isolated(self, now_ms)) {
         return 0;
     }
@@ -337,14 +344,14 @@
     Msg_Reply reply = {.kind = MSG_EXTEND};
     u_int i;
 
-    if (row != NULL && now_ms >= row->until_ms) {
-        lapse(self, now_ms, row);
+    if (row != NULL && now_ms >= row->lease_end_ms) {
+        expire_origin(self, now_ms, row);
         row = NULL;
     }
     if (row != NULL && args->target == self->config.node.incarnation) {
-        row->until_ms = MAX(row->until_ms, args->valid_until_ms);
+        row->lease_end_ms = MAX(row->lease_end_ms, args->valid_until_ms);
         for (i = 0; i < args->gone.gone_len; i++) {
-            let_go(self, now_ms, row, args->gone.gone_val[i]);
+            drop_request(self, now_ms, row, args->gone.gone_val[i]);
         }
     }
     reply.u.extend.node = self->config.node;
--- a/lease/dispatcher_queue.c
+++ b/lease/dispatcher_queue.c
@@ -5,13 +5,12 @@
 #include "lease/choice.h"
 #include "lease/resources.h"
 
-/* How urgent a job is; the smaller goes first. A job that has begun goes
- * before those that have not, since what it has run is lost if the rest of it
- * comes late. */
+/* Urgency of a job; the smaller rank is served first. Started jobs are served
+ * before others, since the work already done is wasted if the rest is late. */
 typedef enum {
-    RANK_BEGUN,   /* begun, and can meet its objective */
+    RANK_STARTED, /* started, and can meet its objective */
     RANK_IN_TIME, /* can meet its objective */
-    RANK_LATE,
+    RANK_LATE,    /* can still be of use after its objective */
     RANK_WORTHLESS
 } urgency_rank;
 
@@ -27,7 +26,7 @@
     int64_t end_ms = job->objective_ms - slack_ms;
 
     if (slack_ms >= 0) {
-        return Active_HasBegun(job) ? RANK_BEGUN : RANK_IN_TIME;
+        return Active_HasBegun(job) ? RANK_STARTED : RANK_IN_TIME;
     }
     return end_ms <= Active_WorthlessAfter(job) ? RANK_LATE : RANK_WORTHLESS;
 }
@@ -38,7 +37,8 @@
     queue_entry entry = {.job = job, .slack_ms = Active_SlackMs(job, now_ms)};
 
     if (job->lasts || job->spec.repeat_count > 0) {
-        /* What lasts is missed while it is away; a time that waits is due. */
+        /* A long-running job is always needed; a recurring one that waits is
+         * due. */
         entry.slack_ms = 0;
     }
     entry.rank = rank_of(job, entry.slack_ms);
@@ -51,8 +51,8 @@
     return left < right ? -1 : left > right;
 }
 
-/* By rank, then by the operators' priority; among jobs that can meet their
- * objective the least slack goes first, among others the next deadline. */
+/* Orders by rank, then by configured priority, then by slack among jobs that
+ * can meet their objective, by deadline and arrival among others. */
 static gint
 compare_urgency(gconstpointer a, gconstpointer b)
 {
@@ -75,7 +75,7 @@
     return compare_numbers(left->job->arrived_ms, right->job->arrived_ms);
 }
 
-/* Gives a task to a host, which is still to be asked for it. */
+/* Assigns a task to a host; the call that starts it is sent later. */
 static void
 place_task(Dispatcher *self, int64_t now_ms, Active_Job *job,
            Active_Task *task, Fleet_Host *host)
@@ -103,23 +103,23 @@
 lc_resources
 DispatcherQueue_LargestRoom(const Dispatcher *self, int64_t now_ms)
 {
-    lc_resources most = {0, 0, 0};
+    lc_resources largest = {0, 0, 0};
     guint i;
 
     for (i = 0; i < self->fleet.hosts->len; i++) {
         const Fleet_Host *host = g_ptr_array_index(self->fleet.hosts, i);
         if (Choice_IsOpen(host, now_ms)) {
-            most.cpu_milli = MAX(most.cpu_milli, host->room.cpu_milli);
-            most.memory_mb = MAX(most.memory_mb, host->room.memory_mb);
-            most.accelerators = MAX(most.accelerators,
-                                    host->room.accelerators);
+            largest.cpu_milli = MAX(largest.cpu_milli, host->room.cpu_milli);
+            largest.memory_mb = MAX(largest.memory_mb, host->room.memory_mb);
+            largest.accelerators = MAX(largest.accelerators,
+                                       host->room.accelerators);
         }
     }
-    return most;
+    return largest;
 }
 
 static bool
-may_begin(const Dispatcher *self, int64_t now_ms, const Active_Job *job,
+may_start(const Dispatcher *self, int64_t now_ms, const Active_Job *job,
           const Active_Task *task)
 {
     return Active_HasBegun(job) ||
@@ -127,8 +127,8 @@
                           &Active_Step(job, task)->need);
 }
 
-/* Finds hosts for the waiting tasks of a job, up to the first that finds none;
- * appends those that found one. */
+/* Assigns hosts to the waiting tasks of a job, stopping at the first task that
+ * finds none; appends the assigned tasks to @p placed. */
 static void
 place_job(Dispatcher *self, int64_t now_ms, Active_Job *job,
           lc_resources *largest, GPtrArray *placed)
@@ -150,7 +150,7 @@
             continue;
         }
         if (!Resources_Fit(&Active_Step(job, task)->need, largest) ||
-            !may_begin(self, now_ms, job, task)) {
+            !may_start(self, now_ms, job, task)) {
             return;
         }
         host = Choice_Host(&choice, job, task);
@@ -165,7 +165,7 @@
     }
 }
 
-/* Sends what fits of one job. */
+/* Forwards one job, or starts as many of its tasks as fit. */
 static void
 dispatch_job(Dispatcher *self, int64_t now_ms, Active_Job *job,
              lc_resources *largest)
@@ -181,7 +181,8 @@
     g_ptr_array_unref(placed);
 }
 
-/* Jobs with waiting tasks, the most urgent first; free the array. */
+/* Returns the jobs with waiting tasks, the most urgent first; the caller frees
+ * the array. */
 static GArray *
 sorted_queue(const Dispatcher *self, int64_t now_ms)
 {
@@ -191,7 +192,7 @@
     for (i = 0; i < Handle_Size(self->jobs); i++) {
         Active_Job *job = Handle_At(self->jobs, i);
         if (job != NULL && !job->closing && job->waiting > 0 &&
-            (self->kept_held || !job->kept)) {
+            (self->durable_enabled || !job->kept)) {
             queue_entry entry = entry_of(job, now_ms);
             g_array_append_val(queue, entry);
         }
@@ -214,8 +215,8 @@
     return false;
 }
 
-/* Whether the link takes another start now; if not, there is another pass
- * when it does. */
+/* Whether the link budget allows another start now; if not and tasks wait,
+ * requests another dispatch for when it does. */
 static bool
 link_allows(Dispatcher *self, int64_t now_ms)
 {
@@ -224,14 +225,14 @@
     }
     if (has_waiting(self)) {
         self->link_full = true;
-        self->unsettled = true;
+        self->dispatch_pending = true;
         LinkBudget_NoteWait(&self->link, now_ms);
     }
     return false;
 }
 
 void
-DispatcherQueue_Pass(Dispatcher *self, int64_t now_ms)
+DispatcherQueue_Dispatch(Dispatcher *self, int64_t now_ms)
 {
     lc_resources largest = DispatcherQueue_LargestRoom(self, now_ms);
     GArray *queue;
--- a/lease/dispatcher_replies.c
+++ b/lease/dispatcher_replies.c
@@ -1,23 +1,26 @@
 #include "lease/dispatcher_state.h"
 
-/* Asking again after a broken connection, or an answer that settles
- * nothing. */
-#define AGAIN_MS 50
-#define AGAIN_DOUBLINGS 8
-#define AGAIN_MOST_MS 400
-/* Refused for another reason than room: elsewhere, here not for a moment. */
-#define REFUSED_MS 20
-/* A companion whose hall is closed, as it knows but this entry does not yet:
- * its report comes within a report gap (500 ms at most, dispatcher_hosts.c).
- */
-#define CLOSED_MS 500
-/* A task that lasts is started again after so long, wherever it ended. */
-#define LAST_AGAIN_MS 50
-/* Runs of an earlier submission that an upstream may know of. */
-#define RUNS_SKIPPED 16
+/* Exponential backoff for repeating a call after a broken connection or an
+ * inconclusive reply. */
+#define RETRY_BASE_MS 50
+#define RETRY_MAX_DOUBLINGS 8
+#define RETRY_MAX_MS 400
+/* A companion that refused a task for a reason other than room is avoided for
+ * this long. */
+#define REFUSED_BACKOFF_MS 20
+/* Same for a companion that knows its hall to be closed when this entry does
+ * not yet: its report arrives within one report interval (500 ms at most, see
+ * dispatcher_hosts.c). */
+#define HALL_CLOSED_BACKOFF_MS 500
+/* Delay before a long-running task is started again, however it ended. */
+#define LONG_RUNNING_RESTART_MS 50
+/* Run numbers to skip when an upstream knows later runs, of an earlier
+ * submission. */
+#define SKIPPED_RUN_NUMBERS 16
 
 static Active_Task *
-task_of(const Dispatcher *self, const Dispatcher_Call *about, Active_Job **job)
+find_task(const Dispatcher *self, const Dispatcher_Call *about,
+          Active_Job **job)
 {
     Active_Task *task;
 
@@ -26,22 +29,22 @@
         return NULL;
     }
     task = &(*job)->tasks[about->task];
-    if (task->id.run != about->run || !DispatcherEnd_IsOut(task)) {
+    if (task->id.run != about->run || !DispatcherEnd_IsInFlight(task)) {
         return NULL;
     }
     return task;
 }
 
-/* Whether an answer of that status leaves open whether the run goes on. */
+/* Whether the reply leaves open if the run is still in progress. */
 static bool
-settles_nothing(lc_run_status status, const lc_host_state *state,
+is_inconclusive(lc_run_status status, const lc_host_state *state,
                 const Dispatcher_Call *about)
 {
     return status == LC_RUN_NOT_READY &&
            state->node.incarnation != about->host.incarnation;
 }
 
-/* Maps the refusal of a run that was only asked for to LC_RUN_LOST: the
+/* Maps the refusal of a run that was only queried to LC_RUN_LOST: the
  * companion does not know it. */
 static lc_run_status
 effective_status(lc_run_status status, const Active_Task *task)
@@ -51,39 +54,39 @@
     return refused && task->asked_since_ms != 0 ? LC_RUN_LOST : status;
 }
 
-/* Each time twice as long, up to a limit. */
 static int64_t
-ask_pause_ms(const Active_Task *task)
+retry_delay_ms(const Active_Task *task)
 {
-    return MIN((int64_t)AGAIN_MS << MIN(task->asks, AGAIN_DOUBLINGS),
-               AGAIN_MOST_MS);
+    return MIN((int64_t)RETRY_BASE_MS << MIN(task->asks, RETRY_MAX_DOUBLINGS),
+               RETRY_MAX_MS);
 }
 
 static void
-refused_by(Dispatcher *self, int64_t now_ms, Active_Job *job,
-           Active_Task *task, Fleet_Host *host, lc_run_status status)
+on_run_refused(Dispatcher *self, int64_t now_ms, Active_Job *job,
+               Active_Task *task, Fleet_Host *host, lc_run_status status)
 {
     Counter_Add(&self->counters, COUNTER_WASTED_BUSY, 1);
     job->starts--;
     task->refused++;
     ForwardChoice_NoteRefused(&self->sends);
     if (host != NULL && status != LC_RUN_NO_ROOM) {
-        host->avoid_until_ms = now_ms + (status == LC_RUN_CLOSED ? CLOSED_MS
-                                                                 : REFUSED_MS);
+        host->avoid_until_ms = now_ms + (status == LC_RUN_CLOSED
+                                             ? HALL_CLOSED_BACKOFF_MS
+                                             : REFUSED_BACKOFF_MS);
     }
     if (status == LC_RUN_OLD) {
-        task->id.run += RUNS_SKIPPED;
+        task->id.run += SKIPPED_RUN_NUMBERS;
     }
     DispatcherEnd_Requeue(self, job, task, now_ms);
 }
 
 static void
-run_ended(Dispatcher *self, int64_t now_ms, Active_Job *job, Active_Task *task,
-          lc_run_status status)
+on_run_ended(Dispatcher *self, int64_t now_ms, Active_Job *job,
+             Active_Task *task, lc_run_status status)
 {
     Fleet_Host *host = DispatcherEnd_HostOf(self, task);
 
-    DispatcherEnd_LeaveHost(self, task);
+    DispatcherEnd_ReleaseHost(self, task);
     if (job->kept && (status == LC_RUN_DONE || status == LC_RUN_FAILED)) {
         self->ports->kept_end(self->context, &task->id,
                               LeasedJob_EndNumber(&job->spec, &task->id),
@@ -98,7 +101,8 @@
     if (Active_Step(job, task)->long_running &&
         (status <= LC_RUN_STALLED || status == LC_RUN_CRASHED)) {
         task->avoid = task->host.address;
-        DispatcherEnd_Requeue(self, job, task, now_ms + LAST_AGAIN_MS);
+        DispatcherEnd_Requeue(self, job, task,
+                              now_ms + LONG_RUNNING_RESTART_MS);
         return;
     }
     switch (status) {
@@ -122,7 +126,7 @@
         DispatcherEnd_Requeue(self, job, task, now_ms);
         break;
     default:
-        refused_by(self, now_ms, job, task, host, status);
+        on_run_refused(self, now_ms, job, task, host, status);
         break;
     }
 }
@@ -132,7 +136,7 @@
              const lc_run_res *result)
 {
     Active_Job *job;
-    Active_Task *task = task_of(self, about, &job);
+    Active_Task *task = find_task(self, about, &job);
 
     if (task == NULL) {
         return;
@@ -144,26 +148,27 @@
                 JobTrace_Add(job->trace, now_ms, JOB_TRACE_ORPHANED, &task->id,
                              task->host.address, 0);
             }
-            task->again_ms = now_ms + ask_pause_ms(task);
+            task->again_ms = now_ms + retry_delay_ms(task);
         }
         return;
     }
     if (task->asked_since_ms != 0 && result->status == LC_RUN_NOT_READY &&
         now_ms - task->asked_since_ms < DISPATCHER_OUTCOME_TIMEOUT_MS) {
         Active_Move(job, task, ACTIVE_ORPHANED);
-        task->again_ms = now_ms + ask_pause_ms(task);
+        task->again_ms = now_ms + retry_delay_ms(task);
         return;
     }
-    if (settles_nothing(result->status, &result->host, about)) {
-        task->again_ms = now_ms + ask_pause_ms(task);
+    if (is_inconclusive(result->status, &result->host, about)) {
+        task->again_ms = now_ms + retry_delay_ms(task);
         return;
     }
     if (result->status == LC_RUN_OTHER_NODE && job->kept && !job->closing) {
-        /* Its successor may have found how the run ended. */
-        DispatcherEnd_AskFor(self, now_ms, job, task, result->host.node);
+        /* The companion's next incarnation may know how the run ended. */
+        DispatcherEnd_QueryRun(self, now_ms, job, task, result->host.node);
         return;
     }
-    run_ended(self, now_ms, job, task, effective_status(result->status, task));
+    on_run_ended(self, now_ms, job, task,
+                 effective_status(result->status, task));
 }
 
 static void
@@ -171,17 +176,17 @@
               const lc_halt_res *result)
 {
     Active_Job *job;
-    Active_Task *task = task_of(self, about, &job);
+    Active_Task *task = find_task(self, about, &job);
 
     if (task == NULL) {
         return;
     }
     if (result == NULL ||
-        settles_nothing(result->status, &result->host, about)) {
-        task->again_ms = now_ms + ask_pause_ms(task);
+        is_inconclusive(result->status, &result->host, about)) {
+        task->again_ms = now_ms + retry_delay_ms(task);
         return;
     }
-    run_ended(self, now_ms, job, task, result->status);
+    on_run_ended(self, now_ms, job, task, result->status);
 }
 
 static void
@@ -249,13 +254,14 @@
                                   reply == NULL ? NULL : &reply->u.forward);
         break;
     case MSG_EXTEND:
-        DispatcherForward_OnExtended(self, now_ms, about, call_id,
-                                     reply == NULL ? NULL : &reply->u.extend);
+        DispatcherForward_OnExtendReply(self, now_ms, about, call_id,
+                                        reply == NULL ? NULL
+                                                      : &reply->u.extend);
         break;
     default:
         on_renew_reply(self, now_ms, about, call_id, reply);
         break;
     }
     g_free(about);
-    self->unsettled = true;
+    self->dispatch_pending = true;
 }
--- a/lease/dispatcher_state.h
+++ b/lease/dispatcher_state.h
@@ -1,10 +1,11 @@
 /**
  * @file dispatcher_state.h
- * @brief State of a dispatcher, shared by the files that make it up: calls,
- * ends of runs and jobs, the queue of waiting tasks, companions.
+ * @brief Internal state of a dispatcher and the functions that its source
+ * files share: calls, completion of runs and jobs, queue of waiting tasks,
+ * companions.
  *
- * For lease/dispatcher*.c alone. The table of jobs owns them; a function that
- * ends a task may free its job, and says so.
+ * For lease/dispatcher*.c only. The job table owns the jobs; each function
+ * that may free a job by ending one of its tasks documents it.
  */
 #ifndef LC_LEASE_DISPATCHER_STATE_H
 #define LC_LEASE_DISPATCHER_STATE_H
@@ -20,14 +21,14 @@
 #include "lease/queue_stats.h"
 #include "lease/reserve.h"
 
-/* Leases at companions are renewed so often. */
+/* Interval between renewals of the leases at a companion. */
 #define DISPATCHER_RENEW_MS 100
-/** How long a kept task waits for the outcome of its run, which may have
- * succeeded, while the companion is silent or not ready. After that the task
- * is retried elsewhere. */
+/** How long a durable task waits for the outcome of its run while the
+ * companion is silent or not ready, as the run may have succeeded. After that
+ * the task is retried elsewhere. */
 #define DISPATCHER_OUTCOME_TIMEOUT_MS 6000
 
-/* What a call on its way is about. */
+/* Context of a call that awaits its reply. */
 typedef struct {
     Msg_Kind kind;
     Handle job;
@@ -36,14 +37,14 @@
     uint32_t run;
 } Dispatcher_Call;
 
-/* Another entry whose jobs this one runs. */
+/* Another entry that has forwarded jobs to this one. */
 typedef struct Dispatcher_Origin {
     lc_node node;
-    int64_t until_ms;   /* of the lease that it grants */
-    uint64_t owner;     /* incarnation under which companions run its jobs */
-    uint32_t jobs;      /* those that are not freed */
-    int64_t renewed_ms; /* when leases at companions were renewed last */
-    bool lapsed;        /* its lease ended; its jobs are being stopped */
+    int64_t lease_end_ms; /* end of the lease that it grants */
+    uint64_t owner; /* incarnation under which its jobs run at companions */
+    uint32_t jobs;  /* jobs of it that are not freed yet */
+    int64_t renewed_ms; /* last renewal of leases at companions */
+    bool expired;       /* its lease has ended; its jobs are being stopped */
 } Dispatcher_Origin;
 
 struct Dispatcher {
@@ -56,17 +57,18 @@
     Closures closures;
     Reserve reserve;
     LinkBudget link;
-    bool link_full;      /* starts wait for the link */
-    bool link_was_short; /* as the log tells it */
+    bool link_full;         /* starts wait for the link */
+    bool logged_link_short; /* state of the last log line on the link */
     ForwardChoice_Sends sends;
     Delegates delegates;
-    uint64_t last_number;       /* of jobs given to them */
-    GPtrArray *origins;         /* Dispatcher_Origin */
-    GHashTable *origin_replies; /* request id -> reply id */
-    uint64_t last_request;      /* of other entries */
+    uint64_t last_forward_number; /* of jobs forwarded to delegates */
+    GPtrArray *origins;           /* Dispatcher_Origin */
+    GHashTable *origin_replies;   /* request id -> reply id */
+    uint64_t last_origin_request; /* id given to a forwarded job */
     uint64_t last_owner;
     int64_t routes_version;
-    Histogram belief_age; /* of a companion's room as a task is sent there */
+    Histogram belief_age; /* age of the known room of a companion when a task
+                             is sent there */
     Handle_Table *jobs;
     Handle_Table *calls;    /* Dispatcher_Call */
     GHashTable *by_id;      /* job id -> Active_Job */
@@ -74,48 +76,48 @@
     uint64_t random;
     int64_t started_ms;
     uint32_t unanswered;
-    int64_t wall_ahead_ms; /* of the wall clock before the monotonic one */
-    uint64_t kept;         /* incarnation as an owner of kept jobs */
-    bool kept_held;
-    int64_t end_ms; /* all jobs are answered by then; INT64_MAX if not set */
+    int64_t wall_offset_ms; /* wall clock minus monotonic clock */
+    uint64_t durable_owner; /* incarnation as owner of durable jobs */
+    bool durable_enabled;   /* durable jobs may be started and renewed */
+    int64_t shutdown_ms; /* when open jobs are given up; INT64_MAX: not set */
     bool paused;
-    bool unsettled; /* something came that may let tasks be sent */
+    bool dispatch_pending; /* input has come that may allow tasks to start */
 };
 
 /* Log lines: dispatcher_log.c. */
 
-/** Writes a line about a job of which only the identity is known. */
+/** Logs an event on a job of which only the identity is known. */
 void DispatcherLog_Identity(const Dispatcher *self, Event_Id id, uint64_t job,
                             const char *detail);
 
-/** Writes everything that was decided about a job. */
+/** Logs an event with all decisions made on a job; @p detail says why. */
 void DispatcherLog_Job(const Dispatcher *self, Event_Id id, int64_t now_ms,
                        const Active_Job *job, const char *detail);
 
-/** Writes a line about jobs of another entry. */
+/** Logs an event on the jobs of another entry. */
 void DispatcherLog_Origin(const Dispatcher *self, Event_Id id,
                           const Dispatcher_Origin *origin, const char *detail);
 
-/** Writes a line about a companion. */
+/** Logs an event on a companion. */
 void DispatcherLog_Host(const Dispatcher *self, Event_Id id, int64_t now_ms,
                         const Fleet_Host *host, const char *detail);
 
-/** Notes that a request waits for the job. */
+/** Adds a request to be answered when the job ends. */
 void Dispatcher_AttachRequest(Dispatcher *self, Active_Job *job,
                               uint64_t request);
 
 /* Calls: dispatcher_calls.c. */
 
-/** Sends a call about which a reply is awaited; returns its id. */
+/** Sends a call and registers it as awaiting a reply; returns its id. */
 uint64_t DispatcherCall_Send(Dispatcher *self, const Dispatcher_Call *about,
                              const Msg_Call *call);
 
-/** Asks the task's host to run it, or to tell how that run goes. */
+/** Asks the task's host to run it, or to report the state of that run. */
 void DispatcherCall_Run(Dispatcher *self, const Active_Job *job,
                         const Active_Task *task, int64_t valid_until_ms);
 
-/** Asks the hosts of a job's tasks, an array of Active_Task, to start them;
- * those at one host are asked for in one call. Sorts the array. */
+/** Asks the hosts of a job's tasks, an array of Active_Task, to start them. If
+ * the settings say so, sorts the array and sends one call per host. */
 void DispatcherCall_Starts(Dispatcher *self, int64_t now_ms,
                            const Active_Job *job, GPtrArray *tasks);
 
@@ -123,33 +125,35 @@
 void DispatcherCall_Halt(Dispatcher *self, const Active_Job *job,
                          Active_Task *task);
 
-/** Lengthens the lease on all runs at a host. */
+/** Renews the lease on all runs of this entry at a host. */
 void DispatcherCall_Renew(Dispatcher *self, int64_t now_ms, Fleet_Host *host);
 
-/* Jobs given to other entries: dispatcher_forward.c. */
+/* Jobs forwarded to other entries: dispatcher_forward.c. */
 
-/** Gives a job that has not begun to another entry if that is better, and
- * says whether. */
+/** Forwards a job without started tasks to another entry if that loads the
+ * link less; returns whether it did. */
 bool DispatcherForward_Try(Dispatcher *self, int64_t now_ms, Active_Job *job,
                            const lc_resources *largest);
 
-/** The job needs no other entry any more, which is told at the next tick. */
-void DispatcherForward_Drop(Dispatcher *self, Active_Job *job);
+/** Withdraws a forwarded job; the other entry is told with the next EXTEND. */
+void DispatcherForward_Withdraw(Dispatcher *self, Active_Job *job);
 
-/** The other entry has answered; @p result is NULL if it was lost. May free
- * the job. */
+/** Handles the reply to a FORWARD; @p result is NULL if the connection was
+ * lost. May free the job. */
 void DispatcherForward_OnReply(Dispatcher *self, int64_t now_ms,
                                const Dispatcher_Call *about,
                                const lc_forward_res *result);
 
-/** Extends leases of what others run, and asks who could run more. */
+/** Renews the leases on forwarded jobs, and asks delegates for their capacity.
+ */
 void DispatcherForward_Tick(Dispatcher *self, int64_t now_ms);
 
-/** An EXTEND was answered; @p result is NULL if it was lost. */
-void DispatcherForward_OnExtended(Dispatcher *self, int64_t now_ms,
-                                  const Dispatcher_Call *about,
-                                  uint64_t call_id,
-                                  const lc_extend_res *result);
+/** Handles the reply to an EXTEND; @p result is NULL if the connection was
+ * lost. */
+void DispatcherForward_OnExtendReply(Dispatcher *self, int64_t now_ms,
+                                     const Dispatcher_Call *about,
+                                     uint64_t call_id,
+                                     const lc_extend_res *result);
 
 /* Jobs of other entries: dispatcher_origin.c. */
 
@@ -157,141 +161,148 @@
  * of the others at companions. */
 void DispatcherOrigin_Tick(Dispatcher *self, int64_t now_ms);
 
-/** Until when a start or renewal for the job at a host may be valid: no longer
- * than the entry grants that forwarded it. */
-int64_t DispatcherOrigin_Limit(const Active_Job *job, const Fleet_Host *host,
-                               int64_t valid_until_ms);
+/** Limits the validity of a start or renewal for the job at a host to the
+ * lease granted by the entry that forwarded it. Times in ms on the host's
+ * clock. */
+int64_t DispatcherOrigin_LimitLease(const Active_Job *job,
+                                    const Fleet_Host *host,
+                                    int64_t valid_until_ms);
 
-/** Answers a request of another entry; false if it is a caller's. */
+/** Answers a request of another entry; returns false if a caller made it. */
 bool DispatcherOrigin_Answer(Dispatcher *self, uint64_t request,
                              const Dispatcher_Answer *answer);
 
-/** The job is freed. */
-void DispatcherOrigin_Leave(Dispatcher *self, Active_Job *job);
+/** Removes a job that is being freed from its origin. */
+void DispatcherOrigin_RemoveJob(Dispatcher *self, Active_Job *job);
 
-/* Ends: dispatcher_ends.c. */
+/* Completion of runs and jobs: dispatcher_ends.c. */
 
-/** Frees a job and forgets its identity. */
-void DispatcherEnd_Forget(Dispatcher *self, Active_Job *job);
+/** Frees a job and removes it from the tables. */
+void DispatcherEnd_FreeJob(Dispatcher *self, Active_Job *job);
 
-/** Companion that has the task's run, or NULL if it began anew. */
+/** Returns the companion that has the task's run, or NULL if it is unknown or
+ * has restarted since. */
 Fleet_Host *DispatcherEnd_HostOf(const Dispatcher *self,
                                  const Active_Task *task);
 
-/** Whether a run of the task may be under way. */
-bool DispatcherEnd_IsOut(const Active_Task *task);
+/** Whether a run of the task may be in progress. */
+bool DispatcherEnd_IsInFlight(const Active_Task *task);
 
-/** The run is over or was never begun: its host has one less. */
-void DispatcherEnd_LeaveHost(Dispatcher *self, const Active_Task *task);
+/** Decrements the host's running count for a run that is over or was never
+ * started. */
+void DispatcherEnd_ReleaseHost(Dispatcher *self, const Active_Task *task);
 
-/** A run may be known to a companion, which is asked for it at the next
+/** Schedules a query to @p host, which may know the task's run, for the next
  * tick. */
-void DispatcherEnd_AskFor(Dispatcher *self, int64_t now_ms, Active_Job *job,
-                          Active_Task *task, lc_node host);
+void DispatcherEnd_QueryRun(Dispatcher *self, int64_t now_ms, Active_Job *job,
+                            Active_Task *task, lc_node host);
 
-/** The task is done. May free its job. */
+/** Marks a task as done. May free its job. */
 void DispatcherEnd_Finish(Dispatcher *self, int64_t now_ms, Active_Job *job,
                           Active_Task *task);
 
-/** The task's run is certainly over; it may run again, not before a time.
- * May free its job. */
+/** Makes a task whose run is certainly over wait again, until @p not_before_ms
+ * at least. May free its job. */
 void DispatcherEnd_Requeue(Dispatcher *self, Active_Job *job,
                            Active_Task *task, int64_t not_before_ms);
 
-/** The task's run failed; ends the job after too many. May free it. */
+/** Counts a failed run; ends the job when the task has used up its attempts.
+ * May free the job. */
 void DispatcherEnd_Fail(Dispatcher *self, int64_t now_ms, Active_Job *job,
                         Active_Task *task, const Fleet_Host *host);
 
-/** An upstream has crashed under the task's run. True if its job was given up
- * for that, and is over; it may be freed. */
+/** Counts a crash of an upstream during the task's run. Returns true if this
+ * ended the job, which may then be freed. */
 bool DispatcherEnd_Crash(Dispatcher *self, int64_t now_ms, Active_Job *job,
                          Active_Task *task);
 
-/** Ends a job if enough upstreams have crashed under a task of it, and says
- * whether. */
-bool DispatcherEnd_GiveUpCrashing(Dispatcher *self, int64_t now_ms,
-                                  Active_Job *job, const Active_Task *task);
+/** Ends a job if the task has reached the limit of upstream crashes; returns
+ * whether it did. May free the job. */
+bool DispatcherEnd_CheckCrashLimit(Dispatcher *self, int64_t now_ms,
+                                   Active_Job *job, const Active_Task *task);
 
-/** Answers a job and stops what runs of it. May free it. */
+/** Answers a job and stops its runs. May free it. */
 void DispatcherEnd_Job(Dispatcher *self, int64_t now_ms, Active_Job *job,
                        const Dispatcher_Answer *answer);
 
-/** Counts and logs how a job is over. */
-void DispatcherEnd_Note(Dispatcher *self, int64_t now_ms,
-                        const Active_Job *job, Queue_Outcome outcome,
-                        const char *detail);
+/** Counts and logs the outcome of a job. */
+void DispatcherEnd_RecordOutcome(Dispatcher *self, int64_t now_ms,
+                                 const Active_Job *job, Queue_Outcome outcome,
+                                 const char *detail);
 
-/** Stops what runs of a job that needs no answer any more. May free it. */
+/** Stops the runs of a job that needs no answer any more, or frees the job if
+ * it has none. */
 void DispatcherEnd_Close(Dispatcher *self, Active_Job *job);
 
-/** Ends a job without a result: as not run, if none of its runs may have
- * begun. May free it. */
+/** Ends a job without a result: as not run if none of its runs can have
+ * started, otherwise as given up. May free it. */
 void DispatcherEnd_GiveUp(Dispatcher *self, int64_t now_ms, Active_Job *job,
                           Err_Kind kind, const char *message);
 
-/* Admission by the link: dispatcher_link.c. */
+/* Admission control by link capacity: dispatcher_link.c. */
 
-/* What decides where a job that arrives would stand in the queue. */
+/* Determines the queue position of an arriving job. */
 typedef struct {
     int32_t priority;
     int64_t slack_ms;
 } Dispatcher_Arrival;
 
-/** Logs that the link is short now, or is not any more. */
-void DispatcherLink_Note(Dispatcher *self, int64_t now_ms);
+/** Logs when the link becomes overloaded ("short") or recovers. */
+void DispatcherLink_LogChange(Dispatcher *self, int64_t now_ms);
 
-/** How long its starts would wait for the link, in ms; 0 while that is not
- * short. */
+/** Returns how long the starts of an arriving job would wait for the link, in
+ * ms; 0 while the link is not short. */
 int64_t DispatcherLink_WaitMs(const Dispatcher *self, int64_t now_ms,
                               const Dispatcher_Arrival *arrival);
 
-/** When a caller should come back that would have waited so long. */
+/** Returns the randomized retry delay, in ms, for a caller whose job would
+ * have waited @p wait_ms for the link. */
 uint32_t DispatcherLink_RetryMs(Dispatcher *self, int64_t wait_ms);
 
 /* Waiting tasks: dispatcher_queue.c. */
 
-/** The most of each resource that any open companion has left. */
+/** Returns, per resource, the largest free amount at any open companion. */
 lc_resources DispatcherQueue_LargestRoom(const Dispatcher *self,
                                          int64_t now_ms);
 
-/** Sends every waiting task that fits somewhere, the most urgent first. */
-void DispatcherQueue_Pass(Dispatcher *self, int64_t now_ms);
+/** Starts every waiting task that fits at some companion, the most urgent
+ * first. */
+void DispatcherQueue_Dispatch(Dispatcher *self, int64_t now_ms);
 
 /* Companions: dispatcher_hosts.c. */
 
-/** Whether nothing has been heard of any companion for some time. */
+/** Whether companions are known but none has been heard from lately. */
 bool DispatcherHosts_Isolated(const Dispatcher *self, int64_t now_ms);
 
-/** A companion has not answered in time: it is sent nothing new, and its
- * leases are not renewed, so that they end. */
+/** Marks a companion that has not answered in time as suspect: it gets no new
+ * tasks, and its leases are not renewed, so that they expire. */
 void DispatcherHosts_Suspect(Dispatcher *self, int64_t now_ms,
                              Fleet_Host *host);
 
-/** Renews leases, and takes back runs whose lease is certainly over. */
+/** Renews leases, and requeues tasks whose lease has certainly expired. */
 void DispatcherHosts_Check(Dispatcher *self, int64_t now_ms, Fleet_Host *host);
 
 /* Capacity: dispatcher_fit.c. */
 
-/** Whether a host could run a task of the step if nothing else ran there. */
-bool DispatcherFit_CouldRun(const LeasedJob_Step *step, const char *service,
-                            const Fleet_Host *host);
+/** Whether an idle host could run a task of the step. */
+bool DispatcherCapacity_CouldRun(const LeasedJob_Step *step,
+                                 const char *service, const Fleet_Host *host);
 
-/** Whether a task of a job for @p service is larger than every upstream that
- * is heard: it cannot begin, however long it waits. */
-bool DispatcherFit_Nowhere(const Dispatcher *self, int64_t now_ms,
-                           const LeasedJob *job, const char *service);
+/** Whether a task of a job for @p service exceeds the capacity of every
+ * upstream heard from, so that it cannot start however long it waits. */
+bool DispatcherCapacity_ExceedsAll(const Dispatcher *self, int64_t now_ms,
+                                   const LeasedJob *job, const char *service);
 
 /* Closed halls: dispatcher_halls.c. */
 
-/** Notes whether a companion's hall is closed. */
-void DispatcherHalls_Mark(const Dispatcher *self, Fleet_Host *host);
+/** Updates whether a companion's hall is closed. */
+void DispatcherHalls_UpdateClosed(const Dispatcher *self, Fleet_Host *host);
 
-/** Whether a step of a job for @p service could run in closed halls, and
- * nowhere else. */
-bool DispatcherHalls_ClosedTo(const Dispatcher *self, int64_t now_ms,
-                              const LeasedJob *job, const char *service);
+/** Whether a step of a job for @p service could run in closed halls only. */
+bool DispatcherHalls_AllClosedFor(const Dispatcher *self, int64_t now_ms,
+                                  const LeasedJob *job, const char *service);
 
-/** State of a companion for operators; the caller owns the result. */
+/** Returns a companion's state as JSON for operators; the caller owns it. */
 json_t *DispatcherHosts_Dump(const Fleet_Host *host, int64_t now_ms);
 
 #endif
