--- a/tests/entry_fixture.c
+++ b/tests/entry_fixture.c
@@ -12,12 +12,12 @@
 #define ESTIMATE_MS 100
 
 static void
-note_start(EntryFix *fix, Address to, uint64_t call_id, const lc_run_args *run,
-           uint32_t joined)
+record_start(EntryFix *fix, Address to, uint64_t call_id,
+             const lc_run_args *run, uint32_t joined)
 {
     EntryFix_Start *start = &fix->starts[fix->start_count++];
 
-    g_assert_cmpint(fix->start_count, <=, ENTRY_FIX_MOST);
+    g_assert_cmpint(fix->start_count, <=, ENTRY_FIX_CAPACITY);
     start->to = to;
     start->call_id = call_id;
     start->owner = run->owner.incarnation;
@@ -35,10 +35,10 @@
     EntryFix_Call *row;
 
     if (call->kind == MSG_RUN) {
-        note_start(fix, to, call_id, &call->u.run, 0);
+        record_start(fix, to, call_id, &call->u.run, 0);
         return;
     }
-    g_assert_cmpint(fix->call_count, <, ENTRY_FIX_MOST);
+    g_assert_cmpint(fix->call_count, <, ENTRY_FIX_CAPACITY);
     row = &fix->calls[fix->call_count++];
     row->to = to;
     row->call_id = call_id;
@@ -62,9 +62,9 @@
 port_reply(void *context, uint64_t reply_id, const Msg_Reply *reply)
 {
     EntryFix *fix = context;
-    EntryFix_Reply_Row *row = &fix->replies[fix->reply_count++];
+    EntryFix_SentReply *row = &fix->replies[fix->reply_count++];
 
-    g_assert_cmpint(fix->reply_count, <=, ENTRY_FIX_MOST);
+    g_assert_cmpint(fix->reply_count, <=, ENTRY_FIX_CAPACITY);
     row->reply_id = reply_id;
     row->kind = reply->kind;
     if (reply->kind == MSG_FORWARD) {
@@ -84,7 +84,8 @@
     for (i = 0; i < runs->rows.rows_len; i++) {
         Msg_Call run;
         Runs_Get(runs, i, &run);
-        note_start(context, to, call_ids[i], &run.u.run, runs->rows.rows_len);
+        record_start(context, to, call_ids[i], &run.u.run,
+                     runs->rows.rows_len);
     }
 }
 
@@ -101,7 +102,7 @@
     EntryFix *fix = context;
     EntryFix_Answer *row = &fix->answers[fix->answer_count++];
 
-    g_assert_cmpint(fix->answer_count, <=, ENTRY_FIX_MOST);
+    g_assert_cmpint(fix->answer_count, <=, ENTRY_FIX_CAPACITY);
     row->request = request;
     row->outcome = answer->outcome;
     row->kind = answer->kind;
@@ -218,7 +219,7 @@
     Dispatcher_Settle(fix->dispatcher, fix->now_ms);
 }
 
-/* Answers the renewals behind the first @p from calls. */
+/* Answers the renewals among the calls from index @p from on. */
 static void
 answer_renewals(EntryFix *fix, int from)
 {
--- a/tests/lease_fixture.h
+++ b/tests/lease_fixture.h
@@ -1,6 +1,7 @@
 /**
  * @file lease_fixture.h
- * @brief What the fixtures of leased jobs share: terms and silent events.
+ * @brief Lease times, a queue and an event port shared by the fixtures of
+ * leased jobs.
  */
 #ifndef LC_TESTS_LEASE_FIXTURE_H
 #define LC_TESTS_LEASE_FIXTURE_H
@@ -11,13 +12,13 @@
 #include "lease/route.h"
 #include "lease/term.h"
 
-/** Terms by the bounds of the users' platform. */
+/** Lease times derived from the bounds of the users' platform. */
 Term LeaseFix_Term(void);
 
-/** Adds the queue of the fixtures, two attempts a task. */
+/** Adds the queue used by the fixtures, with two attempts per task. */
 Route *LeaseFix_AddRoute(Route_Table *routes);
 
-/** A port for events that drops them. */
+/** An event port that discards events. */
 void LeaseFix_DropEvent(void *context, Event_Id id, json_t *fields);
 
 #endif
--- a/tests/lease_rules.c
+++ b/tests/lease_rules.c
@@ -1,6 +1,7 @@
 /*
- * Single rules of an entry's decisions: one dispatcher, driven through its
- * door with fake ports. What random schedules reach too seldom to prove.
+ * Tests of single scheduling rules of an entry: one dispatcher, driven through
+ * its public functions with fake ports. Covers cases that random schedules
+ * reach too rarely.
  */
 
 #include <glib.h>
@@ -12,7 +13,7 @@
 #include "tests/rule_table.h"
 
 #define START_MS 10000
-#define MOST 256
+#define MAX_CALLS 256
 
 static const lc_node entry_node = {0x7f0000011b59, 100};
 static const lc_node companion_node = {0x7f0000011b63, 900};
@@ -34,17 +35,17 @@
     Route_Table *routes;
     Route *route;
     int64_t now_ms;
-    sent_call calls[MOST];
+    sent_call calls[MAX_CALLS];
     int count;
     int resets;
     int answers;
-    int kept_done;
-    int kept_failed;
-    int kept_crashes;
-    int kept_over;
+    int durable_done;
+    int durable_failed;
+    int durable_crashes;
+    int durable_over;
     Dispatcher_Outcome outcome;
     uint32_t retry_ms;
-    uint32_t capacity_cpu; /* that companions report */
+    uint32_t capacity_cpu; /* reported by companions, in millicores */
 } dispatcher_fixture;
 
 static void
@@ -53,7 +54,7 @@
     dispatcher_fixture *fix = context;
     sent_call *sent = &fix->calls[fix->count];
 
-    g_assert_cmpint(fix->count, <, MOST);
+    g_assert_cmpint(fix->count, <, MAX_CALLS);
     memset(sent, 0, sizeof(*sent));
     sent->kind = call->kind;
     sent->to = to;
@@ -87,46 +88,51 @@
 }
 
 static void
-port_kept_end(void *context, const lc_run_id *id, uint32_t task, lc_node host,
-              bool done)
+port_durable_end(void *context, const lc_run_id *id, uint32_t task,
+                 lc_node host, bool done)
 {
     dispatcher_fixture *fix = context;
 
     (void)id;
     (void)task;
     (void)host;
-    fix->kept_done += done;
-    fix->kept_failed += !done;
+    fix->durable_done += done;
+    fix->durable_failed += !done;
 }
 
 static void
-port_kept_crash(void *context, const lc_run_id *id, uint32_t task)
+port_durable_crash(void *context, const lc_run_id *id, uint32_t task)
 {
     dispatcher_fixture *fix = context;
 
     (void)id;
     (void)task;
-    fix->kept_crashes++;
+    fix->durable_crashes++;
 }
 
 static void
-port_kept_over(void *context, uint64_t job, Dispatcher_Outcome outcome)
+port_durable_over(void *context, uint64_t job, Dispatcher_Outcome outcome)
 {
     dispatcher_fixture *fix = context;
 
     (void)job;
-    fix->kept_over++;
+    fix->durable_over++;
     fix->outcome = outcome;
 }
 
-static const Dispatcher_Ports dispatcher_ports = {
-    port_call,          port_reset,    port_answer,
-    LeaseFix_DropEvent, port_kept_end, port_kept_crash,
-    port_kept_over,     NULL,          NULL};
+static const Dispatcher_Ports dispatcher_ports = {port_call,
+                                                  port_reset,
+                                                  port_answer,
+                                                  LeaseFix_DropEvent,
+                                                  port_durable_end,
+                                                  port_durable_crash,
+                                                  port_durable_over,
+                                                  NULL,
+                                                  NULL};
 
 static void
-report_all(dispatcher_fixture *fix, const lc_node *node,
-           lc_upstream_state state, uint32_t cpu)
+report_host(dispatcher_fixture *fix, const lc_node *node,
+            lc_upstream_state state, uint32_t cpu)
 {
     lc_report_args report;
 
@@ -148,15 +154,15 @@
 }
 
 static void
-report_of(dispatcher_fixture *fix, const lc_node *node)
+report_node(dispatcher_fixture *fix, const lc_node *node)
 {
-    report_all(fix, node, LC_UPSTREAM_READY, 4000);
+    report_host(fix, node, LC_UPSTREAM_READY, 4000);
 }
 
 static void
 report_state(dispatcher_fixture *fix, lc_upstream_state state, uint32_t cpu)
 {
-    report_all(fix, &companion_node, state, cpu);
+    report_host(fix, &companion_node, state, cpu);
 }
 
 static void
@@ -179,7 +185,7 @@
     fix->route = LeaseFix_AddRoute(fix->routes);
     fix->route->stretch_percent = 160;
     fix->route->target_ms = 60;
-    report_of(fix, &companion_node);
+    report_node(fix, &companion_node);
 }
 
 static void
@@ -190,7 +196,7 @@
 }
 
 static void
-hand_in(dispatcher_fixture *fix, uint64_t job, uint32_t tasks)
+submit_job(dispatcher_fixture *fix, uint64_t job, uint32_t tasks)
 {
     Dispatcher_Submit submit = {
         .request_id = job, .route = fix->route, .deadline_ms = 5000};
@@ -207,7 +213,7 @@
 }
 
 static int
-calls_of(const dispatcher_fixture *fix, Msg_Kind kind)
+count_calls(const dispatcher_fixture *fix, Msg_Kind kind)
 {
     int count = 0;
     int i;
@@ -219,7 +225,7 @@
 }
 
 static const sent_call *
-last_of(const dispatcher_fixture *fix, Msg_Kind kind)
+last_call(const dispatcher_fixture *fix, Msg_Kind kind)
 {
     int i;
 
@@ -258,9 +264,9 @@
     }
 }
 
-/* The same, while the companion answers what renews its leases. */
+/* Like tick_until, but the companion answers renewals of its leases. */
 static void
-tick_in_touch(dispatcher_fixture *fix, int64_t until_ms)
+tick_with_renewals(dispatcher_fixture *fix, int64_t until_ms)
 {
     Msg_Reply reply = {.kind = MSG_RENEW};
     int seen = 0;
@@ -287,83 +293,84 @@
 
     new_dispatcher(&fix);
     Dispatcher_Pause(fix.dispatcher);
-    hand_in(&fix, 1, 1);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 0);
+    submit_job(&fix, 1, 1);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
     Dispatcher_OnCallerGone(fix.dispatcher, fix.now_ms, 1);
     Dispatcher_Resume(fix.dispatcher);
     Dispatcher_Settle(fix.dispatcher, fix.now_ms);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 0);
-    hand_in(&fix, 2, 1);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 1);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
+    submit_job(&fix, 2, 1);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
     free_dispatcher(&fix);
 }
 
 static void
-test_ask_again_holds_no_longer(void)
+test_repeated_call_keeps_lease(void)
 {
     dispatcher_fixture fix;
     int64_t valid_ms;
 
     new_dispatcher(&fix);
-    hand_in(&fix, 1, 1);
-    valid_ms = last_of(&fix, MSG_RUN)->valid_until_ms;
-    Dispatcher_OnReply(fix.dispatcher, fix.now_ms, last_of(&fix, MSG_RUN)->id,
-                       NULL);
+    submit_job(&fix, 1, 1);
+    valid_ms = last_call(&fix, MSG_RUN)->valid_until_ms;
+    Dispatcher_OnReply(fix.dispatcher, fix.now_ms,
+                       last_call(&fix, MSG_RUN)->id, NULL);
     tick_until(&fix, fix.now_ms + 60);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 2);
-    g_assert_cmpuint(last_of(&fix, MSG_RUN)->run, ==, 1);
-    g_assert_cmpint(last_of(&fix, MSG_RUN)->valid_until_ms, <=, valid_ms);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 2);
+    g_assert_cmpuint(last_call(&fix, MSG_RUN)->run, ==, 1);
+    g_assert_cmpint(last_call(&fix, MSG_RUN)->valid_until_ms, <=, valid_ms);
     free_dispatcher(&fix);
 }
 
 static void
-test_suspect_is_not_renewed(void)
+test_no_renewal_at_suspect(void)
 {
     dispatcher_fixture fix;
 
     new_dispatcher(&fix);
-    hand_in(&fix, 1, 1);
+    submit_job(&fix, 1, 1);
     tick_until(&fix, fix.now_ms + 800);
-    g_assert_cmpint(calls_of(&fix, MSG_RENEW), ==, 1);
+    g_assert_cmpint(count_calls(&fix, MSG_RENEW), ==, 1);
     free_dispatcher(&fix);
 }
 
 static void
-test_elsewhere_after_the_lease(void)
+test_retry_elsewhere_after_lease(void)
 {
     dispatcher_fixture fix;
     Term term = LeaseFix_Term();
     int64_t held_ms;
 
     new_dispatcher(&fix);
-    hand_in(&fix, 1, 1);
+    submit_job(&fix, 1, 1);
     tick_until(&fix, fix.now_ms + 100);
-    held_ms = last_of(&fix, MSG_RENEW)->at_ms;
-    /* Another companion is free all the while. */
-    while (calls_of(&fix, MSG_RUN) == 1 && fix.now_ms < held_ms + 3000) {
-        report_of(&fix, &other_companion);
+    held_ms = last_call(&fix, MSG_RENEW)->at_ms;
+    /* Another companion has room all the time. */
+    while (count_calls(&fix, MSG_RUN) == 1 && fix.now_ms < held_ms + 3000) {
+        report_node(&fix, &other_companion);
         tick_until(&fix, fix.now_ms + 50);
     }
-    g_assert_cmpuint(last_of(&fix, MSG_RUN)->to, ==, other_companion.address);
-    g_assert_cmpuint(last_of(&fix, MSG_RUN)->run, ==, 2);
+    g_assert_cmpuint(last_call(&fix, MSG_RUN)->to, ==,
+                     other_companion.address);
+    g_assert_cmpuint(last_call(&fix, MSG_RUN)->run, ==, 2);
     g_assert_cmpint(fix.now_ms, >=, Term_CertainEnd(&term, held_ms));
     g_assert_cmpint(fix.resets, ==, 1);
     free_dispatcher(&fix);
 }
 
 static void
-test_reborn_companion(void)
+test_restarted_companion(void)
 {
     dispatcher_fixture fix;
-    lc_node reborn = companion_node;
+    lc_node restarted = companion_node;
 
     new_dispatcher(&fix);
-    hand_in(&fix, 1, 1);
-    reborn.incarnation++;
+    submit_job(&fix, 1, 1);
+    restarted.incarnation++;
     fix.now_ms += 20;
-    report_of(&fix, &reborn);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 2);
-    g_assert_cmpuint(last_of(&fix, MSG_RUN)->run, ==, 2);
+    report_node(&fix, &restarted);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 2);
+    g_assert_cmpuint(last_call(&fix, MSG_RUN)->run, ==, 2);
     free_dispatcher(&fix);
 }
 
@@ -373,9 +380,9 @@
     dispatcher_fixture fix;
 
     new_dispatcher(&fix);
-    hand_in(&fix, 1, 2);
+    submit_job(&fix, 1, 2);
     Dispatcher_OnCallerGone(fix.dispatcher, fix.now_ms, 1);
-    g_assert_cmpint(calls_of(&fix, MSG_HALT), ==, 2);
+    g_assert_cmpint(count_calls(&fix, MSG_HALT), ==, 2);
     g_assert_cmpint(fix.answers, ==, 0);
     g_assert_false(Dispatcher_IsIdle(fix.dispatcher));
     free_dispatcher(&fix);
@@ -387,13 +394,13 @@
     dispatcher_fixture fix;
 
     new_dispatcher(&fix);
-    hand_in(&fix, 1, 1);
-    reply_run(&fix, last_of(&fix, MSG_RUN), LC_RUN_NOT_READY);
-    /* Nothing is heard of the companion any more. */
+    submit_job(&fix, 1, 1);
+    reply_run(&fix, last_call(&fix, MSG_RUN), LC_RUN_NOT_READY);
+    /* The companion stays silent from here on. */
     tick_until(&fix, fix.now_ms + 1300);
     g_assert_cmpint(fix.answers, ==, 1);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_NOT_RUN);
-    hand_in(&fix, 2, 1);
+    submit_job(&fix, 2, 1);
     g_assert_cmpint(fix.answers, ==, 2);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_NOT_RUN);
     free_dispatcher(&fix);
@@ -405,68 +412,69 @@
     dispatcher_fixture fix;
 
     new_dispatcher(&fix);
-    hand_in(&fix, 1, 1);
-    reply_run(&fix, last_of(&fix, MSG_RUN), LC_RUN_FAILED);
+    submit_job(&fix, 1, 1);
+    reply_run(&fix, last_call(&fix, MSG_RUN), LC_RUN_FAILED);
     g_assert_cmpint(fix.answers, ==, 0);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 2);
-    reply_run(&fix, last_of(&fix, MSG_RUN), LC_RUN_FAILED);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 2);
+    reply_run(&fix, last_call(&fix, MSG_RUN), LC_RUN_FAILED);
     g_assert_cmpint(fix.answers, ==, 1);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_FAILED);
     free_dispatcher(&fix);
 }
 
-/* The companions are told of it, so that such tasks run apart; after the
- * second upstream the job is given up at once. */
+/* Starts carry the number of crashes, so that companions isolate such tasks;
+ * after the second crashed upstream the job is given up at once. */
 static void
 test_two_crashes(void)
 {
     dispatcher_fixture fix;
 
     new_dispatcher(&fix);
-    report_of(&fix, &other_companion);
-    hand_in(&fix, 1, 1);
-    g_assert_cmpuint(last_of(&fix, MSG_RUN)->crashes, ==, 0);
-    reply_run(&fix, last_of(&fix, MSG_RUN), LC_RUN_CRASHED);
+    report_node(&fix, &other_companion);
+    submit_job(&fix, 1, 1);
+    g_assert_cmpuint(last_call(&fix, MSG_RUN)->crashes, ==, 0);
+    reply_run(&fix, last_call(&fix, MSG_RUN), LC_RUN_CRASHED);
     g_assert_cmpint(fix.answers, ==, 0);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 2);
-    g_assert_cmpuint(last_of(&fix, MSG_RUN)->crashes, ==, 1);
-    reply_run(&fix, last_of(&fix, MSG_RUN), LC_RUN_CRASHED);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 2);
+    g_assert_cmpuint(last_call(&fix, MSG_RUN)->crashes, ==, 1);
+    reply_run(&fix, last_call(&fix, MSG_RUN), LC_RUN_CRASHED);
     g_assert_cmpint(fix.answers, ==, 1);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_FAILED);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 2);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 2);
     free_dispatcher(&fix);
 }
 
-/* It is refused at once, truly not run, once the companions are known. */
+/* Such a job is refused at once, as not run, but only after the time in which
+ * all companions have reported. */
 static void
-test_larger_than_any_upstream(void)
+test_task_exceeds_all_upstreams(void)
 {
     dispatcher_fixture fix;
 
     new_dispatcher(&fix);
     fix.capacity_cpu = 500;
-    report_of(&fix, &companion_node);
-    hand_in(&fix, 1, 1);
+    report_node(&fix, &companion_node);
+    submit_job(&fix, 1, 1);
     g_assert_cmpint(fix.answers, ==, 0);
     free_dispatcher(&fix);
     new_dispatcher(&fix);
     fix.now_ms += 3000;
     fix.capacity_cpu = 500;
-    report_of(&fix, &companion_node);
-    hand_in(&fix, 1, 1);
+    report_node(&fix, &companion_node);
+    submit_job(&fix, 1, 1);
     g_assert_cmpint(fix.answers, ==, 1);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_NOT_RUN);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 0);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
     fix.capacity_cpu = 4000;
-    report_of(&fix, &other_companion);
-    hand_in(&fix, 2, 1);
+    report_node(&fix, &other_companion);
+    submit_job(&fix, 2, 1);
     g_assert_cmpint(fix.answers, ==, 1);
     free_dispatcher(&fix);
 }
 
-/* The upstreams shrink while it waits for room. */
+/* The reported capacity shrinks while the job waits for room. */
 static void
-test_upstreams_shrink_below_a_job(void)
+test_upstreams_shrink_below_task(void)
 {
     dispatcher_fixture fix;
 
@@ -474,7 +482,7 @@
     fix.now_ms += 3000;
     fix.capacity_cpu = 4000;
     report_room(&fix, 0);
-    hand_in(&fix, 1, 1);
+    submit_job(&fix, 1, 1);
     tick_until(&fix, fix.now_ms + 50);
     g_assert_cmpint(fix.answers, ==, 0);
     fix.capacity_cpu = 500;
@@ -485,7 +493,7 @@
     free_dispatcher(&fix);
 }
 
-/* A run that was lost in another way blames nobody. */
+/* Runs lost for other reasons do not count as crashes. */
 static void
 test_losses_are_no_crashes(void)
 {
@@ -493,16 +501,16 @@
     int i;
 
     new_dispatcher(&fix);
-    hand_in(&fix, 1, 1);
+    submit_job(&fix, 1, 1);
     for (i = 0; i < 4; i++) {
-        reply_run(&fix, last_of(&fix, MSG_RUN), LC_RUN_LOST);
-        g_assert_cmpuint(last_of(&fix, MSG_RUN)->crashes, ==, 0);
+        reply_run(&fix, last_call(&fix, MSG_RUN), LC_RUN_LOST);
+        g_assert_cmpuint(last_call(&fix, MSG_RUN)->crashes, ==, 0);
     }
     g_assert_cmpint(fix.answers, ==, 0);
     free_dispatcher(&fix);
 }
 
-/* Of a job with several tasks each is counted by itself. */
+/* Crashes are counted per task, not per job. */
 static void
 test_crashes_of_several_tasks(void)
 {
@@ -510,133 +518,134 @@
     int i;
 
     new_dispatcher(&fix);
-    hand_in(&fix, 1, 2);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 2);
+    submit_job(&fix, 1, 2);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 2);
     for (i = 0; i < 2; i++) {
         sent_call call = fix.calls[i];
         g_assert_cmpint(call.kind, ==, MSG_RUN);
         reply_run(&fix, &call, LC_RUN_CRASHED);
     }
     g_assert_cmpint(fix.answers, ==, 0);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 4);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 4);
     free_dispatcher(&fix);
 }
 
 static void
-test_begun_is_not_told_as_not_run(void)
+test_started_job_is_given_up(void)
 {
     dispatcher_fixture fix;
 
     new_dispatcher(&fix);
-    hand_in(&fix, 1, 1);
+    submit_job(&fix, 1, 1);
     tick_until(&fix, fix.now_ms + 6000);
     g_assert_cmpint(fix.answers, ==, 1);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_GIVEN_UP);
     free_dispatcher(&fix);
 }
 
-/* Two of six tasks never find room: the job is given up, and its runs are
- * stopped, when their end would be worth nothing, well before its deadline. */
+/* Two of six tasks never find room: the job is given up and its runs are
+ * stopped when it can no longer end in time to be of use, well before its
+ * deadline. */
 static void
-test_begun_is_given_up(void)
+test_started_job_cannot_finish(void)
 {
     dispatcher_fixture fix;
 
     new_dispatcher(&fix);
     fix.route->target_ms = 0;
-    hand_in(&fix, 1, 6);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 4);
-    tick_in_touch(&fix, START_MS + 4200);
+    submit_job(&fix, 1, 6);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 4);
+    tick_with_renewals(&fix, START_MS + 4200);
     g_assert_cmpint(fix.answers, ==, 0);
-    tick_in_touch(&fix, START_MS + 4400);
+    tick_with_renewals(&fix, START_MS + 4400);
     g_assert_cmpint(fix.answers, ==, 1);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_GIVEN_UP);
-    g_assert_cmpint(calls_of(&fix, MSG_HALT), ==, 4);
+    g_assert_cmpint(count_calls(&fix, MSG_HALT), ==, 4);
     free_dispatcher(&fix);
 }
 
-/* Hands jobs in that fill the only companion, then one each of two
- * priorities; the last call tells which of them goes first. */
+/* Fills the only companion, then submits one job of each of two priorities;
+ * the last call shows which of them is started first. */
 static void
 test_priority_first(void)
 {
     dispatcher_fixture fix;
 
     new_dispatcher(&fix);
-    hand_in(&fix, 1, 4);
+    submit_job(&fix, 1, 4);
     fix.route->priority = 1;
-    hand_in(&fix, 2, 1);
+    submit_job(&fix, 2, 1);
     fix.now_ms += 1;
     fix.route->priority = 0;
-    hand_in(&fix, 3, 1);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 4);
+    submit_job(&fix, 3, 1);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 4);
     report_room(&fix, 1000);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 5);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 5);
     g_assert_cmpuint(fix.calls[fix.count - 1].job, ==, 3);
     free_dispatcher(&fix);
 }
 
 static void
-test_begun_first(void)
+test_started_first(void)
 {
     dispatcher_fixture fix;
 
     new_dispatcher(&fix);
     fix.route->priority = 1;
-    hand_in(&fix, 1, 5);
+    submit_job(&fix, 1, 5);
     fix.route->priority = 0;
-    hand_in(&fix, 2, 1);
+    submit_job(&fix, 2, 1);
     report_room(&fix, 1000);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 5);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 5);
     g_assert_cmpuint(fix.calls[fix.count - 1].job, ==, 1);
     free_dispatcher(&fix);
 }
 
 /* The objective is 1,660 ms, the estimate 1,000. */
 static void
-test_crowded_out(void)
+test_no_room_before_objective(void)
 {
     dispatcher_fixture fix;
 
     new_dispatcher(&fix);
-    hand_in(&fix, 1, 4);
-    hand_in(&fix, 2, 1);
-    tick_in_touch(&fix, START_MS + 650);
+    submit_job(&fix, 1, 4);
+    submit_job(&fix, 2, 1);
+    tick_with_renewals(&fix, START_MS + 650);
     g_assert_cmpint(fix.answers, ==, 0);
-    tick_in_touch(&fix, START_MS + 750);
+    tick_with_renewals(&fix, START_MS + 750);
     g_assert_cmpint(fix.answers, ==, 1);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_NOT_RUN);
     g_assert_cmpint(fix.retry_ms, >, 0);
     free_dispatcher(&fix);
 }
 
-/* Where no companion is open, the same job waits for one. */
+/* While no companion is open, the same job keeps waiting. */
 static void
-test_not_crowded_out(void)
+test_waits_without_companions(void)
 {
     dispatcher_fixture fix;
 
     new_dispatcher(&fix);
     report_state(&fix, LC_UPSTREAM_ABSENT, 0);
-    hand_in(&fix, 1, 1);
+    submit_job(&fix, 1, 1);
     fix.now_ms += 800;
     report_state(&fix, LC_UPSTREAM_ABSENT, 0);
     Dispatcher_Tick(fix.dispatcher, fix.now_ms);
     g_assert_cmpint(fix.answers, ==, 0);
     report_state(&fix, LC_UPSTREAM_READY, 4000);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 1);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
     free_dispatcher(&fix);
 }
 
-/* A first job of four tasks, whose room falls free again; half of it is kept
- * for the next. */
+/* Runs a first-priority job of four tasks; half of its room is then reserved
+ * for the next such job. */
 static void
-see_first_priority(dispatcher_fixture *fix)
+run_first_priority(dispatcher_fixture *fix)
 {
     fix->capacity_cpu = 64000;
     fix->route->priority = 0;
-    hand_in(fix, 1, 4);
-    g_assert_cmpint(calls_of(fix, MSG_RUN), ==, 4);
+    submit_job(fix, 1, 4);
+    g_assert_cmpint(count_calls(fix, MSG_RUN), ==, 4);
     report_room(fix, 0);
     fix->route->priority = 1;
 }
@@ -647,73 +656,73 @@
     dispatcher_fixture fix;
 
     new_dispatcher(&fix);
-    see_first_priority(&fix);
-    hand_in(&fix, 2, 1);
+    run_first_priority(&fix);
+    submit_job(&fix, 2, 1);
     report_room(&fix, 2000);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 4);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 4);
     report_room(&fix, 3000);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 5);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 5);
     free_dispatcher(&fix);
 }
 
-/* What has begun takes the last room, and so does the first priority. */
+/* Started jobs may use the reserved room, and so may the first priority. */
 static void
-test_reserve_is_used(void)
+test_reserve_for_eligible(void)
 {
     dispatcher_fixture fix;
 
     new_dispatcher(&fix);
-    see_first_priority(&fix);
-    hand_in(&fix, 2, 4);
+    run_first_priority(&fix);
+    submit_job(&fix, 2, 4);
     report_room(&fix, 3000);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 7);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 7);
     report_room(&fix, 1000);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 8);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 8);
     fix.route->priority = 0;
-    hand_in(&fix, 3, 1);
+    submit_job(&fix, 3, 1);
     report_room(&fix, 1000);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 9);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 9);
     free_dispatcher(&fix);
 }
 
-/* Nothing is kept for a priority that no job had for long, nor where so few
- * tasks fit at all that it would leave much idle. */
+/* No room is reserved for a priority without recent jobs, nor if the total
+ * capacity is so small that the reserve would leave much of it idle. */
 static void
 test_reserve_bounds(void)
 {
     dispatcher_fixture fix;
 
     new_dispatcher(&fix);
-    see_first_priority(&fix);
-    hand_in(&fix, 2, 1);
+    run_first_priority(&fix);
+    submit_job(&fix, 2, 1);
     fix.now_ms += 10001;
     report_room(&fix, 1000);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 5);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 5);
     free_dispatcher(&fix);
     new_dispatcher(&fix);
-    see_first_priority(&fix);
+    run_first_priority(&fix);
     fix.capacity_cpu = 15000;
-    hand_in(&fix, 2, 1);
+    submit_job(&fix, 2, 1);
     report_room(&fix, 1000);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 5);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 5);
     free_dispatcher(&fix);
 }
 
-/* A job that is open shortly before the process ends is answered then. */
+/* A job that is still open shortly before the process exits is answered. */
 static void
-test_end_of_process(void)
+test_shutdown(void)
 {
     dispatcher_fixture fix;
 
     new_dispatcher(&fix);
-    hand_in(&fix, 1, 1);
+    submit_job(&fix, 1, 1);
     Dispatcher_EndBy(fix.dispatcher, START_MS + 300);
-    tick_in_touch(&fix, START_MS + 250);
+    tick_with_renewals(&fix, START_MS + 250);
     g_assert_cmpint(fix.answers, ==, 0);
-    tick_in_touch(&fix, START_MS + 350);
+    tick_with_renewals(&fix, START_MS + 350);
     g_assert_cmpint(fix.answers, ==, 1);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_GIVEN_UP);
-    g_assert_cmpint(calls_of(&fix, MSG_HALT), ==, 1);
+    g_assert_cmpint(count_calls(&fix, MSG_HALT), ==, 1);
     free_dispatcher(&fix);
 }
 
@@ -724,50 +733,53 @@
 
     new_dispatcher(&fix);
     fix.route->advised = true;
-    hand_in(&fix, 1, 1);
+    submit_job(&fix, 1, 1);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_NOT_RUN);
-    g_assert_cmpint(calls_of(&fix, MSG_RUN), ==, 0);
+    g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
     free_dispatcher(&fix);
 }
 
 static const RuleTable_Row rules[] = {
     {"/dispatcher/starts nothing while paused", test_paused},
-    {"/dispatcher/asks again without a longer hold",
-     test_ask_again_holds_no_longer},
+    {"/dispatcher/repeats calls without a longer lease",
+     test_repeated_call_keeps_lease},
     {"/dispatcher/does not renew at a silent companion",
-     test_suspect_is_not_renewed},
-    {"/dispatcher/runs elsewhere only after the lease",
-     test_elsewhere_after_the_lease},
+     test_no_renewal_at_suspect},
+    {"/dispatcher/retries elsewhere only after the lease expired",
+     test_retry_elsewhere_after_lease},
     {"/dispatcher/runs again at once after a new incarnation",
-     test_reborn_companion},
-    {"/dispatcher/stops the job of a caller that left", test_caller_gone},
-    {"/dispatcher/tells not run after refusals alone",
+     test_restarted_companion},
+    {"/dispatcher/stops the job of a caller that disconnected",
+     test_caller_gone},
+    {"/dispatcher/answers not run after refusals only",
      test_refused_is_not_run},
-    {"/dispatcher/refuses queues that need tickets", test_advised_queue},
+    {"/dispatcher/refuses queues that need admission tickets",
+     test_advised_queue},
     {"/dispatcher/counts failed attempts", test_attempts},
-    {"/dispatcher/gives up a task under which two upstreams crash",
+    {"/dispatcher/gives up a task after two upstream crashes",
      test_two_crashes},
-    {"/dispatcher/refuses what is larger than any upstream",
-     test_larger_than_any_upstream},
-    {"/dispatcher/refuses what upstreams have shrunk below",
-     test_upstreams_shrink_below_a_job},
-    {"/dispatcher/takes no other loss for a crash",
+    {"/dispatcher/refuses a task larger than any upstream",
+     test_task_exceeds_all_upstreams},
+    {"/dispatcher/refuses a waiting job once upstreams shrink",
+     test_upstreams_shrink_below_task},
+    {"/dispatcher/counts no other loss as a crash",
      test_losses_are_no_crashes},
     {"/dispatcher/counts crashes by task", test_crashes_of_several_tasks},
-    {"/dispatcher/tells given up once begun",
-     test_begun_is_not_told_as_not_run},
-    {"/dispatcher/gives up a begun job that is worth nothing",
-     test_begun_is_given_up},
-    {"/dispatcher/answers what is open before the process ends",
-     test_end_of_process},
-    {"/dispatcher/goes by priority", test_priority_first},
-    {"/dispatcher/keeps room for the first priority", test_reserve},
-    {"/dispatcher/gives the room kept to those it is for",
-     test_reserve_is_used},
-    {"/dispatcher/bounds the room kept", test_reserve_bounds},
-    {"/dispatcher/goes on with a begun job first", test_begun_first},
-    {"/dispatcher/refuses a job that found no room in time", test_crowded_out},
-    {"/dispatcher/keeps a job that found no companion", test_not_crowded_out},
+    {"/dispatcher/answers given up once started",
+     test_started_job_is_given_up},
+    {"/dispatcher/gives up a started job that cannot finish",
+     test_started_job_cannot_finish},
+    {"/dispatcher/answers open jobs before the process exits", test_shutdown},
+    {"/dispatcher/starts jobs by priority", test_priority_first},
+    {"/dispatcher/reserves room for the first priority", test_reserve},
+    {"/dispatcher/lets eligible jobs use the reserve",
+     test_reserve_for_eligible},
+    {"/dispatcher/bounds the reserve", test_reserve_bounds},
+    {"/dispatcher/continues started jobs first", test_started_first},
+    {"/dispatcher/refuses a job that found no room in time",
+     test_no_room_before_objective},
+    {"/dispatcher/keeps a job waiting without companions",
+     test_waits_without_companions},
 };
 
 int
