--- a/lease/dispatcher.c
+++ b/lease/dispatcher.c
@@ -351,8 +351,8 @@
 }
 
 /* A job that has not started when it can no longer meet its objective,
- * although companions are open, has found no room until then. It is refused,
- * so that the room it would take serves other jobs in time. */
+ * although companions are schedulable, has found no room until then. It is
+ * refused, so that the room it would take serves other jobs in time. */
 static bool
 cannot_meet_objective(const Dispatcher *self, const Active_Job *job,
                       int64_t now_ms)
--- a/lease/dispatcher_forward.c
+++ b/lease/dispatcher_forward.c
@@ -1,6 +1,6 @@
 /*
- * Jobs that this entry forwards to others: sent while its link is short, held
- * by leases, answered when the other entry answers.
+ * Jobs that this entry forwards to others: sent while its link is congested,
+ * held by leases, answered when the other entry answers.
  */
 #include "lease/dispatcher_state.h"
 #include "lease/job_wire.h"
--- a/lease/dispatcher_link.c
+++ b/lease/dispatcher_link.c
@@ -11,14 +11,14 @@
 void
 DispatcherLink_LogChange(Dispatcher *self, int64_t now_ms)
 {
-    bool is_short = LinkBudget_IsShort(&self->link, now_ms);
+    bool is_congested = LinkBudget_IsShort(&self->link, now_ms);
     uint32_t waiting = 0;
     uint32_t i;
 
-    if (is_short == self->logged_link_short) {
+    if (is_congested == self->logged_congested) {
         return;
     }
-    self->logged_link_short = is_short;
+    self->logged_congested = is_congested;
     if (!Event_Admit(EVENT_LINK_SHORT)) {
         return;
     }
@@ -28,7 +28,7 @@
     }
     self->ports->event(
         self->context, EVENT_LINK_SHORT,
-        json_pack("{s:b, s:I, s:I, s:I, s:i, s:i}", "short", is_short,
+        json_pack("{s:b, s:I, s:I, s:I, s:i, s:i}", "short", is_congested,
                   "bytes_per_second", (json_int_t)self->link.rate, "usable",
                   (json_int_t)self->link.bytes_per_s, "waits",
                   (json_int_t)self->link.waits, "jobs_waiting", (int)waiting,
--- a/lease/dispatcher_state.h
+++ b/lease/dispatcher_state.h
@@ -57,8 +57,8 @@
     Closures closures;
     Reserve reserve;
     LinkBudget link;
-    bool link_full;         /* starts wait for the link */
-    bool logged_link_short; /* state of the last log line on the link */
+    bool link_full;        /* starts wait for the link */
+    bool logged_congested; /* state of the last log line on the link */
     ForwardChoice_Sends sends;
     Delegates delegates;
     uint64_t last_forward_number; /* of jobs forwarded to delegates */
@@ -247,11 +247,11 @@
     int64_t slack_ms;
 } Dispatcher_Arrival;
 
-/** Logs when the link becomes overloaded ("short") or recovers. */
+/** Logs when the link becomes congested or recovers. */
 void DispatcherLink_LogChange(Dispatcher *self, int64_t now_ms);
 
 /** Returns how long the starts of an arriving job would wait for the link, in
- * ms; 0 while the link is not short. */
+ * ms; 0 while the link is not congested. */
 int64_t DispatcherLink_WaitMs(const Dispatcher *self, int64_t now_ms,
                               const Dispatcher_Arrival *arrival);
 
@@ -261,7 +261,8 @@
 
 /* Waiting tasks: dispatcher_queue.c. */
 
-/** Returns, per resource, the largest free amount at any open companion. */
+/** Returns, per resource, the largest free amount at any schedulable
+ * companion. */
 lc_resources DispatcherQueue_LargestRoom(const Dispatcher *self,
                                          int64_t now_ms);
 
--- a/tests/lease_rules.c
+++ b/tests/lease_rules.c
@@ -619,7 +619,7 @@
     free_dispatcher(&fix);
 }
 
-/* While no companion is open, the same job keeps waiting. */
+/* While no companion is schedulable, the same job keeps waiting. */
 static void
 test_waits_without_companions(void)
 {
