--- a/lease/health.c
+++ b/lease/health.c
@@ -4,28 +4,30 @@
 #include <stdlib.h>
 
 #define PERCENT 100
-/* Weight of one more task in the mean pace. */
+/* A new sample has a weight of 1 / PACE_WEIGHT in the mean pace. */
 #define PACE_WEIGHT 8
-#define PACE_MOST 2000
-/* Ends of different jobs in a row before an upstream is on trial. */
-#define BAD_LIMIT 3
+#define MAX_PACE_PERCENT 2000
+/* Consecutive failures of different jobs, and stalls, that begin a trial. */
+#define FAILURE_LIMIT 3
 #define STALL_LIMIT 2
-/* Tasks that end well before a trial is over. */
-#define GOOD_LIMIT 2
-#define TRIAL_GAP_MS 250
-/* A run whose percentage stands still for so long, and a part of its estimate
- * besides, would take several times its estimate, however wrong that is. */
+/* Successful tasks that end a trial. */
+#define SUCCESS_LIMIT 2
+#define TRIAL_INTERVAL_MS 250
+/* A run hangs if its percentage has not changed for HANG_MS plus its estimate
+ * / HANG_ESTIMATE_DIVISOR. At that rate it would take several times its
+ * estimate, however wrong that is. */
 #define HANG_MS 160
-#define HANG_PART 20
-/* Runs younger than this tell nothing of their pace. */
-#define YOUNG_MS 60
-/* Different jobs that must agree, and from which pace on. */
-#define JOBS_AGREE 2
+#define HANG_ESTIMATE_DIVISOR 20
+/* Runs are ignored in the pace before this time has elapsed. */
+#define MIN_ELAPSED_MS 60
+/* An upstream is slow if this many jobs agree and their median pace is at
+ * least SLOW_PERCENT. */
+#define MIN_AGREEING_JOBS 2
 #define SLOW_PERCENT 300
-/* What beginning again elsewhere costs. */
-#define AGAIN_MS 60
-#define FADE_EVERY_MS 100
-#define FADE_PART 32
+/* Time lost by a restart on another upstream. */
+#define RESTART_COST_MS 60
+#define DECAY_INTERVAL_MS 100
+#define DECAY_DIVISOR 32
 
 Health
 Health_New(void)
@@ -36,9 +38,9 @@
 }
 
 static void
-note_pace(Health *health, uint32_t pace)
+add_pace_sample(Health *health, uint32_t pace)
 {
-    pace = MIN(pace, PACE_MOST);
+    pace = MIN(pace, MAX_PACE_PERCENT);
     health->pace_percent = (health->pace_percent * (PACE_WEIGHT - 1) + pace) /
                            PACE_WEIGHT;
 }
@@ -49,24 +51,24 @@
     bool begins = !health->trial;
 
     health->trial = true;
-    health->good_in_row = 0;
-    health->next_trial_ms = now_ms + TRIAL_GAP_MS;
+    health->consecutive_successes = 0;
+    health->next_trial_ms = now_ms + TRIAL_INTERVAL_MS;
     return begins;
 }
 
 bool
 Health_Good(Health *health, uint32_t ran_ms, uint32_t estimate_ms)
 {
-    health->bad_in_row = 0;
+    health->consecutive_failures = 0;
     if (estimate_ms > 0) {
-        note_pace(health, ran_ms * PERCENT / estimate_ms);
+        add_pace_sample(health, ran_ms * PERCENT / estimate_ms);
     }
     if (!health->trial) {
         return false;
     }
-    health->good_in_row++;
+    health->consecutive_successes++;
     health->next_trial_ms = 0;
-    if (health->good_in_row < GOOD_LIMIT) {
+    if (health->consecutive_successes < SUCCESS_LIMIT) {
         return false;
     }
     health->trial = false;
@@ -76,12 +78,12 @@
 bool
 Health_Bad(Health *health, int64_t now_ms, uint64_t job)
 {
-    if (health->bad_in_row > 0 && health->last_bad_job == job) {
+    if (health->consecutive_failures > 0 && health->last_failed_job == job) {
         return false;
     }
-    health->bad_in_row++;
-    health->last_bad_job = job;
-    if (health->trial || health->bad_in_row >= BAD_LIMIT) {
+    health->consecutive_failures++;
+    health->last_failed_job = job;
+    if (health->trial || health->consecutive_failures >= FAILURE_LIMIT) {
         return begin_trial(health, now_ms);
     }
     return false;
@@ -90,8 +92,8 @@
 bool
 Health_Stalled(Health *health, int64_t now_ms)
 {
-    health->bad_in_row++;
-    if (health->trial || health->bad_in_row >= STALL_LIMIT) {
+    health->consecutive_failures++;
+    if (health->trial || health->consecutive_failures >= STALL_LIMIT) {
         return begin_trial(health, now_ms);
     }
     return false;
@@ -107,21 +109,21 @@
 Health_Started(Health *health, int64_t now_ms)
 {
     if (health->trial) {
-        health->next_trial_ms = now_ms + TRIAL_GAP_MS;
+        health->next_trial_ms = now_ms + TRIAL_INTERVAL_MS;
     }
 }
 
 static uint32_t
 pace_of(const Health_Progress *run)
 {
-    uint64_t whole_ms = (uint64_t)run->elapsed_ms * PERCENT /
+    uint64_t total_ms = (uint64_t)run->elapsed_ms * PERCENT /
                         MAX(run->percent, 1);
 
-    return (uint32_t)MIN(whole_ms * PERCENT / MAX(run->estimate_ms, 1),
-                         PACE_MOST);
+    return (uint32_t)MIN(total_ms * PERCENT / MAX(run->estimate_ms, 1),
+                         MAX_PACE_PERCENT);
 }
 
-/* By job, then the fastest run of each first. */
+/* Sorts by job, and the runs of one job by pace, fastest first. */
 static gint
 compare_runs(gconstpointer a, gconstpointer b)
 {
@@ -140,7 +142,7 @@
     return (gint) * (const uint32_t *)a - (gint) * (const uint32_t *)b;
 }
 
-/* Paces of different jobs, each by its fastest run, in order. */
+/* Returns the pace of each job's fastest run, sorted. */
 static GArray *
 paces_by_job(Health_Progress *runs, uint32_t count)
 {
@@ -152,7 +154,7 @@
     }
     for (i = 0; i < count; i++) {
         uint32_t pace = pace_of(&runs[i]);
-        if (runs[i].elapsed_ms >= YOUNG_MS &&
+        if (runs[i].elapsed_ms >= MIN_ELAPSED_MS &&
             (i == 0 || runs[i].job != runs[i - 1].job)) {
             g_array_append_val(paces, pace);
         }
@@ -167,10 +169,10 @@
     GArray *paces = paces_by_job(runs, count);
     uint32_t slow = 0;
 
-    if (paces->len >= JOBS_AGREE) {
+    if (paces->len >= MIN_AGREEING_JOBS) {
         uint32_t median = g_array_index(paces, uint32_t, (paces->len - 1) / 2);
         if (median >= SLOW_PERCENT) {
-            note_pace(health, median);
+            add_pace_sample(health, median);
             slow = median;
         }
     }
@@ -181,29 +183,29 @@
 void
 Health_Fade(Health *health, int64_t now_ms)
 {
-    uint32_t above;
+    uint32_t excess;
 
-    if (now_ms - health->faded_ms < FADE_EVERY_MS ||
+    if (now_ms - health->decayed_ms < DECAY_INTERVAL_MS ||
         health->pace_percent <= HEALTH_PACE_PERCENT) {
         return;
     }
-    above = health->pace_percent - HEALTH_PACE_PERCENT;
-    health->faded_ms = now_ms;
-    health->pace_percent -= MAX(above / FADE_PART, 1);
+    excess = health->pace_percent - HEALTH_PACE_PERCENT;
+    health->decayed_ms = now_ms;
+    health->pace_percent -= MAX(excess / DECAY_DIVISOR, 1);
 }
 
 bool
-Health_Hangs(int64_t unchanged_ms, uint32_t estimate_ms)
+Health_IsHung(int64_t unchanged_ms, uint32_t estimate_ms)
 {
-    return unchanged_ms > HANG_MS + estimate_ms / HANG_PART;
+    return unchanged_ms > HANG_MS + estimate_ms / HANG_ESTIMATE_DIVISOR;
 }
 
 bool
-Health_BetterElsewhere(const Health_Progress *run, uint32_t slow_percent)
+Health_IsFasterElsewhere(const Health_Progress *run, uint32_t slow_percent)
 {
-    uint64_t whole_ms = (uint64_t)run->elapsed_ms * PERCENT /
+    uint64_t total_ms = (uint64_t)run->elapsed_ms * PERCENT /
                         MAX(run->percent, 1);
-    uint64_t elsewhere_ms = whole_ms * PERCENT / slow_percent;
+    uint64_t elsewhere_ms = total_ms * PERCENT / slow_percent;
 
-    return whole_ms - run->elapsed_ms > elsewhere_ms + AGAIN_MS;
+    return total_ms - run->elapsed_ms > elsewhere_ms + RESTART_COST_MS;
 }
--- a/lease/run_status.h
+++ b/lease/run_status.h
@@ -1,6 +1,6 @@
 /**
  * @file run_status.h
- * @brief How runs end, as text for people.
+ * @brief Text of the results of runs.
  */
 #ifndef LC_LEASE_RUN_STATUS_H
 #define LC_LEASE_RUN_STATUS_H
@@ -10,7 +10,7 @@
 /** Number of statuses. */
 #define RUN_STATUS_COUNT (LC_RUN_CRASHED + 1)
 
-/** Short text of a status; "unknown" for numbers that are none. */
+/** Text of an lc_run_status; "unknown" for any other number. */
 const char *RunStatus_Text(int status);
 
 #endif
--- a/lease/runner.c
+++ b/lease/runner.c
@@ -8,8 +8,8 @@
 #include "lease/run_id.h"
 #include "lease/runner_state.h"
 
-/* Beats that may be missed before an upstream counts as gone. */
-#define BEATS_MISSED 3
+/* Heartbeats that may be missed before an upstream is reported as absent. */
+#define MAX_MISSED_HEARTBEATS 3
 
 Runner *
 Runner_New(const Runner_Config *config, const Runner_Ports *ports,
@@ -33,7 +33,7 @@
     Closures_Init(&runner->closures, now_ms);
     runner->up.service = g_strdup("");
     runner->up.labels = g_new0(char *, 1);
-    runner->look_again_ms = now_ms;
+    runner->next_poll_ms = now_ms;
     runner->idle_ms = now_ms;
     runner->created_ms = now_ms;
     return runner;
@@ -58,7 +58,7 @@
 }
 
 static lc_resources
-room_left(const Runner *runner)
+free_room(const Runner *runner)
 {
     lc_resources room = runner->up.capacity;
 
@@ -69,7 +69,7 @@
 static lc_upstream_state
 current_state(const Runner *runner, int64_t now_ms)
 {
-    int64_t silent_ms = BEATS_MISSED * runner->config.beat_ms;
+    int64_t silent_ms = MAX_MISSED_HEARTBEATS * runner->config.beat_ms;
 
     if (!runner->up.known || !runner->up.inventoried || runner->up.doubtful ||
         now_ms - runner->up.heard_ms > silent_ms) {
@@ -90,19 +90,19 @@
     state->state = current_state(runner, now_ms);
     if ((state->state == LC_UPSTREAM_READY ||
          state->state == LC_UPSTREAM_TRIAL) &&
-        Health_Admits(&runner->health, now_ms, runner->live)) {
-        state->room = room_left(runner);
+        Health_Admits(&runner->health, now_ms, runner->active_tasks)) {
+        state->room = free_room(runner);
     }
     state->pace_percent = runner->health.pace_percent;
-    state->tasks = runner->live;
+    state->tasks = runner->active_tasks;
     state->held = runner->unreleased;
     state->held_long = runner->held_long;
 }
 
-/* Of tasks under which an upstream has crashed only one runs here at a time:
- * if there is another crash, it is known which of them to blame. */
+/* Of the tasks that were running during an upstream crash, only one may run
+ * here at a time, so that another crash can be attributed to it. */
 static bool
-is_apart(const Runner *runner, const lc_run_args *args)
+is_only_crash_suspect(const Runner *runner, const lc_run_args *args)
 {
     GHashTableIter iter;
     gpointer item;
@@ -120,18 +120,19 @@
     return true;
 }
 
-/* The inventory may still list the end of a run that is only asked for. */
+/* A query (LC_HOLD_NONE) must wait for the inventory, as that may still list
+ * the end of the run. */
 static bool
 awaits_inventory(const Runner *runner, const lc_run_args *args)
 {
     return args->valid_until_ms == LC_HOLD_NONE && !runner->up.inventoried;
 }
 
-/* LC_RUN_DONE if it may start. */
+/* Returns LC_RUN_DONE if the run may start, or the reason to refuse it. */
 static lc_run_status
 admit(const Runner *runner, int64_t now_ms, const lc_run_args *args)
 {
-    lc_resources room = room_left(runner);
+    lc_resources room = free_room(runner);
 
     if (args->target != 0 && args->target != runner->config.node.incarnation) {
         return runner->up.inventoried ? LC_RUN_OTHER_NODE : LC_RUN_NOT_READY;
@@ -158,8 +159,9 @@
     if (RunId_IsKept(&args->id) && runner->unreleased >= RUNNER_MOST_HELD) {
         return LC_RUN_NO_ROOM;
     }
-    if (!Resources_Fit(&args->need, &room) || !is_apart(runner, args) ||
-        !Health_Admits(&runner->health, now_ms, runner->live)) {
+    if (!Resources_Fit(&args->need, &room) ||
+        !is_only_crash_suspect(runner, args) ||
+        !Health_Admits(&runner->health, now_ms, runner->active_tasks)) {
         return LC_RUN_NO_ROOM;
     }
     return LC_RUN_DONE;
@@ -171,9 +173,10 @@
     return args->valid_until_ms + (RunId_IsKept(&args->id) ? TERM_KEPT_MS : 0);
 }
 
-/* A copy of a call to run it that comes later finds this and is not done: its
- * entry may have sent the task elsewhere. Copies are valid for a lease,
- * shorter than rows are kept. */
+/* Records a run as ended without having started it, so that a late copy of its
+ * RUN call does not start it: the entry may have sent the task elsewhere.
+ * Copies are valid for one lease, which is shorter than RETENTION_MS of
+ * runner_kept.c. */
 static Runner_Task *
 add_tombstone(Runner *runner, int64_t now_ms, const lc_node *owner,
               const lc_run_id *id, lc_run_status status)
@@ -194,11 +197,11 @@
 {
     Runner_Task *row = g_hash_table_lookup(runner->tasks, &args->id);
     lc_run_status status;
-    Runner_Owner *holder;
+    Runner_Owner *owner;
 
     if (row != NULL && (args->target == 0 ||
                         args->target == runner->config.node.incarnation)) {
-        RunnerTask_Owe(row, reply_id, MSG_RUN);
+        RunnerTask_QueueReply(row, reply_id, MSG_RUN);
         if (row->state == TASK_ENDED) {
             RunnerTask_Answer(runner, now_ms, row);
         }
@@ -208,7 +211,8 @@
     if (status != LC_RUN_DONE) {
         runner->refusals[status]++;
         if (status == LC_RUN_CLOSED) {
-            runner->version++; /* the report tells its owner of the halls */
+            runner->version++; /* the next report sends the closed halls to the
+                                  entry */
         }
         RunnerTask_ReplyRun(runner, now_ms, reply_id, status, 0);
         if (args->target == runner->config.node.incarnation &&
@@ -217,12 +221,12 @@
         }
         return;
     }
-    holder = RunnerOwner_Extend(runner, &args->owner, lease_until(args));
-    holder->running++;
+    owner = RunnerOwner_Extend(runner, &args->owner, lease_until(args));
+    owner->running++;
     row = RunnerTask_Add(runner, now_ms, args);
-    RunnerTask_Owe(row, reply_id, MSG_RUN);
+    RunnerTask_QueueReply(row, reply_id, MSG_RUN);
     Resources_Add(&runner->used, &row->need);
-    runner->live++;
+    runner->active_tasks++;
     runner->version++;
     Health_Started(&runner->health, now_ms);
     Counter_Add(&runner->counters, COUNTER_TASKS_STARTED, 1);
@@ -245,7 +249,7 @@
         row = add_tombstone(runner, now_ms, &args->owner, &args->id,
                             LC_RUN_STOPPED);
     }
-    RunnerTask_Owe(row, reply_id, MSG_HALT);
+    RunnerTask_QueueReply(row, reply_id, MSG_HALT);
     if (row->state == TASK_ENDED) {
         RunnerTask_Answer(runner, now_ms, row);
         return;
@@ -295,18 +299,19 @@
     default:
         return false;
     }
-    RunnerLook_Send(runner, now_ms);
+    RunnerPoll_Send(runner, now_ms);
     return true;
 }
 
 static void
-stop_lapsed(Runner *runner, int64_t now_ms, Runner_Task *row)
+stop_if_lease_expired(Runner *runner, int64_t now_ms, Runner_Task *row)
 {
-    const Runner_Owner *holder = RunnerOwner_Find(runner, &row->owner);
+    const Runner_Owner *owner = RunnerOwner_Find(runner, &row->owner);
 
-    if (row->state != TASK_STOPPING && holder != NULL &&
-        now_ms >= holder->until_ms) {
-        RunnerTask_Log(runner, EVENT_LEASE_LAPSED, row, "owner %s silent",
+    if (row->state != TASK_STOPPING && owner != NULL &&
+        now_ms >= owner->until_ms) {
+        RunnerTask_Log(runner, EVENT_LEASE_LAPSED, row,
+                       "no lease renewal from owner %s",
                        Address_Text(row->owner.address));
         RunnerTask_Stop(runner, now_ms, row, LC_RUN_STOPPED);
     }
@@ -323,26 +328,26 @@
         Runner_Task *row = item->data;
         runner->held_long += RunnerKept_IsHeldLong(row, now_ms);
         if (row->state != TASK_ENDED) {
-            stop_lapsed(runner, now_ms, row);
+            stop_if_lease_expired(runner, now_ms, row);
             RunnerOrder_Retry(runner, now_ms, row);
         }
         else if (row->held_for_start) {
             RunnerKept_CheckStartHold(runner, now_ms, row);
         }
-        else if (RunnerKept_IsForgotten(runner, row, now_ms)) {
-            RunnerKept_LetGo(runner, row);
-            RunnerTask_Forget(runner, row);
+        else if (RunnerKept_IsDisposable(runner, row, now_ms)) {
+            RunnerKept_Release(runner, row);
+            RunnerTask_Remove(runner, row);
         }
     }
     g_list_free(rows);
-    if (runner->live > 0 && runner->up.doubtful &&
+    if (runner->active_tasks > 0 && runner->up.doubtful &&
         now_ms > runner->hold_until_ms + runner->config.term.stop_ms) {
         RunnerTask_LoseAll(runner, now_ms,
                            runner->up.refused && !runner->up.draining);
     }
-    RunnerOwner_Forget(runner, now_ms);
+    RunnerOwner_RemoveExpired(runner, now_ms);
     Health_Fade(&runner->health, now_ms);
-    RunnerLook_Send(runner, now_ms);
+    RunnerPoll_Send(runner, now_ms);
 }
 
 void
@@ -358,14 +363,14 @@
 int64_t
 Runner_DueMs(const Runner *runner)
 {
-    return MIN(RunnerOrder_DueMs(runner), RunnerLook_DueMs(runner));
+    return MIN(RunnerOrder_DueMs(runner), RunnerPoll_DueMs(runner));
 }
 
 void
 Runner_Wake(Runner *runner, int64_t now_ms)
 {
-    RunnerOrder_Wake(runner, now_ms);
-    RunnerLook_Wake(runner, now_ms);
+    RunnerOrder_CheckOverdue(runner, now_ms);
+    RunnerPoll_CheckOverdue(runner, now_ms);
 }
 
 void
@@ -378,7 +383,7 @@
 bool
 Runner_IsIdle(const Runner *runner)
 {
-    return runner->live == 0 &&
+    return runner->active_tasks == 0 &&
            (RunnerKept_LastSeen(runner) == runner->up.acknowledged ||
             !runner->up.known);
 }
@@ -386,7 +391,7 @@
 bool
 Runner_Report(const Runner *runner, int64_t now_ms, lc_report_args *report)
 {
-    /* The texts are only read by the codec. */
+    /* The codec only reads the strings. */
     Runner *mutable_runner = (Runner *)(uintptr_t)runner;
     u_int i;
 
@@ -423,7 +428,7 @@
                       (json_int_t)runner->closures.as_of, "source", source,
                       "own_hall_closed",
                       Closures_Has(&runner->closures, runner->config.hall),
-                      "tasks", (int)runner->live));
+                      "tasks", (int)runner->active_tasks));
     }
     g_free(names);
 }
@@ -474,7 +479,7 @@
         "levercove_upstream_unanswered_permille %u\n"
         "levercove_upstream_heard_age_seconds %" PRId64 "\n"
         "levercove_ends_held_for_starts %u\n",
-        runner->live, state.room.cpu_milli, state.room.memory_mb,
+        runner->active_tasks, state.room.cpu_milli, state.room.memory_mb,
         state.pace_percent, (int)state.state,
         AnswerTime_TimeoutMs(&runner->answers), runner->answers.lost_permille,
         (now_ms - runner->up.heard_ms) / 1000, runner->held_for_starts);
@@ -497,9 +502,10 @@
         "role", "companion", "instance", runner->up.instance, "service",
         runner->up.service, "state", (int)state.state, "room_cpu_milli",
         (int)state.room.cpu_milli, "room_memory_mb", (int)state.room.memory_mb,
-        "tasks", (int)runner->live, "pace_percent", (int)state.pace_percent,
-        "token", (json_int_t)runner->token, "doubtful", runner->up.doubtful,
-        "inventoried", runner->up.inventoried, "idle_ms",
-        (json_int_t)(runner->live > 0 ? 0 : now_ms - runner->idle_ms),
+        "tasks", (int)runner->active_tasks, "pace_percent",
+        (int)state.pace_percent, "token", (json_int_t)runner->token,
+        "doubtful", runner->up.doubtful, "inventoried", runner->up.inventoried,
+        "idle_ms",
+        (json_int_t)(runner->active_tasks > 0 ? 0 : now_ms - runner->idle_ms),
         "closed", Closures_Dump(&runner->closures, now_ms));
 }
--- a/lease/runner.h
+++ b/lease/runner.h
@@ -1,12 +1,13 @@
 /**
  * @file runner.h
- * @brief A companion's decisions on leased tasks: it guards the room of the
- * upstream beside it, keeps the leases of entries, holds the upstream only
- * as long as these last, and judges the upstream by how tasks end.
+ * @brief A companion's decisions on leased tasks: it accounts for the
+ * resources of its upstream, keeps the leases of entries, holds the upstream
+ * no longer than these leases last, and tracks the upstream's health from the
+ * results of tasks.
  *
- * No I/O and no clock: everything that happens is a function call with the
- * monotonic time in ms, everything it does leaves through Runner_Ports, which
- * never call back. Arguments are borrowed for the time of a call.
+ * Performs no I/O and reads no clock. Each input is a function call with the
+ * monotonic time in ms; each output is a call of one of Runner_Ports, which
+ * must not call back. Arguments are borrowed for the duration of a call.
  */
 #ifndef LC_LEASE_RUNNER_H
 #define LC_LEASE_RUNNER_H
@@ -21,20 +22,21 @@
 #include "lease/term.h"
 #include "wire/msg.h"
 
-/** An upstream lists so many ends at once; later ones are not told until
- * these are taken note of. */
-#define RUNNER_ENDS_AT_ONCE 500
-/** So many ends of kept jobs may wait to be written down at a companion. */
+/** Maximum number of ended runs in one answer of an upstream. Later ones are
+ * not listed until these have been acknowledged. */
+#define RUNNER_MAX_LISTED_ENDS 500
+/** Maximum number of ends of kept jobs that a companion holds until their
+ * owners have stored and released them. */
 #define RUNNER_MOST_HELD 300
 
-/** X(NAME, text): how an upstream says that a run ended. */
+/** X(NAME, text): results of a run in the answers of an upstream. */
 #define RUNNER_END_LIST(X)                                                    \
     X(DONE, "done")                                                           \
     X(FAILED, "failed")                                                       \
     X(STOPPED, "stopped")                                                     \
     X(LAPSED, "lapsed")
 
-/** Ends of runs, in the order of RUNNER_END_LIST. */
+/** Results of runs, in the order of RUNNER_END_LIST. */
 typedef enum {
 #define X(name, text) RUNNER_END_##name,
     RUNNER_END_LIST(X)
@@ -42,34 +44,40 @@
         RUNNER_END_COUNT
 } Runner_End;
 
-/** How an order to the upstream was answered. */
+/** Results of an order (start, stop or poll) sent to the upstream. */
 typedef enum {
     RUNNER_ORDER_TAKEN,
     RUNNER_ORDER_NO_ROOM,
-    RUNNER_ORDER_OLD,       /**< it knows a later run */
-    RUNNER_ORDER_LATE,      /**< its deadline had passed */
-    RUNNER_ORDER_FENCED,    /**< it has seen a higher token */
-    RUNNER_ORDER_UNWELL,    /**< nothing done: it is not well */
-    RUNNER_ORDER_REFUSED,   /**< nothing done: it takes the order for wrong */
+    RUNNER_ORDER_OLD,       /**< it knows a later run, or this one has ended */
+    RUNNER_ORDER_LATE,      /**< the deadline of the order had passed */
+    RUNNER_ORDER_FENCED,    /**< it has seen a higher fencing token */
+    RUNNER_ORDER_UNWELL,    /**< not executed: the upstream is unhealthy */
+    RUNNER_ORDER_REFUSED,   /**< not executed: the upstream considers the
+                                 order invalid */
     RUNNER_ORDER_OTHER,     /**< another incarnation answered */
-    RUNNER_ORDER_UNSENT,    /**< no byte reached it */
-    RUNNER_ORDER_UNANSWERED /**< it may be done, now or later */
+    RUNNER_ORDER_UNSENT,    /**< not a byte was delivered */
+    RUNNER_ORDER_UNANSWERED /**< may be executed, now or later */
 } Runner_OrderEnd;
 
-/** States of an upstream as it says itself. */
-typedef enum { RUNNER_UPSTREAM_READY, RUNNER_UPSTREAM_DRAINING } Runner_Says;
+/** State that an upstream reports in its heartbeats. */
+typedef enum {
+    RUNNER_UPSTREAM_READY,
+    RUNNER_UPSTREAM_DRAINING
+} Runner_ReportedState;
 
-/** What an upstream says of itself. */
+/** Heartbeat of an upstream. */
 typedef struct {
     const char *instance;
-    int64_t born_ms;   /**< wall clock of its start, which tells its lives
-                            under one name apart; 0 if it told none */
-    uint64_t sequence; /**< of its heartbeats: the later is the higher */
+    int64_t born_ms;   /**< wall-clock time of its start in ms, which
+                            distinguishes incarnations with the same instance
+                            name; 0 if not reported */
+    uint64_t sequence; /**< number of the heartbeat; rises with each one */
     const char *service;
-    Runner_Says says;
+    Runner_ReportedState says;
     lc_resources capacity;
     const char *const *labels; /**< NULL-terminated */
-    int64_t clock_ms;          /**< its own clock; 0 if it told none */
+    int64_t clock_ms;          /**< the upstream's own clock in ms; 0 if not
+                                    reported */
 } Runner_Upstream;
 
 /** An order to start a run. */
@@ -77,63 +85,70 @@
     lc_run_id id;
     const char *spec;
     const char *instance;
-    int64_t deadline_ms; /**< on the upstream's clock */
-    int64_t token;
+    int64_t deadline_ms; /**< on the upstream's clock, in ms */
+    int64_t token;       /**< fencing token */
 } Runner_Start;
 
-/** A question for what runs and what ended, which may extend the hold. */
+/** A poll for running and ended runs, which may extend the hold. */
 typedef struct {
     const char *instance; /**< "" for any */
-    int64_t deadline_ms;  /**< on the upstream's clock; 0 for no extension */
-    int64_t token;
-    uint64_t last_seen; /**< ends up to this number are taken note of */
-    uint32_t wait_ms;   /**< the answer may wait so long for an end */
+    int64_t deadline_ms;  /**< new end of the hold, on the upstream's clock in
+                               ms; 0 for no extension */
+    int64_t token;        /**< fencing token */
+    uint64_t last_seen;   /**< acknowledges ends up to this number */
+    uint32_t wait_ms;     /**< longest time in ms that the upstream may wait
+                               for an end before it answers */
 } Runner_Look;
 
-/** A run that goes on. */
+/** A run in progress. */
 typedef struct {
     lc_run_id id;
     uint32_t percent;
 } Runner_Row;
 
-/** A run that ended. */
+/** An ended run. */
 typedef struct {
-    uint64_t number;
+    uint64_t number; /**< of the end, as counted by the upstream */
     lc_run_id id;
     Runner_End end;
 } Runner_EndRow;
 
-/** Answer to a look. */
+/** Answer to a poll. */
 typedef struct {
-    Runner_OrderEnd end; /**< TAKEN, or the lists are empty */
-    int64_t clock_ms;
-    int64_t born_ms; /**< as in Runner_Upstream */
+    Runner_OrderEnd end; /**< the lists are empty unless this is
+                              RUNNER_ORDER_TAKEN */
+    int64_t clock_ms;    /**< as in Runner_Upstream */
+    int64_t born_ms;     /**< as in Runner_Upstream */
     const Runner_Row *running;
     uint32_t running_count;
     const Runner_EndRow *ended;
     uint32_t ended_count;
 } Runner_Listing;
 
-/** Functions through which a runner acts; none may call it back. */
+/** Output functions of a runner; none may call it back. */
 typedef struct {
     void (*start)(void *context, uint64_t order_id, const Runner_Start *start);
     void (*stop)(void *context, uint64_t order_id, const lc_run_id *id,
                  const char *instance, int64_t token);
+    /** Polls the upstream. */
     void (*look)(void *context, uint64_t look_id, const Runner_Look *look);
     void (*reply)(void *context, uint64_t reply_id, const Msg_Reply *reply);
-    /** Writes an admitted event; takes the fields. */
+    /** Writes an event that Event_Admit has admitted; takes ownership of the
+     * fields. */
     void (*event)(void *context, Event_Id id, json_t *fields);
 } Runner_Ports;
 
 /** Settings. */
 typedef struct {
     lc_node node;
-    const char *hall; /**< of this companion; borrowed for good */
+    const char *hall; /**< of this companion; borrowed for the lifetime of the
+                           runner */
     Term term;
-    int64_t first_token; /**< higher than any used before, as far as known */
-    int64_t beat_ms;     /**< an upstream says something so often */
-    int64_t late_ms;     /**< longest time from sending an unanswered start to
-                              its execution */
+    int64_t first_token; /**< initial fencing token; higher than any used
+                              before, as far as known */
+    int64_t beat_ms;     /**< heartbeat interval of the upstream, in ms */
+    int64_t late_ms;     /**< longest time in ms from sending an unanswered
+                              start to its execution */
 } Runner_Config;
 
 /** Opaque runner. */
@@ -143,76 +158,81 @@
                    void *context, int64_t now_ms);
 void Runner_Free(Runner *runner);
 
-/** The upstream spoke. */
+/** Handles a heartbeat of the upstream. */
 void Runner_OnUpstream(Runner *runner, int64_t now_ms,
                        const Runner_Upstream *upstream);
 
-/** The upstream has said that it ends; @p born_ms as in Runner_Upstream. */
+/** Handles the upstream's announcement that it terminates; @p born_ms as in
+ * Runner_Upstream. */
 void Runner_OnUpstreamGone(Runner *runner, int64_t now_ms,
                            const char *instance, int64_t born_ms);
 
-/** The machine was suspended for @p suspended_ms until now. The upstream's
- * clock stood still as well, or did not: what is worked out from it takes the
- * case that is worse. To be called before anything that came since. */
+/** Adjusts for a suspension of the machine that lasted @p suspended_ms and
+ * ended now. Whether the upstream's clock was stopped as well is unknown, so
+ * everything derived from it assumes the worse case. Must be called before any
+ * input that arrived since. */
 void Runner_OnSuspended(Runner *runner, int64_t now_ms, int64_t suspended_ms);
 
-/** An entry calls; false if runners do not answer such calls. */
+/** Handles a call of an entry. Returns false if it is of a kind that runners
+ * do not answer. */
 bool Runner_OnCall(Runner *runner, int64_t now_ms, uint64_t reply_id,
                    const Msg_Call *call);
 
-/** A start was answered. @p clock_ms is 0 if none was told. */
+/** Handles the result of a start order. @p clock_ms is the upstream's clock,
+ * or 0 if not reported. */
 void Runner_OnStarted(Runner *runner, int64_t now_ms, uint64_t order_id,
-                      Runner_OrderEnd end, int64_t clock_ms);
+                      Runner_OrderEnd result, int64_t clock_ms);
 
-/** A stop was answered. */
+/** Handles the result of a stop order; @p clock_ms as in Runner_OnStarted. */
 void Runner_OnStopped(Runner *runner, int64_t now_ms, uint64_t order_id,
-                      Runner_OrderEnd end, int64_t clock_ms);
+                      Runner_OrderEnd result, int64_t clock_ms);
 
-/** A look was answered. */
+/** Handles the result of a poll. */
 void Runner_OnLook(Runner *runner, int64_t now_ms, uint64_t look_id,
                    const Runner_Listing *listing);
 
-/** Time has passed; to be called every `term.tick_ms`. */
+/** Performs periodic work; must be called every `term.tick_ms`. */
 void Runner_Tick(Runner *runner, int64_t now_ms);
 
-/** When an answer of the upstream is overdue, or INT64_MAX if none is
- * awaited; Runner_Wake is to be called then. */
+/** Time at which the next answer of the upstream becomes overdue, or INT64_MAX
+ * if none is awaited. Runner_Wake must be called then. */
 int64_t Runner_DueMs(const Runner *runner);
 
-/** Acts on answers that are overdue. */
+/** Handles overdue answers. */
 void Runner_Wake(Runner *runner, int64_t now_ms);
 
-/** Takes no new tasks from now on. */
+/** Stops accepting new tasks. */
 void Runner_Drain(Runner *runner);
 
-/** Whether nothing runs and all ends are taken note of. */
+/** Whether no task is active and all ends have been acknowledged. */
 bool Runner_IsIdle(const Runner *runner);
 
-/** Fills in what every message says of this companion. */
+/** Fills in the state of this companion that every message carries. */
 void Runner_State(const Runner *runner, int64_t now_ms, lc_host_state *state);
 
-/** Fills in a report; its texts are borrowed from the runner until the next
- * call. False while the upstream is not known. */
+/** Fills in a report; its strings are borrowed from the runner until the next
+ * call. Returns false while no upstream is known. */
 bool Runner_Report(const Runner *runner, int64_t now_ms,
                    lc_report_args *report);
 
-/** Takes what @p source knows of the halls that operators have closed; see
- * Closures_Take for @p asked_ms. */
+/** Merges the halls that operators have closed, as received from @p source;
+ * see Closures_Take for @p asked_ms. */
 void Runner_TakeClosures(Runner *runner, int64_t now_ms, int64_t asked_ms,
                          const lc_closures *told, const char *source);
 
-/** What is known of the closed halls here. */
+/** The closed halls as known to this companion. */
 const Closures *Runner_Closures(const Runner *runner);
 
-/** Rises whenever the room or state that entries know has changed. */
+/** Incremented whenever the free resources or the state that entries see
+ * change. */
 uint64_t Runner_Version(const Runner *runner);
 
-/** Appends figures for scrapers. */
+/** Appends the metrics in the text format of common scrapers. */
 void Runner_Metrics(const Runner *runner, int64_t now_ms, GString *out);
 
 Counters *Runner_Counters(Runner *runner);
 
-/** State for operators; the caller owns the result. */
+/** Diagnostic state for operators; the caller owns the result. */
 json_t *Runner_Dump(const Runner *runner, int64_t now_ms);
 
 #endif
--- a/lease/runner_kept.c
+++ b/lease/runner_kept.c
@@ -4,15 +4,16 @@
 #include "lease/run_id.h"
 #include "lease/runner_state.h"
 
-/* Ends are kept so long for entries that ask again. */
-#define FORGET_MS 4000
-/* An end that nobody releases is held so long: more than it takes until an
- * owner that is gone was claimed. */
-#define FORGET_HELD_MS 30000
-/* By then its owner has mostly written it down. */
+/* Ended runs are retained for this long, for entries that ask again. */
+#define RETENTION_MS 4000
+/* Longest time that an end is held if it is not released. Exceeds the time
+ * until another entry has claimed the jobs of an owner that is gone. */
+#define HELD_RETENTION_MS 30000
+/* Owners have usually stored an end within this time. */
 #define HELD_LONG_MS 1500
-/* Owners that are gone do not come back after so many others. */
-#define MOST_FENCED 64
+/* The oldest fenced owner is dropped beyond this number: an owner that is gone
+ * does not come back after so many others. */
+#define MAX_FENCED 64
 
 bool
 RunnerKept_IsFenced(const Runner *runner, const lc_node *owner)
@@ -20,9 +21,9 @@
     return Msg_HasNode(runner->fenced, owner);
 }
 
-/* Only an end that counts for good is held. */
+/* Only final results are held until released. */
 static bool
-is_held(Runner_End end)
+needs_release(Runner_End end)
 {
     return end == RUNNER_END_DONE || end == RUNNER_END_FAILED;
 }
@@ -104,7 +105,7 @@
 /* A previous process of this companion may have sent several copies of the
  * start, so one copy is assumed to be unanswered. */
 static Runner_Task *
-add_stranger(Runner *runner, int64_t now_ms, const Runner_EndRow *ended)
+add_unknown_end(Runner *runner, int64_t now_ms, const Runner_EndRow *ended)
 {
     lc_run_args found = {.id = ended->id, .spec = (char *)(uintptr_t) ""};
     Runner_Task *row = RunnerTask_Add(runner, now_ms, &found);
@@ -124,11 +125,11 @@
     bool stopped = row != NULL && row->state == TASK_STOPPING &&
                    ended->end != RUNNER_END_DONE;
 
-    if (!is_held(ended->end) || stopped) {
-        return; /* its owner is told that it was stopped */
+    if (!needs_release(ended->end) || stopped) {
+        return; /* reported to the owner as stopped */
     }
     if (row == NULL) {
-        row = add_stranger(runner, now_ms, ended);
+        row = add_unknown_end(runner, now_ms, ended);
     }
     row->end_number = ended->number;
     row->unreleased = true;
@@ -137,7 +138,7 @@
 }
 
 void
-RunnerKept_LetGo(Runner *runner, Runner_Task *row)
+RunnerKept_Release(Runner *runner, Runner_Task *row)
 {
     if (row->unreleased) {
         row->unreleased = false;
@@ -146,16 +147,16 @@
 }
 
 void
-RunnerKept_LetGoAll(Runner *runner)
+RunnerKept_ReleaseAll(Runner *runner)
 {
     GList *rows = RunnerTask_All(runner);
     GList *item;
 
     for (item = rows; item != NULL; item = item->next) {
         Runner_Task *row = item->data;
-        RunnerKept_LetGo(runner, row);
+        RunnerKept_Release(runner, row);
         clear_start_hold(runner, row);
-        row->end_number = 0; /* it may be listed anew */
+        row->end_number = 0; /* may be listed again under another number */
     }
     g_list_free(rows);
 }
@@ -187,14 +188,15 @@
 }
 
 bool
-RunnerKept_IsForgotten(const Runner *runner, const Runner_Task *row,
-                       int64_t now_ms)
+RunnerKept_IsDisposable(const Runner *runner, const Runner_Task *row,
+                        int64_t now_ms)
 {
     bool start_expired = !RunId_IsKept(&row->id) ||
                          now_ms >= start_expiry(runner, row);
 
-    return start_expired && now_ms - row->ended_ms >
-                                (row->unreleased ? FORGET_HELD_MS : FORGET_MS);
+    return start_expired &&
+           now_ms - row->ended_ms >
+               (row->unreleased ? HELD_RETENTION_MS : RETENTION_MS);
 }
 
 void
@@ -210,7 +212,7 @@
         Runner_Task *row = g_hash_table_lookup(runner->tasks,
                                                &args->runs.runs_val[i]);
         if (row != NULL) {
-            RunnerKept_LetGo(runner, row);
+            RunnerKept_Release(runner, row);
         }
     }
     Runner_State(runner, now_ms, &reply.u.release.host);
@@ -223,17 +225,17 @@
     if (RunnerKept_IsFenced(runner, gone)) {
         return;
     }
-    if (runner->fenced->len >= MOST_FENCED) {
+    if (runner->fenced->len >= MAX_FENCED) {
         g_array_remove_index(runner->fenced, 0);
     }
     g_array_append_val(runner->fenced, *gone);
 }
 
-/* The run goes on for the successor, as long as it was held and a lease more.
- */
+/* Transfers a run to the successor of its owner, with a new lease plus
+ * TERM_KEPT_MS from now. */
 static void
-hand_over(Runner *runner, int64_t now_ms, Runner_Task *row,
-          const lc_node *successor)
+transfer_run(Runner *runner, int64_t now_ms, Runner_Task *row,
+             const lc_node *successor)
 {
     Runner_Owner *gone = RunnerOwner_Find(runner, &row->owner);
 
@@ -247,7 +249,7 @@
 }
 
 static bool
-is_of(const Runner_Task *row, const lc_fence_args *args)
+is_affected(const Runner_Task *row, const lc_fence_args *args)
 {
     u_int i;
 
@@ -273,12 +275,12 @@
         lc_held_run held = {.id = row->id,
                             .running = row->state != TASK_ENDED,
                             .status = row->status};
-        if (!RunId_IsKept(&row->id) || !is_of(row, args) ||
+        if (!RunId_IsKept(&row->id) || !is_affected(row, args) ||
             runs->len >= LC_MAX_PAGE) {
             continue;
         }
         if (row->state != TASK_ENDED) {
-            hand_over(runner, now_ms, row, &args->successor);
+            transfer_run(runner, now_ms, row, &args->successor);
         }
         else if (!row->unreleased) {
             continue;
--- a/lease/runner_look.c
+++ b/lease/runner_look.c
@@ -4,19 +4,19 @@
 
 #include "lease/run_id.h"
 
-/* A look waits so long for an end, and tells progress at least so often. */
-#define LOOK_WAIT_MS 100
-/* Likewise while answers go missing, as an end that a lost answer told of is
- * told by the next look only. Chosen: twice the least timeout; docs/ROUNDS.md
- * has the ablation. */
-#define LOOK_WAIT_LOSSY_MS 20
-/* Delay between looks while ends are held for their starts. Looks are answered
+/* Longest time that the upstream delays the answer to a poll until a run ends.
+ * Also the longest interval between two progress reports. */
+#define POLL_WAIT_MS 100
+/* The same while answers are being lost. An end listed in a lost answer is
+ * only learned from the next poll. Twice the least answer timeout. */
+#define POLL_WAIT_LOSSY_MS 20
+/* Delay between polls while ends are held for their starts. Polls are answered
  * immediately then, as each answer lists the held ends again. */
-#define HELD_AGAIN_MS 5
-/* After a look to an upstream that does not answer, or to another
- * incarnation. */
-#define LOOK_AGAIN_MS 50
-#define OTHER_AGAIN_MS 150
+#define HELD_POLL_DELAY_MS 5
+/* Delay after a poll that a suspected upstream has not answered, and after one
+ * that another incarnation has answered. */
+#define SUSPECT_POLL_DELAY_MS 50
+#define OTHER_POLL_DELAY_MS 150
 
 /* Returns the last_seen to send, or 0 if an answer has already confirmed it.
  * A restarted upstream numbers its ends from 1 again, so repeating a confirmed
@@ -30,91 +30,91 @@
 }
 
 static bool
-look_wanted(const Runner *runner)
+poll_wanted(const Runner *runner)
 {
-    return runner->live > 0 || !runner->up.inventoried ||
+    return runner->active_tasks > 0 || !runner->up.inventoried ||
            unacknowledged_last_seen(runner) > 0 || runner->up.doubtful ||
            runner->successor.pending;
 }
 
 void
-RunnerLook_NoteHold(Runner *runner, int64_t now_ms, int64_t ahead_ms)
+RunnerPoll_NoteHold(Runner *runner, int64_t now_ms, int64_t ahead_ms)
 {
     int64_t until = now_ms + Term_HoldAtMost(ahead_ms);
 
     runner->hold_until_ms = MAX(runner->hold_until_ms, until);
 }
 
-/* After a missed answer the state is asked for at once. */
+/* After a missing answer, the upstream is asked to answer immediately. */
 static uint32_t
 wait_ms(const Runner *runner)
 {
-    if (runner->live == 0 || runner->missed_in_row > 0 ||
+    if (runner->active_tasks == 0 || runner->consecutive_misses > 0 ||
         runner->successor.pending) {
         return 0;
     }
-    return AnswerTime_IsLossy(&runner->answers) ? LOOK_WAIT_LOSSY_MS
-                                                : LOOK_WAIT_MS;
+    return AnswerTime_IsLossy(&runner->answers) ? POLL_WAIT_LOSSY_MS
+                                                : POLL_WAIT_MS;
 }
 
 static void
-drop_look(Runner *runner, uint32_t index)
+drop_poll(Runner *runner, uint32_t index)
 {
-    uint32_t after = --runner->look_count - index;
+    uint32_t after = --runner->poll_count - index;
 
-    memmove(&runner->looks[index], &runner->looks[index + 1],
-            after * sizeof(runner->looks[0]));
+    memmove(&runner->polls[index], &runner->polls[index + 1],
+            after * sizeof(runner->polls[0]));
 }
 
 static uint64_t
-add_look(Runner *runner, int64_t now_ms, const Runner_Look *look)
+add_poll(Runner *runner, int64_t now_ms, const Runner_Look *poll)
 {
-    Runner_OpenLook open = {.id = ++runner->last_look_id,
-                            .sent_ms = now_ms,
-                            .last_seen = look->last_seen,
-                            .waits = look->wait_ms > 0};
-
-    open.due_ms = now_ms + look->wait_ms +
-                  AnswerTime_TimeoutMs(&runner->answers);
-    if (runner->look_count == RUNNER_LOOKS_MOST) {
-        drop_look(runner, 0);
-    }
-    runner->looks[runner->look_count++] = open;
-    return open.id;
+    Runner_PendingPoll pending = {.id = ++runner->last_poll_id,
+                                  .sent_ms = now_ms,
+                                  .last_seen = poll->last_seen,
+                                  .waits = poll->wait_ms > 0};
+
+    pending.due_ms = now_ms + poll->wait_ms +
+                     AnswerTime_TimeoutMs(&runner->answers);
+    if (runner->poll_count == RUNNER_MAX_PENDING_POLLS) {
+        drop_poll(runner, 0);
+    }
+    runner->polls[runner->poll_count++] = pending;
+    return pending.id;
 }
 
 int64_t
-RunnerLook_DueMs(const Runner *runner)
+RunnerPoll_DueMs(const Runner *runner)
 {
     int64_t due_ms = INT64_MAX;
     uint32_t i;
 
-    for (i = 0; i < runner->look_count; i++) {
-        due_ms = MIN(due_ms, runner->looks[i].due_ms);
+    for (i = 0; i < runner->poll_count; i++) {
+        due_ms = MIN(due_ms, runner->polls[i].due_ms);
     }
     return due_ms;
 }
 
 void
-RunnerLook_Send(Runner *runner, int64_t now_ms)
+RunnerPoll_Send(Runner *runner, int64_t now_ms)
 {
-    Runner_Look look = {.instance = runner->up.instance,
+    Runner_Look poll = {.instance = runner->up.instance,
                         .token = runner->token};
     int64_t ahead;
 
-    if (RunnerLook_DueMs(runner) != INT64_MAX || !look_wanted(runner) ||
-        now_ms < runner->look_again_ms) {
+    if (RunnerPoll_DueMs(runner) != INT64_MAX || !poll_wanted(runner) ||
+        now_ms < runner->next_poll_ms) {
         return;
     }
-    look.last_seen = unacknowledged_last_seen(runner);
-    ahead = runner->up.inventoried ? RunnerOwner_HoldAhead(runner, now_ms) : 0;
+    poll.last_seen = unacknowledged_last_seen(runner);
+    ahead = runner->up.inventoried ? RunnerOwner_MaxHoldMs(runner, now_ms) : 0;
     if (ahead > 0 && runner->up.clock_ms > 0) {
-        look.deadline_ms = RunnerUpstream_Clock(runner, now_ms) + ahead;
-        RunnerLook_NoteHold(runner, now_ms, ahead);
+        poll.deadline_ms = RunnerUpstream_Clock(runner, now_ms) + ahead;
+        RunnerPoll_NoteHold(runner, now_ms, ahead);
     }
-    look.wait_ms = wait_ms(runner);
-    runner->ports->look(runner->context, add_look(runner, now_ms, &look),
-                        &look);
+    poll.wait_ms = wait_ms(runner);
+    runner->ports->look(runner->context, add_poll(runner, now_ms, &poll),
+                        &poll);
 }
 
 static lc_run_status
@@ -138,15 +138,16 @@
 {
     char text[80];
 
-    g_snprintf(text, sizeof(text), "pace %u%%, %u bad in a row",
-               runner->health.pace_percent, runner->health.bad_in_row);
+    g_snprintf(text, sizeof(text), "pace %u%%, %u consecutive failures",
+               runner->health.pace_percent,
+               runner->health.consecutive_failures);
     RunnerUpstream_Log(
         runner, begins ? EVENT_UPSTREAM_TRIAL : EVENT_UPSTREAM_TRUSTED, text);
 }
 
 static void
-judge_end(Runner *runner, int64_t now_ms, const Runner_Task *row,
-          Runner_End end)
+record_outcome(Runner *runner, int64_t now_ms, const Runner_Task *row,
+               Runner_End end)
 {
     bool begins = false;
 
@@ -177,12 +178,12 @@
         return;
     }
     row->ran_ms = (uint32_t)(now_ms - row->ordered_ms);
-    judge_end(runner, now_ms, row, ended->end);
+    record_outcome(runner, now_ms, row, ended->end);
     RunnerTask_End(runner, now_ms, row, status_of_end(row, ended->end));
 }
 
 static void
-stop_stranger(Runner *runner, const lc_run_id *id)
+stop_unknown_run(Runner *runner, const lc_run_id *id)
 {
     runner->ports->stop(runner->context, 0, id, runner->up.instance,
                         runner->token);
@@ -200,21 +201,21 @@
 }
 
 static void
-take_row(Runner *runner, int64_t now_ms, const Runner_OpenLook *look,
-         const Runner_Row *running)
+take_running(Runner *runner, int64_t now_ms, const Runner_PendingPoll *poll,
+             const Runner_Row *running)
 {
     Runner_Task *row = g_hash_table_lookup(runner->tasks, &running->id);
 
     if (row != NULL && row->state == TASK_ENDED &&
-        row->ended_ms >= look->sent_ms) {
-        return; /* an answer that was passed by a later one */
+        row->ended_ms >= poll->sent_ms) {
+        return; /* this answer was overtaken by a later one */
     }
     if (row == NULL || row->state == TASK_ENDED) {
-        stop_stranger(runner, &running->id);
+        stop_unknown_run(runner, &running->id);
         return;
     }
-    if (RunnerTask_IsOfEarlierLife(runner, row)) {
-        /* It came late, with a deadline on another life's clock. */
+    if (RunnerTask_IsOfEarlierIncarnation(runner, row)) {
+        /* A late start, with a deadline on another incarnation's clock. */
         RunnerTask_Stop(runner, now_ms, row, LC_RUN_LOST);
         return;
     }
@@ -227,7 +228,7 @@
         row->progress_ms = now_ms;
     }
     else if (row->state == TASK_RUNNING && row->estimate_ms > 0 &&
-             Health_Hangs(now_ms - row->progress_ms, row->estimate_ms)) {
+             Health_IsHung(now_ms - row->progress_ms, row->estimate_ms)) {
         if (Health_Stalled(&runner->health, now_ms)) {
             log_trial(runner, true);
         }
@@ -248,10 +249,10 @@
     return progress;
 }
 
-/* Judges the upstream's pace by all that runs, and frees what would end
- * sooner elsewhere. */
+/* Updates the upstream's pace from the progress of all runs, and stops runs
+ * that would end sooner on another upstream. */
 static void
-judge_pace(Runner *runner, int64_t now_ms)
+update_pace(Runner *runner, int64_t now_ms)
 {
     GArray *runs = g_array_new(FALSE, FALSE, sizeof(Health_Progress));
     GList *rows = RunnerTask_All(runner);
@@ -272,8 +273,9 @@
         Runner_Task *row = item->data;
         Health_Progress progress = progress_of(row, now_ms);
         if (row->state == TASK_RUNNING && row->progress_ms > 0 &&
-            row->estimate_ms > 0 && Health_BetterElsewhere(&progress, slow)) {
-            stop_stalled(runner, now_ms, row, "the upstream is slow");
+            row->estimate_ms > 0 &&
+            Health_IsFasterElsewhere(&progress, slow)) {
+            stop_stalled(runner, now_ms, row, "slow upstream");
         }
     }
     g_list_free(rows);
@@ -293,27 +295,28 @@
     return false;
 }
 
-/* Whether a task that the look does not list can neither run nor come. All
- * looks in this life carry a token above that of earlier lives' starts, so
- * that none of these is carried out behind them. */
+/* Whether a task that the answer to a poll does not list neither runs nor can
+ * start any more. All polls of this incarnation carry a higher fencing token
+ * than starts sent to earlier ones, so that such starts are not executed after
+ * the poll. */
 static bool
-is_over(const Runner *runner, const Runner_OpenLook *look,
-        const Runner_Task *row, int64_t clock_ms)
+is_certainly_over(const Runner *runner, const Runner_PendingPoll *poll,
+                  const Runner_Task *row, int64_t clock_ms)
 {
-    if (RunnerTask_IsOfEarlierLife(runner, row)) {
+    if (RunnerTask_IsOfEarlierIncarnation(runner, row)) {
         return true;
     }
-    if (row->confirmed_ms > 0 && row->confirmed_ms < look->sent_ms) {
+    if (row->confirmed_ms > 0 && row->confirmed_ms < poll->sent_ms) {
         return true;
     }
-    if (row->stop_confirmed && row->stop_confirmed_ms < look->sent_ms) {
+    if (row->stop_confirmed && row->stop_confirmed_ms < poll->sent_ms) {
         return true;
     }
     return clock_ms > row->deadline_clock_ms;
 }
 
 static void
-end_unlisted(Runner *runner, int64_t now_ms, const Runner_OpenLook *look,
+end_unlisted(Runner *runner, int64_t now_ms, const Runner_PendingPoll *poll,
              const Runner_Listing *listing)
 {
     GList *rows = RunnerTask_All(runner);
@@ -322,17 +325,17 @@
     for (item = rows; item != NULL; item = item->next) {
         Runner_Task *row = item->data;
         if (row->state != TASK_ENDED && !is_listed(listing, &row->id) &&
-            is_over(runner, look, row, listing->clock_ms)) {
+            is_certainly_over(runner, poll, row, listing->clock_ms)) {
             RunnerTask_Lose(runner, now_ms, row,
-                            RunnerTask_IsOfEarlierLife(runner, row) &&
-                                !runner->up.drained);
+                            RunnerTask_IsOfEarlierIncarnation(runner, row) &&
+                                !runner->up.earlier_drained);
         }
     }
     g_list_free(rows);
 }
 
-/* Nothing is started before the upstream was found empty, so that it holds
- * nothing then. */
+/* No task is started until the upstream was found to run none, so there is
+ * no hold in effect at that point. */
 static void
 take_inventory(Runner *runner, bool empty)
 {
@@ -344,7 +347,7 @@
 }
 
 static void
-take_listing(Runner *runner, int64_t now_ms, const Runner_OpenLook *look,
+take_listing(Runner *runner, int64_t now_ms, const Runner_PendingPoll *poll,
              const Runner_Listing *listing)
 {
     uint64_t last_seen_before = runner->up.last_seen;
@@ -352,85 +355,86 @@
 
     runner->up.doubtful = false;
     runner->up.refused = false;
-    runner->up.acknowledged = MAX(runner->up.acknowledged, look->last_seen);
+    runner->up.acknowledged = MAX(runner->up.acknowledged, poll->last_seen);
     RunnerUpstream_TakeClock(runner, now_ms, listing->clock_ms);
     for (i = 0; i < listing->ended_count; i++) {
         take_end(runner, now_ms, &listing->ended[i]);
     }
     for (i = 0; i < listing->running_count; i++) {
-        take_row(runner, now_ms, look, &listing->running[i]);
+        take_running(runner, now_ms, poll, &listing->running[i]);
     }
-    if (listing->ended_count < RUNNER_ENDS_AT_ONCE) {
-        end_unlisted(runner, now_ms, look, listing);
+    if (listing->ended_count < RUNNER_MAX_LISTED_ENDS) {
+        end_unlisted(runner, now_ms, poll, listing);
     }
-    judge_pace(runner, now_ms);
+    update_pace(runner, now_ms);
     if (!runner->up.inventoried) {
         take_inventory(runner, listing->running_count == 0);
     }
     if (runner->held_for_starts > 0 &&
         runner->up.last_seen == last_seen_before) {
-        runner->look_again_ms = now_ms + HELD_AGAIN_MS;
+        runner->next_poll_ms = now_ms + HELD_POLL_DELAY_MS;
     }
 }
 
 static void
-miss_look(Runner *runner, int64_t now_ms, const Runner_OpenLook *look)
+miss_poll(Runner *runner, int64_t now_ms, const Runner_PendingPoll *poll)
 {
-    RunnerOrder_NoteMiss(runner, now_ms, look->sent_ms);
-    runner->look_again_ms = now_ms;
+    RunnerOrder_NoteMiss(runner, now_ms, poll->sent_ms);
+    runner->next_poll_ms = now_ms;
     if (runner->up.doubtful) {
-        runner->look_again_ms += LOOK_AGAIN_MS;
+        runner->next_poll_ms += SUSPECT_POLL_DELAY_MS;
     }
 }
 
 void
-RunnerLook_Wake(Runner *runner, int64_t now_ms)
+RunnerPoll_CheckOverdue(Runner *runner, int64_t now_ms)
 {
     uint32_t i;
 
-    for (i = 0; i < runner->look_count; i++) {
-        Runner_OpenLook *look = &runner->looks[i];
-        if (now_ms >= look->due_ms) {
-            look->due_ms = INT64_MAX;
-            miss_look(runner, now_ms, look);
+    for (i = 0; i < runner->poll_count; i++) {
+        Runner_PendingPoll *poll = &runner->polls[i];
+        if (now_ms >= poll->due_ms) {
+            poll->due_ms = INT64_MAX;
+            miss_poll(runner, now_ms, poll);
         }
     }
-    RunnerLook_Send(runner, now_ms);
+    RunnerPoll_Send(runner, now_ms);
 }
 
 static void
-take_look_answer(Runner *runner, int64_t now_ms, const Runner_OpenLook *look)
+take_poll_answer(Runner *runner, int64_t now_ms,
+                 const Runner_PendingPoll *poll)
 {
-    RunnerOrder_NoteAnswer(runner, look->due_ms != INT64_MAX);
-    if (!look->waits) {
-        AnswerTime_Take(&runner->answers, now_ms - look->sent_ms);
+    RunnerOrder_NoteAnswer(runner, poll->due_ms != INT64_MAX);
+    if (!poll->waits) {
+        AnswerTime_Take(&runner->answers, now_ms - poll->sent_ms);
     }
-    runner->look_again_ms = now_ms;
+    runner->next_poll_ms = now_ms;
 }
 
-/* No connection makes the upstream doubtful at once; a missing answer is
- * counted, but once. */
+/* A failed connection makes the upstream suspected at once. A missing answer
+ * counts as one miss, and only once. */
 static void
-lose_look(Runner *runner, int64_t now_ms, const Runner_OpenLook *look,
-          Runner_OrderEnd end)
+take_poll_failure(Runner *runner, int64_t now_ms,
+                  const Runner_PendingPoll *poll, Runner_OrderEnd end)
 {
     if (end == RUNNER_ORDER_UNSENT) {
-        RunnerUpstream_Refused(runner);
+        RunnerUpstream_NoteRefused(runner);
     }
-    if (look->due_ms != INT64_MAX) {
-        miss_look(runner, now_ms, look);
+    if (poll->due_ms != INT64_MAX) {
+        miss_poll(runner, now_ms, poll);
     }
 }
 
 static bool
-remove_look(Runner *runner, uint64_t look_id, Runner_OpenLook *look)
+remove_poll(Runner *runner, uint64_t poll_id, Runner_PendingPoll *poll)
 {
     uint32_t i;
 
-    for (i = 0; i < runner->look_count; i++) {
-        if (runner->looks[i].id == look_id) {
-            *look = runner->looks[i];
-            drop_look(runner, i);
+    for (i = 0; i < runner->poll_count; i++) {
+        if (runner->polls[i].id == poll_id) {
+            *poll = runner->polls[i];
+            drop_poll(runner, i);
             return true;
         }
     }
@@ -438,36 +442,36 @@
 }
 
 void
-Runner_OnLook(Runner *runner, int64_t now_ms, uint64_t look_id,
+Runner_OnLook(Runner *runner, int64_t now_ms, uint64_t poll_id,
               const Runner_Listing *listing)
 {
-    Runner_OpenLook look;
+    Runner_PendingPoll poll;
 
-    if (!remove_look(runner, look_id, &look)) {
+    if (!remove_poll(runner, poll_id, &poll)) {
         return;
     }
     switch (listing->end) {
     case RUNNER_ORDER_TAKEN:
-        take_look_answer(runner, now_ms, &look);
-        if (RunnerUpstream_MeetLife(runner, now_ms, listing->born_ms)) {
+        take_poll_answer(runner, now_ms, &poll);
+        if (RunnerUpstream_CheckStartTime(runner, now_ms, listing->born_ms)) {
             break;
         }
-        RunnerUpstream_Confirm(runner, look.id);
-        take_listing(runner, now_ms, &look, listing);
+        RunnerUpstream_Confirm(runner, poll.id);
+        take_listing(runner, now_ms, &poll, listing);
         break;
     case RUNNER_ORDER_FENCED:
-        take_look_answer(runner, now_ms, &look);
+        take_poll_answer(runner, now_ms, &poll);
         RunnerUpstream_RaiseToken(runner);
         break;
     case RUNNER_ORDER_OTHER:
-        RunnerUpstream_MeetOther(runner, now_ms);
+        RunnerUpstream_OnOtherIncarnation(runner, now_ms);
         if (!runner->up.known) {
-            runner->look_again_ms = now_ms + OTHER_AGAIN_MS;
+            runner->next_poll_ms = now_ms + OTHER_POLL_DELAY_MS;
         }
         break;
     default:
-        lose_look(runner, now_ms, &look, listing->end);
+        take_poll_failure(runner, now_ms, &poll, listing->end);
         break;
     }
-    RunnerLook_Send(runner, now_ms);
+    RunnerPoll_Send(runner, now_ms);
 }
--- a/lease/runner_orders.c
+++ b/lease/runner_orders.c
@@ -1,26 +1,27 @@
 #include "lease/runner_state.h"
 
-/* A start is given up, and its run stopped, after so many copies: with half
- * of all answers missing one start in 64 comes to that. */
-#define COPIES_MOST 6
-/* The pause between copies doubles after so many, up to a limit. Chosen: six
- * copies of an answer that takes under 1 ms go out within 170 ms, before the
- * lease (589 ms) is half over. */
-#define COPIES_QUICK 3
-#define PAUSE_MOST_MS 160
-/* Orders on their way at once; no copy is sent beyond. Chosen below the 64
- * connections that the users' upstreams take. */
-#define ORDERS_MOST 40
-/* An upstream that has answered nothing to so many calls, sent over so long,
- * is sent nothing but looks. With half of all answers missing one in 16 such
- * rows is by chance, and the next answer ends the doubt. */
-#define DOUBT_MISSES 4
-#define DOUBT_MS 60
+/* After this many unanswered copies of a start, its run is stopped. If half of
+ * all answers are lost, this affects one start in 64. */
+#define MAX_COPIES 6
+/* After this many copies, the delay between copies doubles up to the limit
+ * below. Six copies to an upstream that answers in under 1 ms are sent within
+ * 170 ms, before half of the lease (589 ms) has passed. */
+#define COPIES_BEFORE_BACKOFF 3
+#define MAX_RETRY_DELAY_MS 160
+/* Maximum number of pending orders beyond which no copies are sent. Less than
+ * the 64 connections that the users' upstreams accept. */
+#define MAX_PENDING_ORDERS 40
+/* An upstream is suspected, and sent only polls, after this many consecutive
+ * requests without an answer, sent over at least this time. If half of all
+ * answers are lost, one in 16 such sequences occurs by chance; the next answer
+ * to a poll ends the suspicion. */
+#define SUSPECT_MISSES 4
+#define SUSPECT_MS 60
 
 void
 RunnerOrder_NoteAnswer(Runner *runner, bool in_time)
 {
-    runner->missed_in_row = 0;
+    runner->consecutive_misses = 0;
     if (in_time) {
         AnswerTime_Hit(&runner->answers);
     }
@@ -30,22 +31,24 @@
 RunnerOrder_NoteMiss(Runner *runner, int64_t now_ms, int64_t sent_ms)
 {
     AnswerTime_Miss(&runner->answers);
-    if (runner->missed_in_row++ == 0) {
-        runner->missed_since_ms = sent_ms;
+    if (runner->consecutive_misses++ == 0) {
+        runner->first_miss_sent_ms = sent_ms;
     }
-    if (runner->missed_in_row >= DOUBT_MISSES &&
-        now_ms - runner->missed_since_ms >= DOUBT_MS) {
-        RunnerUpstream_Doubt(runner, "it does not answer");
+    if (runner->consecutive_misses >= SUSPECT_MISSES &&
+        now_ms - runner->first_miss_sent_ms >= SUSPECT_MS) {
+        RunnerUpstream_Suspect(runner, "does not answer");
     }
 }
 
 static int64_t
-pause_ms(const Runner *runner, uint32_t copies)
+retry_delay_ms(const Runner *runner, uint32_t copies)
 {
-    uint32_t doublings = copies > COPIES_QUICK ? copies - COPIES_QUICK : 0;
+    uint32_t doublings = copies > COPIES_BEFORE_BACKOFF
+                             ? copies - COPIES_BEFORE_BACKOFF
+                             : 0;
     int64_t timeout_ms = AnswerTime_TimeoutMs(&runner->answers);
 
-    return MIN(timeout_ms << MIN(doublings, COPIES_MOST), PAUSE_MOST_MS);
+    return MIN(timeout_ms << MIN(doublings, MAX_COPIES), MAX_RETRY_DELAY_MS);
 }
 
 static Handle
@@ -56,7 +59,7 @@
     row->order_ms = now_ms;
     order->task = row->handle;
     order->sent_ms = now_ms;
-    order->due_ms = now_ms + pause_ms(runner, copies);
+    order->due_ms = now_ms + retry_delay_ms(runner, copies);
     return Handle_Add(runner->orders, order);
 }
 
@@ -81,7 +84,7 @@
     int64_t ahead = MIN(lease_until_ms - now_ms, runner->config.term.hold_ms);
 
     row->deadline_clock_ms = RunnerUpstream_Clock(runner, now_ms) + ahead;
-    RunnerLook_NoteHold(runner, now_ms, ahead);
+    RunnerPoll_NoteHold(runner, now_ms, ahead);
     send_start(runner, now_ms, row);
 }
 
@@ -97,7 +100,8 @@
 static bool
 may_resend(const Runner *runner)
 {
-    return !runner->up.doubtful && Handle_Count(runner->orders) < ORDERS_MOST;
+    return !runner->up.doubtful &&
+           Handle_Count(runner->orders) < MAX_PENDING_ORDERS;
 }
 
 static bool
@@ -106,18 +110,18 @@
     return row->state == TASK_ORDERED && row->confirmed_ms == 0;
 }
 
-/* The upstream takes copies of one run as one, and none that comes after its
- * deadline or after the run has ended there. */
+/* Copies are safe: the upstream executes only one copy of a start, and none
+ * that arrives after its deadline or after the run has ended there. */
 static void
 resend(Runner *runner, int64_t now_ms, Runner_Task *row)
 {
     if (!may_resend(runner)) {
-        return; /* the next tick tries again */
+        return; /* retried at the next tick */
     }
     if (row->state == TASK_STOPPING && !row->stop_confirmed) {
         RunnerOrder_Stop(runner, now_ms, row);
     }
-    else if (awaits_start(row) && row->start_copies >= COPIES_MOST) {
+    else if (awaits_start(row) && row->start_copies >= MAX_COPIES) {
         RunnerTask_Log(runner, EVENT_ORDER_UNANSWERED, row, "start, %u copies",
                        row->start_copies);
         RunnerTask_Stop(runner, now_ms, row, LC_RUN_LOST);
@@ -128,13 +132,13 @@
     }
 }
 
-/* A start that an earlier life may not have got is not sent to the next one:
- * its deadline is on the clock of the former. */
+/* A start for an earlier incarnation is not sent again to the current one, as
+ * its deadline refers to the earlier one's clock. */
 static bool
 is_pending(const Runner *runner, const Runner_Task *row)
 {
     return row->state == TASK_STOPPING ||
-           !RunnerTask_IsOfEarlierLife(runner, row);
+           !RunnerTask_IsOfEarlierIncarnation(runner, row);
 }
 
 void
@@ -144,7 +148,7 @@
                                                   : row->start_copies;
 
     if (row->state != TASK_ENDED && is_pending(runner, row) &&
-        now_ms - row->order_ms >= pause_ms(runner, copies)) {
+        now_ms - row->order_ms >= retry_delay_ms(runner, copies)) {
         resend(runner, now_ms, row);
     }
 }
@@ -165,7 +169,7 @@
 }
 
 void
-RunnerOrder_Wake(Runner *runner, int64_t now_ms)
+RunnerOrder_CheckOverdue(Runner *runner, int64_t now_ms)
 {
     uint32_t i;
 
@@ -184,26 +188,26 @@
     }
 }
 
-/* Notes how a copy was answered, and returns its task if that matters still.
- * A copy whose connection broke is missed at once. */
+/* Records the result of one copy and returns its task, or NULL if the task has
+ * ended or is unknown. A broken connection counts as a miss at once. */
 static Runner_Task *
 take_answer(Runner *runner, int64_t now_ms, uint64_t order_id,
-            Runner_OrderEnd end, int64_t clock_ms)
+            Runner_OrderEnd result, int64_t clock_ms)
 {
     Runner_Order *order = Handle_Remove(runner->orders, order_id);
     Runner_Task *row;
     bool in_time;
 
     if (order == NULL) {
-        return NULL; /* a stop of a run that is not known here */
+        return NULL; /* the stop of an unknown run */
     }
     row = Handle_Get(runner->by_handle, order->task);
     in_time = order->due_ms != INT64_MAX;
-    if (end != RUNNER_ORDER_OTHER && row != NULL &&
-        !RunnerTask_IsOfEarlierLife(runner, row)) {
+    if (result != RUNNER_ORDER_OTHER && row != NULL &&
+        !RunnerTask_IsOfEarlierIncarnation(runner, row)) {
         RunnerUpstream_CheckClock(runner, now_ms, order->sent_ms, clock_ms);
     }
-    if (end != RUNNER_ORDER_UNSENT && end != RUNNER_ORDER_UNANSWERED) {
+    if (result != RUNNER_ORDER_UNSENT && result != RUNNER_ORDER_UNANSWERED) {
         AnswerTime_Take(&runner->answers, now_ms - order->sent_ms);
         RunnerOrder_NoteAnswer(runner, in_time);
     }
@@ -214,9 +218,9 @@
     return row == NULL || row->state == TASK_ENDED ? NULL : row;
 }
 
-/* A copy of the start was not carried out. Others may have been, or may be
- * later: then the run is stopped, and its room stays taken until it is
- * certainly over. */
+/* Handles a copy of the start that was certainly not executed. Other copies
+ * may have been executed, or may be later; then the run is stopped, and its
+ * resources stay reserved until it has certainly ended. */
 static void
 refuse_copy(Runner *runner, int64_t now_ms, Runner_Task *row,
             lc_run_status status)
@@ -241,10 +245,11 @@
     }
 }
 
-/* The upstream knows a later run or has seen this one end. After a copy that
- * had no answer the latter is likely: the next look tells how it ended. */
+/* The upstream knows a later run, or this run has ended there. If more than
+ * one copy was sent, the latter is likely, and the next poll lists the result.
+ */
 static void
-take_old(Runner *runner, int64_t now_ms, Runner_Task *row)
+take_superseded(Runner *runner, int64_t now_ms, Runner_Task *row)
 {
     if (row->start_copies > 1) {
         row->confirmed_ms = now_ms;
@@ -256,9 +261,9 @@
 
 static void
 take_start(Runner *runner, int64_t now_ms, Runner_Task *row,
-           Runner_OrderEnd end)
+           Runner_OrderEnd result)
 {
-    switch (end) {
+    switch (result) {
     case RUNNER_ORDER_TAKEN:
         confirm_start(now_ms, row);
         break;
@@ -266,93 +271,93 @@
         RunnerOrder_Retry(runner, now_ms, row);
         break;
     case RUNNER_ORDER_OTHER:
-        RunnerUpstream_MeetOther(runner, now_ms);
+        RunnerUpstream_OnOtherIncarnation(runner, now_ms);
         break;
     case RUNNER_ORDER_OLD:
-        take_old(runner, now_ms, row);
+        take_superseded(runner, now_ms, row);
         break;
     case RUNNER_ORDER_UNWELL:
         Health_Bad(&runner->health, now_ms, row->id.job);
         refuse_copy(runner, now_ms, row, LC_RUN_REJECTED);
         break;
     case RUNNER_ORDER_UNSENT:
-        RunnerUpstream_Refused(runner);
+        RunnerUpstream_NoteRefused(runner);
         refuse_copy(runner, now_ms, row, LC_RUN_REJECTED);
         break;
     case RUNNER_ORDER_FENCED:
-        if (!RunnerTask_IsOfEarlierLife(runner, row)) {
+        if (!RunnerTask_IsOfEarlierIncarnation(runner, row)) {
             RunnerUpstream_RaiseToken(runner);
         }
         refuse_copy(runner, now_ms, row, LC_RUN_REJECTED);
         break;
     default:
-        RunnerTask_Log(runner, EVENT_ORDER_REFUSED, row, "start, order end %d",
-                       (int)end);
+        RunnerTask_Log(runner, EVENT_ORDER_REFUSED, row,
+                       "start, order result %d", (int)result);
         refuse_copy(runner, now_ms, row, LC_RUN_REJECTED);
         break;
     }
 }
 
-/* The answer to a task's order has the clock of the life that it was ordered
- * from, but where another incarnation answers. */
+/* The clock in an answer belongs to the incarnation that the order was sent
+ * to, unless another incarnation answered. */
 static void
 take_clock(Runner *runner, int64_t now_ms, const Runner_Task *row,
-           Runner_OrderEnd end, int64_t clock_ms)
+           Runner_OrderEnd result, int64_t clock_ms)
 {
-    if (end != RUNNER_ORDER_OTHER &&
-        !RunnerTask_IsOfEarlierLife(runner, row)) {
+    if (result != RUNNER_ORDER_OTHER &&
+        !RunnerTask_IsOfEarlierIncarnation(runner, row)) {
         RunnerUpstream_TakeClock(runner, now_ms, clock_ms);
     }
 }
 
-/* A copy that was answered or never sent cannot be executed later. */
+/* A copy that was answered or never delivered cannot be executed later. */
 static void
-count_answer(const Runner *runner, uint64_t order_id, Runner_OrderEnd end)
+count_answer(const Runner *runner, uint64_t order_id, Runner_OrderEnd result)
 {
     const Runner_Order *order = Handle_Get(runner->orders, order_id);
     Runner_Task *row = order == NULL
                            ? NULL
                            : Handle_Get(runner->by_handle, order->task);
 
-    if (row != NULL && end != RUNNER_ORDER_UNANSWERED) {
+    if (row != NULL && result != RUNNER_ORDER_UNANSWERED) {
         row->answered_copies++;
-        row->start_taken |= end == RUNNER_ORDER_TAKEN;
+        row->start_taken |= result == RUNNER_ORDER_TAKEN;
     }
 }
 
 void
 Runner_OnStarted(Runner *runner, int64_t now_ms, uint64_t order_id,
-                 Runner_OrderEnd end, int64_t clock_ms)
+                 Runner_OrderEnd result, int64_t clock_ms)
 {
     Runner_Task *row;
 
-    count_answer(runner, order_id, end);
-    row = take_answer(runner, now_ms, order_id, end, clock_ms);
+    count_answer(runner, order_id, result);
+    row = take_answer(runner, now_ms, order_id, result, clock_ms);
     if (row == NULL) {
         return;
     }
-    take_clock(runner, now_ms, row, end, clock_ms);
+    take_clock(runner, now_ms, row, result, clock_ms);
     Histogram_Add(&runner->orders_time, now_ms - row->ordered_ms);
-    take_start(runner, now_ms, row, end);
-    RunnerLook_Send(runner, now_ms);
+    take_start(runner, now_ms, row, result);
+    RunnerPoll_Send(runner, now_ms);
 }
 
 void
 Runner_OnStopped(Runner *runner, int64_t now_ms, uint64_t order_id,
-                 Runner_OrderEnd end, int64_t clock_ms)
+                 Runner_OrderEnd result, int64_t clock_ms)
 {
-    Runner_Task *row = take_answer(runner, now_ms, order_id, end, clock_ms);
+    Runner_Task *row = take_answer(runner, now_ms, order_id, result, clock_ms);
 
-    if (end == RUNNER_ORDER_FENCED) {
+    if (result == RUNNER_ORDER_FENCED) {
         RunnerUpstream_RaiseToken(runner);
     }
     if (row == NULL) {
         return;
     }
-    take_clock(runner, now_ms, row, end, clock_ms);
-    if (end == RUNNER_ORDER_TAKEN) {
+    take_clock(runner, now_ms, row, result, clock_ms);
+    if (result == RUNNER_ORDER_TAKEN) {
         row->stop_confirmed = true;
         row->stop_confirmed_ms = now_ms;
     }
-    RunnerLook_Send(runner, now_ms);
+    RunnerPoll_Send(runner, now_ms);
 }
--- a/lease/runner_owners.c
+++ b/lease/runner_owners.c
@@ -29,10 +29,8 @@
     return row;
 }
 
-/* How far the hold may reach: never past the longest lease of an owner with
- * work there. */
 int64_t
-RunnerOwner_HoldAhead(const Runner *runner, int64_t now_ms)
+RunnerOwner_MaxHoldMs(const Runner *runner, int64_t now_ms)
 {
     int64_t ahead = 0;
     guint i;
@@ -48,7 +46,7 @@
 }
 
 void
-RunnerOwner_Forget(Runner *runner, int64_t now_ms)
+RunnerOwner_RemoveExpired(Runner *runner, int64_t now_ms)
 {
     guint i = 0;
 
--- a/lease/runner_state.h
+++ b/lease/runner_state.h
@@ -1,10 +1,10 @@
 /**
  * @file runner_state.h
- * @brief State of a runner, shared by the files that make it up: tasks,
- * orders about them, owners (entries with a lease), the upstream, and looks
- * at it.
+ * @brief Internal state of a runner and the functions that its source files
+ * share: tasks, orders about them, owners (entries with a lease), the
+ * upstream, and polls of it.
  *
- * For lease/runner*.c alone.
+ * To be included by lease/runner*.c only.
  */
 #ifndef LC_LEASE_RUNNER_STATE_H
 #define LC_LEASE_RUNNER_STATE_H
@@ -21,9 +21,9 @@
 #include "lease/runner.h"
 
 typedef enum {
-    TASK_ORDERED,  /* the start is on its way */
-    TASK_RUNNING,  /* the upstream has it */
-    TASK_STOPPING, /* it is to end as `status` */
+    TASK_ORDERED,  /* the start was sent, but is not confirmed */
+    TASK_RUNNING,  /* the upstream has confirmed the start */
+    TASK_STOPPING, /* being stopped; ends with `status` */
     TASK_ENDED
 } Runner_TaskState;
 
@@ -33,30 +33,32 @@
     lc_resources need;
     char *spec;
     uint32_t estimate_ms;
-    uint32_t crashes; /* upstreams that crashed under the task before */
-    uint32_t life;    /* of the upstream that it was ordered from */
+    uint32_t crashes;     /* earlier upstream crashes while it ran */
+    uint32_t incarnation; /* of the upstream that the start was sent to */
     Runner_TaskState state;
-    lc_run_status status; /* while stopping, and at the end */
+    lc_run_status status; /* valid while stopping and when ended */
     Handle handle;
-    GArray *waiting; /* uint64_t ids of replies owed */
+    GArray *pending_replies; /* uint64_t, see REPLY_IS_HALT */
     int64_t ordered_ms;
-    int64_t confirmed_ms; /* it ran or was refused for certain; 0 before */
+    int64_t confirmed_ms; /* when it was known to have started or to have been
+                             refused; 0 before */
     int64_t deadline_clock_ms; /* of the start, on the upstream's clock */
-    uint32_t start_copies;     /* of the start, as sent */
-    uint32_t refused_copies;   /* of them those certainly not carried out */
-    uint32_t answered_copies;  /* of them those answered or not sent */
+    uint32_t start_copies;     /* copies of the start sent */
+    uint32_t refused_copies;   /* copies certainly not executed */
+    uint32_t answered_copies;  /* copies answered, or never delivered */
     bool start_taken;          /* a copy was answered as taken */
     int64_t start_sent_ms;     /* when the last copy was sent */
-    uint32_t stop_copies;      /* of the stop, as sent */
-    int64_t order_ms;          /* when the last copy of either was sent */
+    uint32_t stop_copies;      /* copies of the stop sent */
+    int64_t order_ms;          /* when the last start or stop was sent */
     bool stop_confirmed;
     int64_t stop_confirmed_ms;
     int64_t ended_ms;
-    uint64_t end_number; /* as the upstream listed it; 0 if it has not */
-    bool unreleased;     /* a kept job's end that is not written down yet */
-    bool held_for_start; /* a late copy of its start may still arrive */
-    int64_t earlier_expiry_ms; /* of starts of the task's other runs */
-    int64_t progress_ms; /* when the percentage last rose; 0 if not told */
+    uint64_t end_number;       /* as listed by the upstream; 0 if not listed */
+    bool unreleased;           /* end of a kept job's run, not released yet */
+    bool held_for_start;       /* a late copy of its start may still arrive */
+    int64_t earlier_expiry_ms; /* of the starts of the task's other runs */
+    int64_t progress_ms; /* when the percentage last rose; 0 before any report
+                          */
     uint32_t percent;
     uint32_t ran_ms;
 } Runner_Task;
@@ -67,70 +69,72 @@
     uint32_t running;
 } Runner_Owner;
 
-/* What is known of the upstream beside this companion. */
+/* State of the upstream of this companion, as far as known. */
 typedef struct {
-    bool known; /* it has spoken */
+    bool known; /* a heartbeat of the current incarnation was accepted */
     bool draining;
-    bool inventoried; /* nothing of an earlier companion runs there */
+    bool inventoried; /* no run of an earlier companion process is left */
     char *instance;
-    int64_t born_ms;   /* 0 while it told no start */
-    uint32_t life;     /* rises whenever another life is in force */
-    bool drained;      /* the life before took no more tasks at its end */
-    uint64_t sequence; /* of its last heartbeat in order */
+    int64_t born_ms;      /* 0 until the upstream reports its start time */
+    uint32_t incarnation; /* incremented when another becomes current */
+    bool earlier_drained; /* the previous incarnation was draining at its end
+                           */
+    uint64_t sequence;    /* of the last accepted heartbeat */
     char *service;
     char **labels;
     lc_resources capacity;
     int64_t heard_ms;
-    int64_t clock_ms; /* its clock at least, when read */
+    int64_t clock_ms; /* lower bound of its clock at clock_read_ms */
     int64_t clock_read_ms;
-    uint64_t last_seen;
-    uint64_t acknowledged; /* the last_seen of the last answered look */
-    bool doubtful;         /* it answers nothing */
+    uint64_t last_seen;    /* highest number of a listed end */
+    uint64_t acknowledged; /* highest last_seen of an answered poll */
+    bool doubtful;         /* suspected: answers nothing, or not reliably from
+                              the current incarnation */
     bool refused;          /* and nothing listens at its address */
-} Runner_Known;
+} Runner_UpstreamInfo;
 
-/* A heartbeat of another incarnation than the one in force. The upstream's
- * answer to a look that names the latter decides which of them lives. */
+/* A heartbeat of an incarnation other than the current one. The upstream's
+ * answer to a poll that names the current one decides which is alive. */
 typedef struct {
     bool pending;
-    uint64_t after_look; /* answers to looks behind this one decide */
+    uint64_t after_poll; /* only answers to later polls decide */
     char *instance;
     char *service;
     char **labels;
-    Runner_Upstream said; /* points to the texts above */
+    Runner_Upstream said; /* points to the strings above */
 } Runner_Successor;
 
-/* One copy of an order on its way to the upstream. */
+/* One copy of a start or stop whose result is awaited. */
 typedef struct {
     Handle task;
     int64_t sent_ms;
-    int64_t due_ms; /* its answer is missing then; INT64_MAX once it was */
+    int64_t due_ms; /* when its answer is overdue; INT64_MAX after that */
 } Runner_Order;
 
-/* A look on its way. */
+/* A poll whose answer is awaited. */
 typedef struct {
     uint64_t id;
     int64_t sent_ms;
-    int64_t due_ms; /* likewise */
+    int64_t due_ms; /* as in Runner_Order */
     uint64_t last_seen;
-    bool waits; /* its answer may wait for an end */
-} Runner_OpenLook;
+    bool waits; /* the upstream may delay the answer until a run ends */
+} Runner_PendingPoll;
 
-/* Looks that may be on their way at once: all but the last are overdue, and
- * an answer that comes late still tells of ends. Chosen: more than fit into
- * the time that a request is kept open while the timeout is at its most. */
-#define RUNNER_LOOKS_MOST 4
+/* Maximum number of polls in flight. All but the last are overdue; a late
+ * answer still lists ends. More than fit into the time that a request is kept
+ * open while the timeout is at its maximum. */
+#define RUNNER_MAX_PENDING_POLLS 4
 
 struct Runner {
     Runner_Config config;
     const Runner_Ports *ports;
     void *context;
     Counters counters;
-    Histogram orders_time;               /* from a start to its answer */
-    Histogram runs;                      /* of tasks that ended well */
-    uint64_t refusals[RUN_STATUS_COUNT]; /* by status */
+    Histogram orders_time; /* from the first copy of a start to each answer */
+    Histogram runs;        /* run times of successful tasks */
+    uint64_t refusals[RUN_STATUS_COUNT]; /* refused runs by status */
     Health health;
-    Runner_Known up;
+    Runner_UpstreamInfo up;
     Runner_Successor successor;
     Incarnations gone;
     Closures closures;
@@ -141,138 +145,149 @@
     int64_t token;
     Handle_Table *orders; /* Runner_Order */
     AnswerTime answers;
-    uint32_t missed_in_row;  /* orders and looks without an answer */
-    int64_t missed_since_ms; /* when the first of them was sent */
-    Runner_OpenLook looks[RUNNER_LOOKS_MOST]; /* the oldest first */
-    uint32_t look_count;
-    uint64_t last_look_id;
-    int64_t look_again_ms; /* not before */
-    int64_t hold_until_ms; /* the upstream lets all go by then */
-    uint32_t live;         /* tasks that have not ended */
-    int64_t idle_ms;       /* when the last of them ended */
-    uint32_t unreleased;   /* ends that are not to be taken note of yet */
-    uint32_t held_long;    /* of them those held for long, at the last tick */
-    uint32_t held_for_starts; /* ends held for late copies of starts */
+    uint32_t consecutive_misses; /* orders and polls without a timely answer */
+    int64_t first_miss_sent_ms;  /* when the first of these was sent */
+    Runner_PendingPoll polls[RUNNER_MAX_PENDING_POLLS]; /* oldest first */
+    uint32_t poll_count;
+    uint64_t last_poll_id;
+    int64_t next_poll_ms;  /* earliest time of the next poll */
+    int64_t hold_until_ms; /* by then the upstream's hold has expired, and it
+                              stops all runs */
+    uint32_t active_tasks; /* tasks that have not ended */
+    int64_t idle_ms;       /* when the last task ended */
+    uint32_t unreleased;   /* ends not released, hence not acknowledged */
+    uint32_t held_long;    /* of these, the ones held for long at the last
+                              tick */
+    uint32_t held_for_starts; /* ends held because of late copies of starts */
     int64_t created_ms;
-    GArray *fenced; /* lc_node, owners of kept jobs that are gone */
+    GArray *fenced; /* lc_node; former owners of kept jobs, which are gone */
     bool draining;
     uint64_t version;
     lc_label label_row[LC_MAX_LABELS];
 };
 
-/* Tasks: runner_tasks.c. A task belongs to the table that lists it. */
+/* Tasks: runner_tasks.c. Runner.tasks owns its tasks. */
 
-/** Adds a task that is to be started, at the time of its order. */
+/** Creates a task in state TASK_ORDERED, before its start is sent. */
 Runner_Task *RunnerTask_Add(Runner *runner, int64_t now_ms,
                             const lc_run_args *args);
 
-/** Frees a task that no table lists. */
+/** Frees a task; destroy function of Runner.tasks. */
 void RunnerTask_Free(gpointer item);
 
-/** Drops an ended task from all tables. */
-void RunnerTask_Forget(Runner *runner, Runner_Task *row);
+/** Removes an ended task from all tables and frees it. */
+void RunnerTask_Remove(Runner *runner, Runner_Task *row);
 
-/** Notes that a RUN or HALT is to be answered when the task has ended. */
-void RunnerTask_Owe(Runner_Task *row, uint64_t reply_id, Msg_Kind kind);
+/** Queues the reply to a RUN or HALT until the task has ended. */
+void RunnerTask_QueueReply(Runner_Task *row, uint64_t reply_id, Msg_Kind kind);
 
-/** Answers all that is owed for an ended task. */
+/** Sends all queued replies of an ended task. */
 void RunnerTask_Answer(Runner *runner, int64_t now_ms, Runner_Task *row);
 
-/** Answers one RUN. */
+/** Replies to one RUN. */
 void RunnerTask_ReplyRun(Runner *runner, int64_t now_ms, uint64_t reply_id,
                          lc_run_status status, uint32_t ran_ms);
 
-/** Answers one HALT. */
+/** Replies to one HALT. */
 void RunnerTask_ReplyHalt(Runner *runner, int64_t now_ms, uint64_t reply_id,
                           lc_run_status status);
 
-/** The task neither runs nor can begin: frees its room, answers. */
+/** Ends a task that neither runs nor can start any more: frees its resources
+ * and sends the queued replies. */
 void RunnerTask_End(Runner *runner, int64_t now_ms, Runner_Task *row,
                     lc_run_status status);
 
-/** The upstream that had a task is gone, or has begun another life, and the
- * task neither runs nor can begin. @p crashed: it went without a word. */
+/** Ends a task whose upstream is gone or was restarted, so that the task
+ * neither runs nor can start any more. @p crashed: the upstream terminated
+ * without announcing it. */
 void RunnerTask_Lose(Runner *runner, int64_t now_ms, Runner_Task *row,
                      bool crashed);
 
-/** Loses all tasks. */
+/** Calls RunnerTask_Lose for all tasks. */
 void RunnerTask_LoseAll(Runner *runner, int64_t now_ms, bool crashed);
 
-/** Whether a task was ordered from an earlier life of the upstream. */
-bool RunnerTask_IsOfEarlierLife(const Runner *runner, const Runner_Task *row);
+/** Whether the start was sent to an earlier incarnation of the upstream. */
+bool RunnerTask_IsOfEarlierIncarnation(const Runner *runner,
+                                       const Runner_Task *row);
 
-/** Begins to stop a task, which is to end as @p status. */
+/** Begins to stop a task; it will end with @p status. */
 void RunnerTask_Stop(Runner *runner, int64_t now_ms, Runner_Task *row,
                      lc_run_status status);
 
-/** All tasks, in a list that may be walked while they end; free it. */
+/** All tasks, in a list that stays valid while they end; the caller frees the
+ * list only. */
 GList *RunnerTask_All(const Runner *runner);
 
-/** Writes a line about a run. */
+/** Logs an event about a run. */
 void RunnerTask_Log(const Runner *runner, Event_Id id, const Runner_Task *row,
                     const char *format, ...)
     __attribute__((format(printf, 4, 5)));
 
 /* Orders: runner_orders.c. */
 
-/** Orders the start, held until @p lease_until_ms at most. */
+/** Sends the start of a task. Its deadline on the upstream is at
+ * @p lease_until_ms at the latest. */
 void RunnerOrder_Start(Runner *runner, int64_t now_ms, Runner_Task *row,
                        int64_t lease_until_ms);
 
-/** Orders the stop. */
+/** Sends the stop of a task. */
 void RunnerOrder_Stop(Runner *runner, int64_t now_ms, Runner_Task *row);
 
-/** Sends the order that a task waits for again if its answer is missing. */
+/** Sends the pending start or stop of a task again if its answer is overdue.
+ */
 void RunnerOrder_Retry(Runner *runner, int64_t now_ms, Runner_Task *row);
 
-/** The upstream answered; @p in_time: before the answer counted as missing. */
+/** Records an answer of the upstream; @p in_time: before it was overdue. */
 void RunnerOrder_NoteAnswer(Runner *runner, bool in_time);
 
-/** The answer to something that was sent at @p sent_ms is missing. */
+/** Records that the answer to a request sent at @p sent_ms is overdue. */
 void RunnerOrder_NoteMiss(Runner *runner, int64_t now_ms, int64_t sent_ms);
 
-/** Takes every order whose answer is overdue as unanswered so far. */
-void RunnerOrder_Wake(Runner *runner, int64_t now_ms);
+/** Records a miss for every order whose answer has become overdue, and
+ * retries. */
+void RunnerOrder_CheckOverdue(Runner *runner, int64_t now_ms);
 
-/** When the next answer to an order is overdue, or INT64_MAX. */
+/** Time at which the next answer to an order becomes overdue, or INT64_MAX. */
 int64_t RunnerOrder_DueMs(const Runner *runner);
 
 /* Owners: runner_owners.c. */
 
-/** Row of an entry, or NULL. */
+/** The owner record of an entry, or NULL. */
 Runner_Owner *RunnerOwner_Find(const Runner *runner, const lc_node *node);
 
-/** Lengthens the lease of an entry, never shortens it. */
+/** Extends the lease of an entry; never shortens it. */
 Runner_Owner *RunnerOwner_Extend(Runner *runner, const lc_node *node,
                                  int64_t until_ms);
 
-/** How far a hold may reach from now: never past the longest lease of an
- * owner with work there. */
-int64_t RunnerOwner_HoldAhead(const Runner *runner, int64_t now_ms);
+/** Longest hold in ms from now: does not exceed the longest lease of an owner
+ * with active tasks, nor `term.hold_ms`. */
+int64_t RunnerOwner_MaxHoldMs(const Runner *runner, int64_t now_ms);
 
-/** Drops owners without work whose leases are over. */
-void RunnerOwner_Forget(Runner *runner, int64_t now_ms);
+/** Removes owners without active tasks whose leases have expired. */
+void RunnerOwner_RemoveExpired(Runner *runner, int64_t now_ms);
 
 /* Kept jobs: runner_kept.c. */
 
-/** Whether an owner of kept jobs is gone. */
+/** Whether an owner of kept jobs has been fenced because it is gone. */
 bool RunnerKept_IsFenced(const Runner *runner, const lc_node *owner);
 
-/** Holds the end of a kept job's run until it is released; one that is not
- * known here was found at the upstream, and nobody owns it. */
+/** Holds the end of a kept job's run until it is released. @p row is NULL for
+ * a run that only the upstream knows, which has no owner. */
 void RunnerKept_HoldEnd(Runner *runner, int64_t now_ms, Runner_Task *row,
                         const Runner_EndRow *ended);
 
-/** Lets go of an end. */
-void RunnerKept_LetGo(Runner *runner, Runner_Task *row);
+/** Releases a held end. */
+void RunnerKept_Release(Runner *runner, Runner_Task *row);
 
-/** Whether an end is held for longer than it takes to write it down. */
+/** Whether an end has been held for longer than an owner usually needs to
+ * store it. */
 bool RunnerKept_IsHeldLong(const Runner_Task *row, int64_t now_ms);
 
-/** Lets go of all ends: the upstream that listed them is gone. */
-void RunnerKept_LetGoAll(Runner *runner);
+/** Releases all ends, because the upstream incarnation that listed them is
+ * gone. */
+void RunnerKept_ReleaseAll(Runner *runner);
 
-/** Ends up to this number may be taken note of. */
+/** Highest end number that may be acknowledged. */
 uint64_t RunnerKept_LastSeen(const Runner *runner);
 
 /** Stops holding an end once no late copy of its start can be executed, or
@@ -280,69 +295,75 @@
 void RunnerKept_CheckStartHold(Runner *runner, int64_t now_ms,
                                Runner_Task *row);
 
-/** Whether an ended run is not needed any more. */
-bool RunnerKept_IsForgotten(const Runner *runner, const Runner_Task *row,
-                            int64_t now_ms);
+/** Whether the record of an ended run may be removed. */
+bool RunnerKept_IsDisposable(const Runner *runner, const Runner_Task *row,
+                             int64_t now_ms);
 
-/** Answers a RELEASE. */
+/** Handles a RELEASE call. */
 void RunnerKept_OnRelease(Runner *runner, int64_t now_ms, uint64_t reply_id,
                           const lc_release_args *args);
 
-/** Answers a FENCE. */
+/** Handles a FENCE call. */
 void RunnerKept_OnFence(Runner *runner, int64_t now_ms, uint64_t reply_id,
                         const lc_fence_args *args);
 
 /* The upstream: runner_upstream.c. */
 
-/** The upstream's clock shows at least this now. */
+/** Lower bound of the upstream's clock now, in ms. */
 int64_t RunnerUpstream_Clock(const Runner *runner, int64_t now_ms);
 
-/** Takes a reading of its clock; 0 is none. */
+/** Records a reading of the upstream's clock; 0 means not reported. */
 void RunnerUpstream_TakeClock(Runner *runner, int64_t now_ms,
                               int64_t clock_ms);
 
-/** It answers nothing: it is sent nothing but looks until it does. */
-void RunnerUpstream_Doubt(Runner *runner, const char *reason);
+/** Marks the upstream as suspected: until it answers a poll, it is sent only
+ * polls. */
+void RunnerUpstream_Suspect(Runner *runner, const char *reason);
 
-/** No connection to it can be opened. */
-void RunnerUpstream_Refused(Runner *runner);
+/** Records that no connection to the upstream can be opened. */
+void RunnerUpstream_NoteRefused(Runner *runner);
 
-/** The answer to something that was sent at @p sent_ms shows a clock that has
- * gone back: another life may have answered. */
+/** Suspects the upstream if the answer to a request sent at @p sent_ms shows
+ * that its clock has gone back: another incarnation may have answered. */
 void RunnerUpstream_CheckClock(Runner *runner, int64_t now_ms, int64_t sent_ms,
                                int64_t clock_ms);
 
-/** The upstream has told in an answer when it started. True if that begins
- * another life, and the rest of the answer is of no use. */
-bool RunnerUpstream_MeetLife(Runner *runner, int64_t now_ms, int64_t born_ms);
+/** Handles the start time reported in an answer. Returns true if it belongs to
+ * a new incarnation; the rest of the answer must be discarded then. */
+bool RunnerUpstream_CheckStartTime(Runner *runner, int64_t now_ms,
+                                   int64_t born_ms);
 
-/** Another incarnation than the one known has answered. */
-void RunnerUpstream_MeetOther(Runner *runner, int64_t now_ms);
+/** Handles an answer from an incarnation other than the known one. */
+void RunnerUpstream_OnOtherIncarnation(Runner *runner, int64_t now_ms);
 
-/** The incarnation in force has answered a look: no other lives. */
-void RunnerUpstream_Confirm(Runner *runner, uint64_t look_id);
+/** The current incarnation has answered a poll: discards the pending successor
+ * if the poll was sent after its heartbeat. */
+void RunnerUpstream_Confirm(Runner *runner, uint64_t poll_id);
 
-/** Frees what is known of the upstream. */
+/** Frees the state of the upstream. */
 void RunnerUpstream_Clear(Runner *runner);
 
-/** The upstream has seen a higher token than ours. */
+/** Raises the fencing token after the upstream has seen a higher one. */
 void RunnerUpstream_RaiseToken(Runner *runner);
 
-/** Writes a line about the upstream. */
+/** Logs an event about the upstream. */
 void RunnerUpstream_Log(const Runner *runner, Event_Id id, const char *reason);
 
-/* Looks: runner_look.c. */
+/* Polls: runner_look.c. */
 
-/** Looks at the upstream if there is reason to, and none is on its way. */
-void RunnerLook_Send(Runner *runner, int64_t now_ms);
+/** Polls the upstream if there is reason to and no answer is awaited in time.
+ */
+void RunnerPoll_Send(Runner *runner, int64_t now_ms);
 
-/** Takes a look whose answer is overdue as unanswered so far. */
-void RunnerLook_Wake(Runner *runner, int64_t now_ms);
+/** Records a miss for every poll whose answer has become overdue, and polls
+ * again. */
+void RunnerPoll_CheckOverdue(Runner *runner, int64_t now_ms);
 
-/** When the answer to a look is overdue, or INT64_MAX. */
-int64_t RunnerLook_DueMs(const Runner *runner);
+/** Time at which the next answer to a poll becomes overdue, or INT64_MAX. */
+int64_t RunnerPoll_DueMs(const Runner *runner);
 
-/** Notes how long the upstream may go on by itself. */
-void RunnerLook_NoteHold(Runner *runner, int64_t now_ms, int64_t ahead_ms);
+/** Records that the upstream may go on for @p ahead_ms from now without
+ * another hold. */
+void RunnerPoll_NoteHold(Runner *runner, int64_t now_ms, int64_t ahead_ms);
 
 #endif
--- a/lease/runner_tasks.c
+++ b/lease/runner_tasks.c
@@ -7,19 +7,22 @@
 #include "lease/run_id.h"
 #include "lease/run_status.h"
 
-/* A task that crashes its upstream does so soon after it started, or by the
- * end of its work. Chosen: far above the time until a crash is noticed (a hold
- * of 600 ms, a heartbeat), far below the life of a task that lasts. */
-#define BLAME_MS 3000
-/* Replies owed carry their kind in the lowest bit. */
-#define OWED_HALT 1U
+/* A task is blamed for a crash of its upstream only if it was started within
+ * this time, or within twice its estimate, as a task that crashes its upstream
+ * does so soon after its start or by the end of its work. Far longer than the
+ * detection of a crash (a hold of 600 ms, a heartbeat), and far shorter than
+ * the run time of long-running tasks. */
+#define CRASH_BLAME_MS 3000
+/* Queued replies carry their kind in the lowest bit: set for HALT, clear for
+ * RUN. */
+#define REPLY_IS_HALT 1U
 
 void
 RunnerTask_Free(gpointer item)
 {
     Runner_Task *row = item;
 
-    g_array_unref(row->waiting);
+    g_array_unref(row->pending_replies);
     g_free(row->spec);
     g_free(row);
 }
@@ -71,38 +74,38 @@
 }
 
 void
-RunnerTask_Owe(Runner_Task *row, uint64_t reply_id, Msg_Kind kind)
+RunnerTask_QueueReply(Runner_Task *row, uint64_t reply_id, Msg_Kind kind)
 {
-    uint64_t owed = reply_id << 1 | (kind == MSG_HALT ? OWED_HALT : 0);
+    uint64_t pending = reply_id << 1 | (kind == MSG_HALT ? REPLY_IS_HALT : 0);
 
-    g_array_append_val(row->waiting, owed);
+    g_array_append_val(row->pending_replies, pending);
 }
 
 void
 RunnerTask_Answer(Runner *runner, int64_t now_ms, Runner_Task *row)
 {
-    GArray *waiting = row->waiting;
+    GArray *pending_replies = row->pending_replies;
     guint i;
 
-    row->waiting = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    for (i = 0; i < waiting->len; i++) {
-        uint64_t owed = g_array_index(waiting, uint64_t, i);
-        if ((owed & OWED_HALT) != 0) {
-            RunnerTask_ReplyHalt(runner, now_ms, owed >> 1, row->status);
+    row->pending_replies = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    for (i = 0; i < pending_replies->len; i++) {
+        uint64_t pending = g_array_index(pending_replies, uint64_t, i);
+        if ((pending & REPLY_IS_HALT) != 0) {
+            RunnerTask_ReplyHalt(runner, now_ms, pending >> 1, row->status);
         }
         else {
-            RunnerTask_ReplyRun(runner, now_ms, owed >> 1, row->status,
+            RunnerTask_ReplyRun(runner, now_ms, pending >> 1, row->status,
                                 row->ran_ms);
         }
     }
-    g_array_unref(waiting);
+    g_array_unref(pending_replies);
 }
 
 void
 RunnerTask_End(Runner *runner, int64_t now_ms, Runner_Task *row,
                lc_run_status status)
 {
-    Runner_Owner *holder = RunnerOwner_Find(runner, &row->owner);
+    Runner_Owner *owner = RunnerOwner_Find(runner, &row->owner);
 
     if (row->state == TASK_ENDED) {
         return;
@@ -111,11 +114,11 @@
     row->status = status;
     row->ended_ms = now_ms;
     Resources_Take(&runner->used, &row->need);
-    runner->live--;
+    runner->active_tasks--;
     runner->idle_ms = now_ms;
     runner->version++;
-    if (holder != NULL) {
-        holder->running--;
+    if (owner != NULL) {
+        owner->running--;
     }
     Counter_Add(
         &runner->counters,
@@ -139,7 +142,6 @@
     RunnerOrder_Stop(runner, now_ms, row);
 }
 
-/* All tasks, in a list that may be walked while they end. */
 GList *
 RunnerTask_All(const Runner *runner)
 {
@@ -147,20 +149,20 @@
 }
 
 bool
-RunnerTask_IsOfEarlierLife(const Runner *runner, const Runner_Task *row)
+RunnerTask_IsOfEarlierIncarnation(const Runner *runner, const Runner_Task *row)
 {
-    return row->life != runner->up.life;
+    return row->incarnation != runner->up.incarnation;
 }
 
 void
 RunnerTask_Lose(Runner *runner, int64_t now_ms, Runner_Task *row, bool crashed)
 {
-    int64_t young_ms = MAX(BLAME_MS, 2 * (int64_t)row->estimate_ms);
+    int64_t blame_ms = MAX(CRASH_BLAME_MS, 2 * (int64_t)row->estimate_ms);
 
     if (row->state == TASK_STOPPING) {
         RunnerTask_End(runner, now_ms, row, row->status);
     }
-    else if (crashed && now_ms - row->ordered_ms <= young_ms) {
+    else if (crashed && now_ms - row->ordered_ms <= blame_ms) {
         RunnerTask_End(runner, now_ms, row, LC_RUN_CRASHED);
     }
     else {
@@ -190,9 +192,9 @@
     row->need = args->need;
     row->estimate_ms = args->estimate_ms;
     row->crashes = args->crashes;
-    row->life = runner->up.life;
+    row->incarnation = runner->up.incarnation;
     row->spec = g_strdup(args->spec);
-    row->waiting = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    row->pending_replies = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     row->ordered_ms = now_ms;
     row->handle = Handle_Add(runner->by_handle, row);
     g_hash_table_replace(runner->tasks, &row->id, row);
@@ -200,7 +202,7 @@
 }
 
 void
-RunnerTask_Forget(Runner *runner, Runner_Task *row)
+RunnerTask_Remove(Runner *runner, Runner_Task *row)
 {
     Handle_Remove(runner->by_handle, row->handle);
     g_hash_table_remove(runner->tasks, &row->id);
--- a/lease/runner_upstream.c
+++ b/lease/runner_upstream.c
@@ -3,8 +3,8 @@
 #include <string.h>
 
 #define TOKEN_STEP 5000
-/* A clock that shows so much less than it must has begun anew. Chosen: above
- * the 2% that it may be slow over the time that an answer is waited for. */
+/* A clock this far below its expected lower bound was reset. Above the drift
+ * of at most 2% over the longest wait for an answer. */
 #define CLOCK_BACK_MS 100
 
 void
@@ -14,12 +14,11 @@
         runner->ports->event(
             runner->context, id,
             json_pack("{s:s, s:s, s:i, s:i}", "upstream", runner->up.instance,
-                      "detail", reason, "tasks", (int)runner->live,
+                      "detail", reason, "tasks", (int)runner->active_tasks,
                       "pace_percent", (int)runner->health.pace_percent));
     }
 }
 
-/* The upstream's clock shows at least this now. */
 int64_t
 RunnerUpstream_Clock(const Runner *runner, int64_t now_ms)
 {
@@ -36,16 +35,16 @@
     }
 }
 
-/* ---- lives ---- */
+/* ---- incarnations ---- */
 
-/* Forgets what an earlier life has counted, told and seen. */
+/* Resets all counters and observations of the earlier incarnation. */
 static void
-begin_life(Runner *runner, int64_t now_ms, int64_t born_ms)
+reset_for_incarnation(Runner *runner, int64_t now_ms, int64_t born_ms)
 {
-    RunnerKept_LetGoAll(runner);
-    runner->up.life++;
+    RunnerKept_ReleaseAll(runner);
+    runner->up.incarnation++;
     runner->up.born_ms = born_ms;
-    runner->up.drained = runner->up.draining;
+    runner->up.earlier_drained = runner->up.draining;
     runner->up.sequence = 0;
     runner->up.inventoried = false;
     runner->up.last_seen = 0;
@@ -54,43 +53,45 @@
     runner->up.clock_read_ms = now_ms;
     runner->up.doubtful = false;
     runner->up.refused = false;
-    runner->missed_in_row = 0;
-    runner->look_count = 0;
+    runner->consecutive_misses = 0;
+    runner->poll_count = 0;
     memset(&runner->answers, 0, sizeof(runner->answers));
-    runner->look_again_ms = now_ms;
+    runner->next_poll_ms = now_ms;
     runner->health = Health_New();
     runner->version++;
 }
 
-/* Another name: orders name it, so that none of those before is carried out.
- */
+/* Switches to an incarnation with another instance name. Orders carry the
+ * name, so the new one executes none that were sent to the old one. */
 static void
-begin_instance(Runner *runner, int64_t now_ms, const Runner_Upstream *upstream)
+switch_instance(Runner *runner, int64_t now_ms,
+                const Runner_Upstream *upstream)
 {
     bool first = !runner->up.known && runner->up.instance[0] == '\0';
 
     RunnerTask_LoseAll(runner, now_ms, !runner->up.draining);
-    begin_life(runner, now_ms, upstream->born_ms);
+    reset_for_incarnation(runner, now_ms, upstream->born_ms);
     runner->hold_until_ms = 0;
     g_free(runner->up.instance);
     runner->up.instance = g_strdup(upstream->instance);
     RunnerUpstream_Log(runner, EVENT_UPSTREAM_KNOWN,
-                       first ? "heard of" : "a new incarnation");
+                       first ? "first heartbeat" : "new incarnation");
 }
 
-/* The same name: an order to the earlier life may be carried out by this one,
- * on whose clock its deadline means nothing. It is refused from now on for its
- * token, and what has come before is listed and stopped, see is_over of
- * runner_look.c. Until then an upstream that cannot be reached holds it as
- * long as it holds anything. */
+/* Switches to a new incarnation with the same instance name, which may execute
+ * an order sent to the earlier one although the order's deadline means nothing
+ * on its clock. From now on such orders are refused because of their lower
+ * token. Those executed before are listed and stopped, see
+ * is_certainly_over() in runner_look.c. Until then, an unreachable upstream
+ * may hold such a run for the longest hold that it grants. */
 static void
-begin_again(Runner *runner, int64_t now_ms, int64_t born_ms)
+restart_instance(Runner *runner, int64_t now_ms, int64_t born_ms)
 {
-    begin_life(runner, now_ms, born_ms);
+    reset_for_incarnation(runner, now_ms, born_ms);
     runner->token++;
     runner->up.known = false;
-    if (runner->live > 0) {
-        RunnerLook_NoteHold(runner, now_ms, runner->config.term.hold_most_ms);
+    if (runner->active_tasks > 0) {
+        RunnerPoll_NoteHold(runner, now_ms, runner->config.term.hold_most_ms);
     }
     RunnerUpstream_Log(runner, EVENT_UPSTREAM_KNOWN,
                        "started again under its name");
@@ -110,13 +111,13 @@
 }
 
 static void
-keep_successor(Runner *runner, int64_t now_ms, const Runner_Upstream *said)
+store_successor(Runner *runner, int64_t now_ms, const Runner_Upstream *said)
 {
     Runner_Successor *successor = &runner->successor;
 
     drop_successor(runner);
     successor->pending = true;
-    successor->after_look = runner->last_look_id;
+    successor->after_poll = runner->last_poll_id;
     successor->instance = g_strdup(said->instance);
     successor->service = g_strdup(said->service);
     successor->labels = g_strdupv((char **)said->labels);
@@ -124,12 +125,13 @@
     successor->said.instance = successor->instance;
     successor->said.service = successor->service;
     successor->said.labels = (const char *const *)successor->labels;
-    runner->look_again_ms = now_ms;
-    RunnerLook_Send(runner, now_ms);
+    runner->next_poll_ms = now_ms;
+    RunnerPoll_Send(runner, now_ms);
 }
 
 static void
-pass_over(Runner *runner, const Runner_Upstream *said, const char *reason)
+ignore_heartbeat(Runner *runner, const Runner_Upstream *said,
+                 const char *reason)
 {
     Counter_Add(&runner->counters, COUNTER_HEARTBEATS_LATE, 1);
     if (Event_Admit(EVENT_HEARTBEAT_LATE)) {
@@ -145,13 +147,13 @@
 }
 
 void
-RunnerUpstream_Confirm(Runner *runner, uint64_t look_id)
+RunnerUpstream_Confirm(Runner *runner, uint64_t poll_id)
 {
     Runner_Successor *successor = &runner->successor;
 
-    if (successor->pending && look_id > successor->after_look) {
-        pass_over(runner, &successor->said,
-                  "another incarnation answers at its address");
+    if (successor->pending && poll_id > successor->after_poll) {
+        ignore_heartbeat(runner, &successor->said,
+                         "another incarnation answers at this address");
         Incarnations_NoteGone(&runner->gone, successor->instance,
                               successor->said.born_ms);
         drop_successor(runner);
@@ -167,8 +169,8 @@
 
     if (draining != runner->up.draining) {
         RunnerUpstream_Log(runner, EVENT_UPSTREAM_DRAINING,
-                           draining ? "takes no more tasks"
-                                    : "takes tasks again");
+                           draining ? "accepts no more tasks"
+                                    : "accepts tasks again");
     }
     runner->version++;
     runner->up.known = true;
@@ -181,33 +183,35 @@
     g_strfreev(runner->up.labels);
     runner->up.labels = g_strdupv((char **)upstream->labels);
     RunnerUpstream_TakeClock(runner, now_ms, upstream->clock_ms);
-    RunnerLook_Send(runner, now_ms);
+    RunnerPoll_Send(runner, now_ms);
 }
 
 static void
-begin_other(Runner *runner, int64_t now_ms, const Runner_Upstream *upstream)
+adopt_incarnation(Runner *runner, int64_t now_ms,
+                  const Runner_Upstream *upstream)
 {
     if (strcmp(runner->up.instance, upstream->instance) == 0) {
-        begin_again(runner, now_ms, upstream->born_ms);
+        restart_instance(runner, now_ms, upstream->born_ms);
     }
     else {
-        begin_instance(runner, now_ms, upstream);
+        switch_instance(runner, now_ms, upstream);
     }
     take_state(runner, now_ms, upstream);
 }
 
-/* The upstream is asked first if the incarnation in force may live. It is
- * taken as gone for good on the upstream's own word alone: this incarnation
- * may be the dead one. */
+/* If the current incarnation may be alive, the upstream is polled first. Only
+ * the upstream's own answer marks an incarnation as permanently gone, since
+ * the heartbeat may be a late one of an incarnation that is dead. */
 static void
-take_other(Runner *runner, int64_t now_ms, const Runner_Upstream *upstream)
+take_other_heartbeat(Runner *runner, int64_t now_ms,
+                     const Runner_Upstream *upstream)
 {
     if (runner->up.known && !runner->up.doubtful) {
-        keep_successor(runner, now_ms, upstream);
+        store_successor(runner, now_ms, upstream);
         return;
     }
     drop_successor(runner);
-    begin_other(runner, now_ms, upstream);
+    adopt_incarnation(runner, now_ms, upstream);
 }
 
 static bool
@@ -218,28 +222,29 @@
             runner->up.born_ms == 0);
 }
 
-/* Why a heartbeat counts for nothing, or NULL. An upstream that has told its
- * start goes on to tell it, and never changes its service in one life. */
+/* Returns the reason to ignore a heartbeat, or NULL. An upstream that has
+ * reported its start time continues to do so, and never changes its service
+ * within one incarnation. */
 static const char *
-reason_to_pass(const Runner *runner, const Runner_Upstream *upstream)
+reason_to_ignore(const Runner *runner, const Runner_Upstream *upstream)
 {
     if (Incarnations_IsGone(&runner->gone, upstream->instance,
                             upstream->born_ms)) {
-        return "this incarnation is gone";
+        return "this incarnation is known to be gone";
     }
     if (strcmp(runner->up.instance, upstream->instance) == 0 &&
         upstream->born_ms == 0 && runner->up.born_ms != 0) {
-        return "it tells no start, and the incarnation in force does";
+        return "has no start time, unlike the current incarnation";
     }
     if (!is_in_force(runner, upstream)) {
         return NULL;
     }
     if (upstream->sequence <= runner->up.sequence) {
-        return "a later one has come";
+        return "a later heartbeat was already received";
     }
     if (runner->up.known &&
         strcmp(runner->up.service, upstream->service) != 0) {
-        return "it names another service than the incarnation in force";
+        return "names another service than the current incarnation";
     }
     return NULL;
 }
@@ -248,13 +253,13 @@
 Runner_OnUpstream(Runner *runner, int64_t now_ms,
                   const Runner_Upstream *upstream)
 {
-    const char *reason = reason_to_pass(runner, upstream);
+    const char *reason = reason_to_ignore(runner, upstream);
 
     if (reason != NULL) {
-        pass_over(runner, upstream, reason);
+        ignore_heartbeat(runner, upstream, reason);
     }
     else if (!is_in_force(runner, upstream)) {
-        take_other(runner, now_ms, upstream);
+        take_other_heartbeat(runner, now_ms, upstream);
     }
     else {
         runner->up.born_ms = upstream->born_ms;
@@ -263,7 +268,7 @@
 }
 
 static void
-lose(Runner *runner, int64_t now_ms, const char *reason, bool crashed)
+lose_upstream(Runner *runner, int64_t now_ms, const char *reason, bool crashed)
 {
     RunnerUpstream_Log(runner, EVENT_UPSTREAM_LOST, reason);
     RunnerTask_LoseAll(runner, now_ms, crashed);
@@ -271,10 +276,11 @@
     runner->version++;
 }
 
-/* One that tells no start may have left in an earlier life, of which it is
- * heard late: the upstream is asked if it has not said that it drains. */
+/* A leave message without a start time may be a late one of an earlier
+ * incarnation. Unless the upstream has reported that it drains, it is polled
+ * to find out. */
 static bool
-may_be_earlier(const Runner *runner, int64_t born_ms)
+may_be_earlier_incarnation(const Runner *runner, int64_t born_ms)
 {
     return born_ms == 0 && runner->up.born_ms != 0 && !runner->up.draining;
 }
@@ -285,22 +291,23 @@
 {
     bool same = strcmp(runner->up.instance, instance) == 0;
 
-    if (born_ms == 0 && same && !may_be_earlier(runner, born_ms)) {
+    if (born_ms == 0 && same && !may_be_earlier_incarnation(runner, born_ms)) {
         born_ms = runner->up.born_ms;
     }
-    if (same && may_be_earlier(runner, born_ms)) {
-        RunnerUpstream_Doubt(runner, "it, or an earlier life of it, has left");
-        RunnerLook_Send(runner, now_ms);
+    if (same && may_be_earlier_incarnation(runner, born_ms)) {
+        RunnerUpstream_Suspect(runner,
+                               "it or an earlier incarnation of it has left");
+        RunnerPoll_Send(runner, now_ms);
         return;
     }
     Incarnations_NoteGone(&runner->gone, instance, born_ms);
     if (runner->up.known && same && born_ms == runner->up.born_ms) {
-        lose(runner, now_ms, "it has left", false);
+        lose_upstream(runner, now_ms, "the upstream has left", false);
     }
 }
 
 void
-RunnerUpstream_Doubt(Runner *runner, const char *reason)
+RunnerUpstream_Suspect(Runner *runner, const char *reason)
 {
     if (runner->up.doubtful) {
         return;
@@ -313,9 +320,9 @@
 }
 
 void
-RunnerUpstream_Refused(Runner *runner)
+RunnerUpstream_NoteRefused(Runner *runner)
 {
-    RunnerUpstream_Doubt(runner, "no connection");
+    RunnerUpstream_Suspect(runner, "connection failed");
     runner->up.refused = true;
 }
 
@@ -327,12 +334,12 @@
                        (now_ms - sent_ms) - CLOCK_BACK_MS;
 
     if (clock_ms > 0 && clock_ms < least_ms && runner->up.born_ms != 0) {
-        RunnerUpstream_Doubt(runner, "its clock has gone back");
+        RunnerUpstream_Suspect(runner, "upstream clock has gone back");
     }
 }
 
 bool
-RunnerUpstream_MeetLife(Runner *runner, int64_t now_ms, int64_t born_ms)
+RunnerUpstream_CheckStartTime(Runner *runner, int64_t now_ms, int64_t born_ms)
 {
     Runner_Successor *next = &runner->successor;
 
@@ -345,7 +352,7 @@
     }
     Incarnations_NoteGone(&runner->gone, runner->up.instance,
                           runner->up.born_ms);
-    begin_again(runner, now_ms, born_ms);
+    restart_instance(runner, now_ms, born_ms);
     if (next->pending && next->said.born_ms == born_ms &&
         strcmp(next->instance, runner->up.instance) == 0) {
         take_state(runner, now_ms, &next->said);
@@ -354,9 +361,8 @@
     return true;
 }
 
-/* What is known of the upstream's incarnation is out of date. */
 void
-RunnerUpstream_MeetOther(Runner *runner, int64_t now_ms)
+RunnerUpstream_OnOtherIncarnation(Runner *runner, int64_t now_ms)
 {
     Runner_Successor next = runner->successor;
 
@@ -365,11 +371,12 @@
         runner->up.instance = g_strdup("");
         return;
     }
-    lose(runner, now_ms, "another incarnation answers", !runner->up.draining);
+    lose_upstream(runner, now_ms, "another incarnation answers",
+                  !runner->up.draining);
     Incarnations_NoteGone(&runner->gone, runner->up.instance,
                           runner->up.born_ms);
     if (next.pending && strcmp(next.instance, runner->up.instance) != 0) {
-        begin_instance(runner, now_ms, &next.said);
+        switch_instance(runner, now_ms, &next.said);
         take_state(runner, now_ms, &next.said);
     }
     drop_successor(runner);
--- a/tests/order_rules.c
+++ b/tests/order_rules.c
@@ -14,13 +14,13 @@
 /* Copies of a start before its run is stopped. */
 #define COPIES 6
 /* Of two starts until the doubt begins. */
-#define COPIES_OF_TWO 12
+#define COPIES_OF_TWO_STARTS 12
 /* Between two readings of the clock while answers are awaited, in ms. */
 #define STEP_MS 10
 
 /* No answer comes for @p ms. */
 static void
-stay_silent(runner_fixture *fix, int64_t ms)
+withhold_answers(runner_fixture *fix, int64_t ms)
 {
     int64_t until_ms = fix->now_ms + ms;
 
@@ -34,13 +34,13 @@
 
 /* No order is answered for @p ms, but looks are. */
 static void
-answer_looks_alone(runner_fixture *fix, int64_t ms)
+answer_polls_only(runner_fixture *fix, int64_t ms)
 {
     int64_t until_ms = fix->now_ms + ms;
     uint64_t answered = 0;
 
     while (fix->now_ms < until_ms) {
-        stay_silent(fix, STEP_MS);
+        withhold_answers(fix, STEP_MS);
         if (fix->look_id != answered) {
             answered = fix->look_id;
             RunnerFix_AnswerLook(fix, NULL, 0, NULL, 0);
@@ -73,7 +73,7 @@
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 1000, 500);
     first = fix.start;
-    stay_silent(&fix, STEP_MS);
+    withhold_answers(&fix, STEP_MS);
     g_assert_cmpint(fix.starts, ==, 2);
     g_assert_cmpint(fix.stops, ==, 0);
     g_assert_true(RunId_Equal(&fix.start.id, &first.id));
@@ -87,7 +87,7 @@
     runner_fixture fix;
 
     new_with_run(&fix);
-    stay_silent(&fix, PAUSE_MS);
+    withhold_answers(&fix, PAUSE_MS);
     Runner_Tick(fix.runner, fix.now_ms);
     g_assert_cmpint(fix.starts, ==, 1);
     Runner_Free(fix.runner);
@@ -101,7 +101,7 @@
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 3000, 500);
-    answer_looks_alone(&fix, 300);
+    answer_polls_only(&fix, 300);
     g_assert_cmpint(fix.starts, ==, COPIES);
     g_assert_cmpint(fix.stops, >=, 1);
     RunnerFix_CallRun(&fix, 2, 1, 1500, 500);
@@ -122,9 +122,9 @@
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 3000, 500);
-    stay_silent(&fix, STEP_MS);
+    withhold_answers(&fix, STEP_MS);
     answer_start(&fix, RUNNER_ORDER_UNANSWERED);
-    stay_silent(&fix, PAUSE_MS / 4);
+    withhold_answers(&fix, PAUSE_MS / 4);
     Runner_Tick(fix.runner, fix.now_ms);
     g_assert_cmpint(fix.starts, >=, 2);
     g_assert_cmpint(fix.stops, ==, 0);
@@ -145,7 +145,7 @@
         runner_fixture fix;
         RunnerFix_NewReady(&fix);
         RunnerFix_CallRun(&fix, 1, 1, 3000, 500);
-        stay_silent(&fix, STEP_MS);
+        withhold_answers(&fix, STEP_MS);
         g_assert_cmpint(fix.starts, ==, 2);
         fix.replies = 0;
         answer_start(&fix, refusals[i]);
@@ -178,7 +178,7 @@
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 3000, 500);
-    stay_silent(&fix, STEP_MS);
+    withhold_answers(&fix, STEP_MS);
     fix.replies = 0;
     answer_start(&fix, RUNNER_ORDER_OLD);
     g_assert_cmpint(fix.replies, ==, 0);
@@ -198,7 +198,7 @@
     RunnerFix_CallRun(&fix, 1, 1, 3000, 500);
     answer_start(&fix, RUNNER_ORDER_TAKEN);
     RunnerFix_CallHalt(&fix, 1, 1);
-    stay_silent(&fix, STEP_MS);
+    withhold_answers(&fix, STEP_MS);
     g_assert_cmpint(fix.stops, >=, 2);
     Runner_Free(fix.runner);
 }
@@ -214,12 +214,12 @@
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 1000, 500);
     RunnerFix_CallRun(&fix, 2, 1, 1000, 500);
-    stay_silent(&fix, 120);
+    withhold_answers(&fix, 120);
     Runner_State(fix.runner, fix.now_ms, &state);
     g_assert_cmpint(state.state, ==, LC_UPSTREAM_ABSENT);
     starts = fix.starts;
-    g_assert_cmpint(starts, <, COPIES_OF_TWO);
-    stay_silent(&fix, PAUSE_MS);
+    g_assert_cmpint(starts, <, COPIES_OF_TWO_STARTS);
+    withhold_answers(&fix, PAUSE_MS);
     Runner_Tick(fix.runner, fix.now_ms);
     g_assert_cmpint(fix.starts, ==, starts);
     RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
@@ -230,21 +230,21 @@
 
 /* Three answers missing in a row are still taken for chance. */
 static void
-test_few_misses(void)
+test_few_missing_answers(void)
 {
     runner_fixture fix;
     lc_host_state state;
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 1000, 500);
-    stay_silent(&fix, STEP_MS);
+    withhold_answers(&fix, STEP_MS);
     Runner_State(fix.runner, fix.now_ms, &state);
     g_assert_cmpint(state.state, ==, LC_UPSTREAM_READY);
     Runner_Free(fix.runner);
 }
 
 static void
-test_overdue_look(void)
+test_overdue_poll(void)
 {
     runner_fixture fix;
     Runner_EndRow ended = {1, RunnerFix_Run(1, 1), RUNNER_END_DONE};
@@ -256,7 +256,7 @@
 
     new_with_run(&fix);
     first = fix.look_id;
-    stay_silent(&fix, 130);
+    withhold_answers(&fix, 130);
     g_assert_cmpuint(fix.look_id, >, first);
     Runner_OnLook(fix.runner, fix.now_ms, first, &late);
     g_assert_cmpint(fix.status, ==, LC_RUN_DONE);
@@ -265,7 +265,7 @@
 
 /* What an answer tells that a later one has passed is out of date. */
 static void
-test_passed_look(void)
+test_overtaken_poll(void)
 {
     runner_fixture fix;
     Runner_Row running = {RunnerFix_Run(1, 1), 50};
@@ -278,7 +278,7 @@
 
     new_with_run(&fix);
     first = fix.look_id;
-    stay_silent(&fix, 130);
+    withhold_answers(&fix, 130);
     RunnerFix_AnswerLook(&fix, NULL, 0, &ended, 1);
     Runner_OnLook(fix.runner, fix.now_ms, first, &late);
     g_assert_cmpint(fix.stops, ==, 0);
@@ -287,7 +287,7 @@
 
 /* A start that was confirmed after a look was sent may be missing from it. */
 static void
-test_look_before_start(void)
+test_poll_before_start(void)
 {
     runner_fixture fix;
 
@@ -303,19 +303,19 @@
 
 /* Once an answer was missed, looks wait shorter for an end. */
 static void
-test_looks_while_answers_go_missing(void)
+test_polls_while_answers_go_missing(void)
 {
     runner_fixture fix;
-    uint32_t calm_ms;
+    uint32_t usual_wait_ms;
     Runner_Row running = {RunnerFix_Run(1, 1), 50};
 
     new_with_run(&fix);
-    calm_ms = fix.look.wait_ms;
-    stay_silent(&fix, 130);
+    usual_wait_ms = fix.look.wait_ms;
+    withhold_answers(&fix, 130);
     g_assert_cmpuint(fix.look.wait_ms, ==, 0);
     RunnerFix_AnswerLook(&fix, &running, 1, NULL, 0);
     g_assert_cmpuint(fix.look.wait_ms, >, 0);
-    g_assert_cmpuint(fix.look.wait_ms, <, calm_ms);
+    g_assert_cmpuint(fix.look.wait_ms, <, usual_wait_ms);
     Runner_Free(fix.runner);
 }
 
@@ -335,14 +335,15 @@
     {"/orders/a stop without an answer is sent again", test_stop_sent_again},
     {"/orders/a silent upstream is sent nothing but looks",
      test_silent_upstream},
-    {"/orders/a few missing answers are taken for chance", test_few_misses},
+    {"/orders/a few missing answers are taken for chance",
+     test_few_missing_answers},
     {"/looks/an overdue look is followed by another and still counts",
-     test_overdue_look},
-    {"/looks/an answer that was passed changes nothing", test_passed_look},
+     test_overdue_poll},
+    {"/looks/an answer that was passed changes nothing", test_overtaken_poll},
     {"/looks/a look sent before a start does not end it",
-     test_look_before_start},
+     test_poll_before_start},
     {"/looks/wait shorter while answers go missing",
-     test_looks_while_answers_go_missing},
+     test_polls_while_answers_go_missing},
 };
 
 int
--- a/tests/runner_fixture.c
+++ b/tests/runner_fixture.c
@@ -38,7 +38,7 @@
 {
     runner_fixture *fix = context;
 
-    fix->looks++;
+    fix->polls++;
     fix->look_id = id;
     fix->look = *look;
 }
@@ -66,7 +66,7 @@
 
 void
 RunnerFix_BeatOf(runner_fixture *fix, const char *instance, uint64_t sequence,
-                 Runner_Says says)
+                 Runner_ReportedState says)
 {
     static const char *const labels[] = {NULL};
     Runner_Upstream upstream = {.instance = instance,
@@ -83,13 +83,13 @@
 }
 
 void
-RunnerFix_Beat(runner_fixture *fix, Runner_Says says)
+RunnerFix_Beat(runner_fixture *fix, Runner_ReportedState says)
 {
     RunnerFix_BeatOf(fix, "i-1", ++fix->beats, says);
 }
 
 void
-RunnerFix_AnswerLookOther(runner_fixture *fix)
+RunnerFix_AnswerPollOther(runner_fixture *fix)
 {
     Runner_Listing listing = {.end = RUNNER_ORDER_OTHER};
 
@@ -165,7 +165,7 @@
 }
 
 void
-RunnerFix_AskRun(runner_fixture *fix, uint64_t job, uint32_t run)
+RunnerFix_QueryRun(runner_fixture *fix, uint64_t job, uint32_t run)
 {
     RunnerFix_CallRun(fix, job, run, 1000, LC_HOLD_NONE - fix->now_ms);
 }
--- a/tests/runner_fixture.h
+++ b/tests/runner_fixture.h
@@ -43,7 +43,7 @@
     int64_t caller_as_of; /* records of operators that the entry has read */
     int starts;
     int stops;
-    int looks;
+    int polls;
     uint64_t start_id;
     Runner_Start start;
     uint64_t look_id;
@@ -62,14 +62,14 @@
 void RunnerFix_NewReady(runner_fixture *fix);
 
 /** The upstream says that it is there. */
-void RunnerFix_Beat(runner_fixture *fix, Runner_Says says);
+void RunnerFix_Beat(runner_fixture *fix, Runner_ReportedState says);
 
 /** A heartbeat of any incarnation, of that number. */
 void RunnerFix_BeatOf(runner_fixture *fix, const char *instance,
-                      uint64_t sequence, Runner_Says says);
+                      uint64_t sequence, Runner_ReportedState says);
 
 /** The last look is answered by another incarnation. */
-void RunnerFix_AnswerLookOther(runner_fixture *fix);
+void RunnerFix_AnswerPollOther(runner_fixture *fix);
 
 /** The last look is answered with these lists. */
 void RunnerFix_AnswerLook(runner_fixture *fix, const Runner_Row *running,
@@ -84,7 +84,7 @@
                        uint32_t cpu, int64_t valid_ms);
 
 /** Calls RUN with LC_HOLD_NONE, which asks for a run without starting it. */
-void RunnerFix_AskRun(runner_fixture *fix, uint64_t job, uint32_t run);
+void RunnerFix_QueryRun(runner_fixture *fix, uint64_t job, uint32_t run);
 
 /** The upstream runs a task of job 1; nothing has been told of it. */
 void RunnerFix_BeginTask(runner_fixture *fix);
--- a/tests/runner_rules.c
+++ b/tests/runner_rules.c
@@ -154,7 +154,7 @@
 /* The companion's previous incarnation may have started the run: it must not
  * be started twice under the same number. */
 static void
-test_asked_run_is_not_started(void)
+test_queried_run_is_not_started(void)
 {
     lc_run_id run = RunnerFix_Run(1, RUN_ID_KEPT_BASE + 1);
     Runner_EndRow ended = {5, run, RUNNER_END_DONE};
@@ -162,14 +162,14 @@
 
     RunnerFix_New(&fix);
     RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
-    RunnerFix_AskRun(&fix, 1, run.run);
-    RunnerFix_AskRun(&fix, 2, run.run);
+    RunnerFix_QueryRun(&fix, 1, run.run);
+    RunnerFix_QueryRun(&fix, 2, run.run);
     g_assert_cmpint(fix.replies, ==, 2);
     g_assert_cmpint(fix.status, ==, LC_RUN_NOT_READY);
     RunnerFix_AnswerLook(&fix, NULL, 0, &ended, 1);
-    RunnerFix_AskRun(&fix, 1, run.run);
+    RunnerFix_QueryRun(&fix, 1, run.run);
     g_assert_cmpint(fix.status, ==, LC_RUN_DONE);
-    RunnerFix_AskRun(&fix, 2, run.run);
+    RunnerFix_QueryRun(&fix, 2, run.run);
     g_assert_cmpint(fix.status, ==, LC_RUN_EXPIRED);
     g_assert_cmpint(fix.starts, ==, 0);
     Runner_Free(fix.runner);
@@ -188,7 +188,7 @@
 }
 
 static void
-test_ends_are_noted(void)
+test_ends_are_acknowledged(void)
 {
     runner_fixture fix;
     Runner_EndRow ended = {5, RunnerFix_Run(1, 1), RUNNER_END_DONE};
@@ -229,14 +229,14 @@
 test_full_listing(void)
 {
     runner_fixture fix;
-    Runner_EndRow ended[RUNNER_ENDS_AT_ONCE];
+    Runner_EndRow ended[RUNNER_MAX_LISTED_ENDS];
     uint32_t i;
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, RUN_ID_KEPT_BASE + 1, 1000, 5000);
     Runner_OnStarted(fix.runner, fix.now_ms, fix.start_id, RUNNER_ORDER_TAKEN,
                      0);
-    for (i = 0; i < RUNNER_ENDS_AT_ONCE; i++) {
+    for (i = 0; i < RUNNER_MAX_LISTED_ENDS; i++) {
         ended[i].number = i + 1;
         ended[i].id = RunnerFix_Run(1000 + i, RUN_ID_KEPT_BASE + 1);
         ended[i].end = RUNNER_END_DONE;
@@ -245,7 +245,7 @@
     RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
     fix.replies = 0;
     fix.now_ms += 10;
-    RunnerFix_AnswerLook(&fix, NULL, 0, ended, RUNNER_ENDS_AT_ONCE);
+    RunnerFix_AnswerLook(&fix, NULL, 0, ended, RUNNER_MAX_LISTED_ENDS);
     g_assert_cmpint(fix.replies, ==, 0);
     RunnerFix_CallRun(&fix, 2, RUN_ID_KEPT_BASE + 1, 1000, 500);
     g_assert_cmpint(fix.status, ==, LC_RUN_NO_ROOM);
@@ -330,9 +330,9 @@
     {"/runner/a refused run stays refused", test_refused_run_stays_refused},
     {"/runner/looks for strangers first", test_inventory_first},
     {"/runner/does not start a run called with LC_HOLD_NONE",
-     test_asked_run_is_not_started},
+     test_queried_run_is_not_started},
     {"/runner/starts nothing on an upstream that leaves", test_draining},
-    {"/runner/takes note of ends", test_ends_are_noted},
+    {"/runner/takes note of ends", test_ends_are_acknowledged},
     {"/runner/holds ends of kept jobs until they are released",
      test_kept_ends_are_held},
     {"/runner/does not take a run as over when its end may be hidden",
