--- a/lease/health.h
+++ b/lease/health.h
@@ -19,8 +19,7 @@
 /** Health of one upstream. A plain value; owns no memory. */
 typedef struct {
     uint32_t pace_percent; /**< moving mean of run time over estimate */
-    uint32_t
-        consecutive_failures; /**< failures of different jobs, and stalls */
+    uint32_t consecutive_failures; /**< of different jobs; and stalls */
     uint64_t last_failed_job;
     uint32_t consecutive_successes; /**< while on trial */
     bool trial;
--- a/lease/runner.c
+++ b/lease/runner.c
@@ -29,7 +29,7 @@
     runner->fenced = g_array_new(FALSE, TRUE, sizeof(lc_node));
     runner->token = config->first_token;
     runner->up.instance = g_strdup("");
-    Incarnations_Init(&runner->gone);
+    Incarnations_Init(&runner->ended_incarnations);
     Closures_Init(&runner->closures, now_ms);
     runner->up.service = g_strdup("");
     runner->up.labels = g_new0(char *, 1);
@@ -58,7 +58,7 @@
 }
 
 static lc_resources
-free_room(const Runner *runner)
+available_room(const Runner *runner)
 {
     lc_resources room = runner->up.capacity;
 
@@ -91,7 +91,7 @@
     if ((state->state == LC_UPSTREAM_READY ||
          state->state == LC_UPSTREAM_TRIAL) &&
         Health_Admits(&runner->health, now_ms, runner->active_tasks)) {
-        state->room = free_room(runner);
+        state->room = available_room(runner);
     }
     state->pace_percent = runner->health.pace_percent;
     state->tasks = runner->active_tasks;
@@ -132,7 +132,7 @@
 static lc_run_status
 admit(const Runner *runner, int64_t now_ms, const lc_run_args *args)
 {
-    lc_resources room = free_room(runner);
+    lc_resources room = available_room(runner);
 
     if (args->target != 0 && args->target != runner->config.node.incarnation) {
         return runner->up.inventoried ? LC_RUN_OTHER_NODE : LC_RUN_NOT_READY;
@@ -141,7 +141,7 @@
         return LC_RUN_NOT_READY;
     }
     if (now_ms > args->valid_until_ms ||
-        RunnerKept_IsFenced(runner, &args->owner)) {
+        RunnerDurable_IsFenced(runner, &args->owner)) {
         return LC_RUN_EXPIRED;
     }
     if (Closures_Refuses(&runner->closures, runner->config.hall,
@@ -176,14 +176,14 @@
 /* Records a run as ended without having started it, so that a late copy of its
  * RUN call does not start it: the entry may have sent the task elsewhere.
  * Copies are valid for one lease, which is shorter than RETENTION_MS of
- * runner_kept.c. */
+ * runner_durable.c. */
 static Runner_Task *
 add_tombstone(Runner *runner, int64_t now_ms, const lc_node *owner,
               const lc_run_id *id, lc_run_status status)
 {
-    lc_run_args gone = {
+    lc_run_args ended = {
         .owner = *owner, .id = *id, .spec = (char *)(uintptr_t) ""};
-    Runner_Task *row = RunnerTask_Add(runner, now_ms, &gone);
+    Runner_Task *row = RunnerTask_Add(runner, now_ms, &ended);
 
     row->state = TASK_ENDED;
     row->status = status;
@@ -267,7 +267,7 @@
     if (args->target == runner->config.node.incarnation &&
         args->valid_until_ms >= now_ms) {
         RunnerOwner_Extend(runner, &args->owner, args->valid_until_ms);
-        if (args->kept != 0 && !RunnerKept_IsFenced(runner, &keeper)) {
+        if (args->kept != 0 && !RunnerDurable_IsFenced(runner, &keeper)) {
             RunnerOwner_Extend(runner, &keeper,
                                args->valid_until_ms + TERM_KEPT_MS);
         }
@@ -291,10 +291,10 @@
         on_halt(runner, now_ms, reply_id, &call->u.halt);
         break;
     case MSG_RELEASE:
-        RunnerKept_OnRelease(runner, now_ms, reply_id, &call->u.release);
+        RunnerDurable_OnRelease(runner, now_ms, reply_id, &call->u.release);
         break;
     case MSG_FENCE:
-        RunnerKept_OnFence(runner, now_ms, reply_id, &call->u.fence);
+        RunnerDurable_OnFence(runner, now_ms, reply_id, &call->u.fence);
         break;
     default:
         return false;
@@ -326,16 +326,16 @@
     runner->held_long = 0;
     for (item = rows; item != NULL; item = item->next) {
         Runner_Task *row = item->data;
-        runner->held_long += RunnerKept_IsHeldLong(row, now_ms);
+        runner->held_long += RunnerDurable_IsHeldLong(row, now_ms);
         if (row->state != TASK_ENDED) {
             stop_if_lease_expired(runner, now_ms, row);
             RunnerOrder_Retry(runner, now_ms, row);
         }
         else if (row->held_for_start) {
-            RunnerKept_CheckStartHold(runner, now_ms, row);
+            RunnerDurable_CheckStartHold(runner, now_ms, row);
         }
-        else if (RunnerKept_IsDisposable(runner, row, now_ms)) {
-            RunnerKept_Release(runner, row);
+        else if (RunnerDurable_IsDisposable(runner, row, now_ms)) {
+            RunnerDurable_Release(runner, row);
             RunnerTask_Remove(runner, row);
         }
     }
@@ -384,7 +384,7 @@
 Runner_IsIdle(const Runner *runner)
 {
     return runner->active_tasks == 0 &&
-           (RunnerKept_LastSeen(runner) == runner->up.acknowledged ||
+           (RunnerDurable_LastSeen(runner) == runner->up.acknowledged ||
             !runner->up.known);
 }
 
--- a/lease/runner.h
+++ b/lease/runner.h
@@ -25,7 +25,7 @@
 /** Maximum number of ended runs in one answer of an upstream. Later ones are
  * not listed until these have been acknowledged. */
 #define RUNNER_MAX_LISTED_ENDS 500
-/** Maximum number of ends of kept jobs that a companion holds until their
+/** Maximum number of ends of durable jobs that a companion holds until their
  * owners have stored and released them. */
 #define RUNNER_MOST_HELD 300
 
--- a/lease/runner_kept.c
+++ b/lease/runner_kept.c
@@ -11,12 +11,12 @@
 #define HELD_RETENTION_MS 30000
 /* Owners have usually stored an end within this time. */
 #define HELD_LONG_MS 1500
-/* The oldest fenced owner is dropped beyond this number: an owner that is gone
- * does not come back after so many others. */
+/* Beyond this number, the oldest fenced owner is dropped. A claimed owner
+ * does not come back after so many others were claimed. */
 #define MAX_FENCED 64
 
 bool
-RunnerKept_IsFenced(const Runner *runner, const lc_node *owner)
+RunnerDurable_IsFenced(const Runner *runner, const lc_node *owner)
 {
     return Msg_HasNode(runner->fenced, owner);
 }
@@ -94,7 +94,7 @@
 /* An upstream lists a limited number of ends per answer, so the oldest holds
  * are cleared early to keep newer ends listed. */
 void
-RunnerKept_CheckStartHold(Runner *runner, int64_t now_ms, Runner_Task *row)
+RunnerDurable_CheckStartHold(Runner *runner, int64_t now_ms, Runner_Task *row)
 {
     if (now_ms >= hold_expiry(runner, row) ||
         runner->up.last_seen - row->end_number >= RUNNER_MOST_HELD) {
@@ -119,8 +119,8 @@
 }
 
 void
-RunnerKept_HoldEnd(Runner *runner, int64_t now_ms, Runner_Task *row,
-                   const Runner_EndRow *ended)
+RunnerDurable_HoldEnd(Runner *runner, int64_t now_ms, Runner_Task *row,
+                      const Runner_EndRow *ended)
 {
     bool stopped = row != NULL && row->state == TASK_STOPPING &&
                    ended->end != RUNNER_END_DONE;
@@ -138,7 +138,7 @@
 }
 
 void
-RunnerKept_Release(Runner *runner, Runner_Task *row)
+RunnerDurable_Release(Runner *runner, Runner_Task *row)
 {
     if (row->unreleased) {
         row->unreleased = false;
@@ -147,14 +147,14 @@
 }
 
 void
-RunnerKept_ReleaseAll(Runner *runner)
+RunnerDurable_ReleaseAll(Runner *runner)
 {
     GList *rows = RunnerTask_All(runner);
     GList *item;
 
     for (item = rows; item != NULL; item = item->next) {
         Runner_Task *row = item->data;
-        RunnerKept_Release(runner, row);
+        RunnerDurable_Release(runner, row);
         clear_start_hold(runner, row);
         row->end_number = 0; /* may be listed again under another number */
     }
@@ -162,7 +162,7 @@
 }
 
 uint64_t
-RunnerKept_LastSeen(const Runner *runner)
+RunnerDurable_LastSeen(const Runner *runner)
 {
     uint64_t last = runner->up.last_seen;
     GHashTableIter iter;
@@ -182,14 +182,14 @@
 }
 
 bool
-RunnerKept_IsHeldLong(const Runner_Task *row, int64_t now_ms)
+RunnerDurable_IsHeldLong(const Runner_Task *row, int64_t now_ms)
 {
     return row->unreleased && now_ms - row->ended_ms > HELD_LONG_MS;
 }
 
 bool
-RunnerKept_IsDisposable(const Runner *runner, const Runner_Task *row,
-                        int64_t now_ms)
+RunnerDurable_IsDisposable(const Runner *runner, const Runner_Task *row,
+                           int64_t now_ms)
 {
     bool start_expired = !RunId_IsKept(&row->id) ||
                          now_ms >= start_expiry(runner, row);
@@ -200,8 +200,8 @@
 }
 
 void
-RunnerKept_OnRelease(Runner *runner, int64_t now_ms, uint64_t reply_id,
-                     const lc_release_args *args)
+RunnerDurable_OnRelease(Runner *runner, int64_t now_ms, uint64_t reply_id,
+                        const lc_release_args *args)
 {
     Msg_Reply reply = {.kind = MSG_RELEASE};
     u_int i;
@@ -212,7 +212,7 @@
         Runner_Task *row = g_hash_table_lookup(runner->tasks,
                                                &args->runs.runs_val[i]);
         if (row != NULL) {
-            RunnerKept_Release(runner, row);
+            RunnerDurable_Release(runner, row);
         }
     }
     Runner_State(runner, now_ms, &reply.u.release.host);
@@ -220,15 +220,15 @@
 }
 
 static void
-add_fenced(Runner *runner, const lc_node *gone)
+add_fenced(Runner *runner, const lc_node *owner)
 {
-    if (RunnerKept_IsFenced(runner, gone)) {
+    if (RunnerDurable_IsFenced(runner, owner)) {
         return;
     }
     if (runner->fenced->len >= MAX_FENCED) {
         g_array_remove_index(runner->fenced, 0);
     }
-    g_array_append_val(runner->fenced, *gone);
+    g_array_append_val(runner->fenced, *owner);
 }
 
 /* Transfers a run to the successor of its owner, with a new lease plus
@@ -237,10 +237,10 @@
 transfer_run(Runner *runner, int64_t now_ms, Runner_Task *row,
              const lc_node *successor)
 {
-    Runner_Owner *gone = RunnerOwner_Find(runner, &row->owner);
+    Runner_Owner *former = RunnerOwner_Find(runner, &row->owner);
 
-    if (gone != NULL) {
-        gone->running--;
+    if (former != NULL) {
+        former->running--;
     }
     row->owner = *successor;
     RunnerOwner_Extend(runner, successor,
@@ -290,8 +290,8 @@
 }
 
 void
-RunnerKept_OnFence(Runner *runner, int64_t now_ms, uint64_t reply_id,
-                   const lc_fence_args *args)
+RunnerDurable_OnFence(Runner *runner, int64_t now_ms, uint64_t reply_id,
+                      const lc_fence_args *args)
 {
     Msg_Reply reply = {.kind = MSG_FENCE};
     GArray *runs = g_array_new(FALSE, TRUE, sizeof(lc_held_run));
--- a/lease/runner_look.c
+++ b/lease/runner_look.c
@@ -24,7 +24,7 @@
 static uint64_t
 unacknowledged_last_seen(const Runner *runner)
 {
-    uint64_t last_seen = RunnerKept_LastSeen(runner);
+    uint64_t last_seen = RunnerDurable_LastSeen(runner);
 
     return last_seen > runner->up.acknowledged ? last_seen : 0;
 }
@@ -172,7 +172,7 @@
 
     runner->up.last_seen = MAX(runner->up.last_seen, ended->number);
     if (RunId_IsKept(&ended->id) && (row == NULL || row->end_number == 0)) {
-        RunnerKept_HoldEnd(runner, now_ms, row, ended);
+        RunnerDurable_HoldEnd(runner, now_ms, row, ended);
     }
     if (row == NULL || row->state == TASK_ENDED) {
         return;
@@ -427,12 +427,12 @@
 }
 
 static bool
-remove_poll(Runner *runner, uint64_t poll_id, Runner_PendingPoll *poll)
+remove_poll(Runner *runner, uint64_t look_id, Runner_PendingPoll *poll)
 {
     uint32_t i;
 
     for (i = 0; i < runner->poll_count; i++) {
-        if (runner->polls[i].id == poll_id) {
+        if (runner->polls[i].id == look_id) {
             *poll = runner->polls[i];
             drop_poll(runner, i);
             return true;
@@ -442,12 +442,12 @@
 }
 
 void
-Runner_OnLook(Runner *runner, int64_t now_ms, uint64_t poll_id,
+Runner_OnLook(Runner *runner, int64_t now_ms, uint64_t look_id,
               const Runner_Listing *listing)
 {
     Runner_PendingPoll poll;
 
-    if (!remove_poll(runner, poll_id, &poll)) {
+    if (!remove_poll(runner, look_id, &poll)) {
         return;
     }
     switch (listing->end) {
--- a/lease/runner_state.h
+++ b/lease/runner_state.h
@@ -53,9 +53,9 @@
     bool stop_confirmed;
     int64_t stop_confirmed_ms;
     int64_t ended_ms;
-    uint64_t end_number;       /* as listed by the upstream; 0 if not listed */
-    bool unreleased;           /* end of a kept job's run, not released yet */
-    bool held_for_start;       /* a late copy of its start may still arrive */
+    uint64_t end_number; /* as listed by the upstream; 0 if not listed */
+    bool unreleased;     /* end of a durable job's run, not released yet */
+    bool held_for_start; /* a late copy of its start may still arrive */
     int64_t earlier_expiry_ms; /* of the starts of the task's other runs */
     int64_t progress_ms; /* when the percentage last rose; 0 before any report
                           */
@@ -101,7 +101,7 @@
     char *instance;
     char *service;
     char **labels;
-    Runner_Upstream said; /* points to the strings above */
+    Runner_Upstream heartbeat; /* points to the strings above */
 } Runner_Successor;
 
 /* One copy of a start or stop whose result is awaited. */
@@ -136,7 +136,7 @@
     Health health;
     Runner_UpstreamInfo up;
     Runner_Successor successor;
-    Incarnations gone;
+    Incarnations ended_incarnations;
     Closures closures;
     lc_resources used;
     GHashTable *tasks; /* lc_run_id -> Runner_Task */
@@ -160,7 +160,7 @@
                               tick */
     uint32_t held_for_starts; /* ends held because of late copies of starts */
     int64_t created_ms;
-    GArray *fenced; /* lc_node; former owners of kept jobs, which are gone */
+    GArray *fenced; /* lc_node; claimed owners of durable jobs */
     bool draining;
     uint64_t version;
     lc_label label_row[LC_MAX_LABELS];
@@ -266,46 +266,46 @@
 /** Removes owners without active tasks whose leases have expired. */
 void RunnerOwner_RemoveExpired(Runner *runner, int64_t now_ms);
 
-/* Kept jobs: runner_kept.c. */
+/* Durable jobs: runner_durable.c. */
 
-/** Whether an owner of kept jobs has been fenced because it is gone. */
-bool RunnerKept_IsFenced(const Runner *runner, const lc_node *owner);
+/** Whether an owner of durable jobs was claimed and is fenced. */
+bool RunnerDurable_IsFenced(const Runner *runner, const lc_node *owner);
 
-/** Holds the end of a kept job's run until it is released. @p row is NULL for
- * a run that only the upstream knows, which has no owner. */
-void RunnerKept_HoldEnd(Runner *runner, int64_t now_ms, Runner_Task *row,
-                        const Runner_EndRow *ended);
+/** Holds the end of a durable job's run until it is released. @p row is NULL
+ * for a run that only the upstream knows, which has no owner. */
+void RunnerDurable_HoldEnd(Runner *runner, int64_t now_ms, Runner_Task *row,
+                           const Runner_EndRow *ended);
 
 /** Releases a held end. */
-void RunnerKept_Release(Runner *runner, Runner_Task *row);
+void RunnerDurable_Release(Runner *runner, Runner_Task *row);
 
 /** Whether an end has been held for longer than an owner usually needs to
  * store it. */
-bool RunnerKept_IsHeldLong(const Runner_Task *row, int64_t now_ms);
+bool RunnerDurable_IsHeldLong(const Runner_Task *row, int64_t now_ms);
 
 /** Releases all ends, because the upstream incarnation that listed them is
  * gone. */
-void RunnerKept_ReleaseAll(Runner *runner);
+void RunnerDurable_ReleaseAll(Runner *runner);
 
 /** Highest end number that may be acknowledged. */
-uint64_t RunnerKept_LastSeen(const Runner *runner);
+uint64_t RunnerDurable_LastSeen(const Runner *runner);
 
 /** Stops holding an end once no late copy of its start can be executed, or
  * when too many newer ends are listed. */
-void RunnerKept_CheckStartHold(Runner *runner, int64_t now_ms,
-                               Runner_Task *row);
+void RunnerDurable_CheckStartHold(Runner *runner, int64_t now_ms,
+                                  Runner_Task *row);
 
 /** Whether the record of an ended run may be removed. */
-bool RunnerKept_IsDisposable(const Runner *runner, const Runner_Task *row,
-                             int64_t now_ms);
+bool RunnerDurable_IsDisposable(const Runner *runner, const Runner_Task *row,
+                                int64_t now_ms);
 
 /** Handles a RELEASE call. */
-void RunnerKept_OnRelease(Runner *runner, int64_t now_ms, uint64_t reply_id,
-                          const lc_release_args *args);
+void RunnerDurable_OnRelease(Runner *runner, int64_t now_ms, uint64_t reply_id,
+                             const lc_release_args *args);
 
 /** Handles a FENCE call. */
-void RunnerKept_OnFence(Runner *runner, int64_t now_ms, uint64_t reply_id,
-                        const lc_fence_args *args);
+void RunnerDurable_OnFence(Runner *runner, int64_t now_ms, uint64_t reply_id,
+                           const lc_fence_args *args);
 
 /* The upstream: runner_upstream.c. */
 
@@ -338,7 +338,7 @@
 
 /** The current incarnation has answered a poll: discards the pending successor
  * if the poll was sent after its heartbeat. */
-void RunnerUpstream_Confirm(Runner *runner, uint64_t poll_id);
+void RunnerUpstream_Confirm(Runner *runner, uint64_t look_id);
 
 /** Frees the state of the upstream. */
 void RunnerUpstream_Clear(Runner *runner);
@@ -349,10 +349,10 @@
 /** Logs an event about the upstream. */
 void RunnerUpstream_Log(const Runner *runner, Event_Id id, const char *reason);
 
-/* Polls: runner_look.c. */
+/* Polls: runner_poll.c. */
 
-/** Polls the upstream if there is reason to and no answer is awaited in time.
- */
+/** Polls the upstream if there is reason to, and all pending polls are
+ * overdue. */
 void RunnerPoll_Send(Runner *runner, int64_t now_ms);
 
 /** Records a miss for every poll whose answer has become overdue, and polls
--- a/lease/runner_upstream.c
+++ b/lease/runner_upstream.c
@@ -41,7 +41,7 @@
 static void
 reset_for_incarnation(Runner *runner, int64_t now_ms, int64_t born_ms)
 {
-    RunnerKept_ReleaseAll(runner);
+    RunnerDurable_ReleaseAll(runner);
     runner->up.incarnation++;
     runner->up.born_ms = born_ms;
     runner->up.earlier_drained = runner->up.draining;
@@ -82,7 +82,7 @@
  * an order sent to the earlier one although the order's deadline means nothing
  * on its clock. From now on such orders are refused because of their lower
  * token. Those executed before are listed and stopped, see
- * is_certainly_over() in runner_look.c. Until then, an unreachable upstream
+ * is_certainly_over() in runner_poll.c. Until then, an unreachable upstream
  * may hold such a run for the longest hold that it grants. */
 static void
 restart_instance(Runner *runner, int64_t now_ms, int64_t born_ms)
@@ -111,26 +111,27 @@
 }
 
 static void
-store_successor(Runner *runner, int64_t now_ms, const Runner_Upstream *said)
+store_successor(Runner *runner, int64_t now_ms,
+                const Runner_Upstream *heartbeat)
 {
     Runner_Successor *successor = &runner->successor;
 
     drop_successor(runner);
     successor->pending = true;
     successor->after_poll = runner->last_poll_id;
-    successor->instance = g_strdup(said->instance);
-    successor->service = g_strdup(said->service);
-    successor->labels = g_strdupv((char **)said->labels);
-    successor->said = *said;
-    successor->said.instance = successor->instance;
-    successor->said.service = successor->service;
-    successor->said.labels = (const char *const *)successor->labels;
+    successor->instance = g_strdup(heartbeat->instance);
+    successor->service = g_strdup(heartbeat->service);
+    successor->labels = g_strdupv((char **)heartbeat->labels);
+    successor->heartbeat = *heartbeat;
+    successor->heartbeat.instance = successor->instance;
+    successor->heartbeat.service = successor->service;
+    successor->heartbeat.labels = (const char *const *)successor->labels;
     runner->next_poll_ms = now_ms;
     RunnerPoll_Send(runner, now_ms);
 }
 
 static void
-ignore_heartbeat(Runner *runner, const Runner_Upstream *said,
+ignore_heartbeat(Runner *runner, const Runner_Upstream *heartbeat,
                  const char *reason)
 {
     Counter_Add(&runner->counters, COUNTER_HEARTBEATS_LATE, 1);
@@ -138,8 +139,9 @@
         runner->ports->event(
             runner->context, EVENT_HEARTBEAT_LATE,
             json_pack("{s:s, s:I, s:I, s:s, s:s, s:I, s:I}", "upstream",
-                      said->instance, "born_ms", (json_int_t)said->born_ms,
-                      "sequence", (json_int_t)said->sequence, "detail", reason,
+                      heartbeat->instance, "born_ms",
+                      (json_int_t)heartbeat->born_ms, "sequence",
+                      (json_int_t)heartbeat->sequence, "detail", reason,
                       "in_force", runner->up.instance, "in_force_born_ms",
                       (json_int_t)runner->up.born_ms, "in_force_sequence",
                       (json_int_t)runner->up.sequence));
@@ -147,15 +149,15 @@
 }
 
 void
-RunnerUpstream_Confirm(Runner *runner, uint64_t poll_id)
+RunnerUpstream_Confirm(Runner *runner, uint64_t look_id)
 {
     Runner_Successor *successor = &runner->successor;
 
-    if (successor->pending && poll_id > successor->after_poll) {
-        ignore_heartbeat(runner, &successor->said,
+    if (successor->pending && look_id > successor->after_poll) {
+        ignore_heartbeat(runner, &successor->heartbeat,
                          "another incarnation answers at this address");
-        Incarnations_NoteGone(&runner->gone, successor->instance,
-                              successor->said.born_ms);
+        Incarnations_NoteGone(&runner->ended_incarnations, successor->instance,
+                              successor->heartbeat.born_ms);
         drop_successor(runner);
     }
 }
@@ -228,7 +230,7 @@
 static const char *
 reason_to_ignore(const Runner *runner, const Runner_Upstream *upstream)
 {
-    if (Incarnations_IsGone(&runner->gone, upstream->instance,
+    if (Incarnations_IsGone(&runner->ended_incarnations, upstream->instance,
                             upstream->born_ms)) {
         return "this incarnation is known to be gone";
     }
@@ -240,7 +242,7 @@
         return NULL;
     }
     if (upstream->sequence <= runner->up.sequence) {
-        return "a later heartbeat was already received";
+        return "its sequence number is not above the last one";
     }
     if (runner->up.known &&
         strcmp(runner->up.service, upstream->service) != 0) {
@@ -300,7 +302,7 @@
         RunnerPoll_Send(runner, now_ms);
         return;
     }
-    Incarnations_NoteGone(&runner->gone, instance, born_ms);
+    Incarnations_NoteGone(&runner->ended_incarnations, instance, born_ms);
     if (runner->up.known && same && born_ms == runner->up.born_ms) {
         lose_upstream(runner, now_ms, "the upstream has left", false);
     }
@@ -350,12 +352,12 @@
         runner->up.born_ms = born_ms;
         return false;
     }
-    Incarnations_NoteGone(&runner->gone, runner->up.instance,
+    Incarnations_NoteGone(&runner->ended_incarnations, runner->up.instance,
                           runner->up.born_ms);
     restart_instance(runner, now_ms, born_ms);
-    if (next->pending && next->said.born_ms == born_ms &&
+    if (next->pending && next->heartbeat.born_ms == born_ms &&
         strcmp(next->instance, runner->up.instance) == 0) {
-        take_state(runner, now_ms, &next->said);
+        take_state(runner, now_ms, &next->heartbeat);
         drop_successor(runner);
     }
     return true;
@@ -373,11 +375,11 @@
     }
     lose_upstream(runner, now_ms, "another incarnation answers",
                   !runner->up.draining);
-    Incarnations_NoteGone(&runner->gone, runner->up.instance,
+    Incarnations_NoteGone(&runner->ended_incarnations, runner->up.instance,
                           runner->up.born_ms);
     if (next.pending && strcmp(next.instance, runner->up.instance) != 0) {
-        switch_instance(runner, now_ms, &next.said);
-        take_state(runner, now_ms, &next.said);
+        switch_instance(runner, now_ms, &next.heartbeat);
+        take_state(runner, now_ms, &next.heartbeat);
     }
     drop_successor(runner);
 }
@@ -392,7 +394,7 @@
 RunnerUpstream_Clear(Runner *runner)
 {
     drop_successor(runner);
-    Incarnations_Clear(&runner->gone);
+    Incarnations_Clear(&runner->ended_incarnations);
     g_free(runner->up.instance);
     g_free(runner->up.service);
     g_strfreev(runner->up.labels);
--- a/tests/heartbeat_rules.c
+++ b/tests/heartbeat_rules.c
@@ -1,6 +1,6 @@
 /*
- * Rules of heartbeats that come late or out of order, and of incarnations that
- * take each other's place at one address.
+ * Rules of heartbeats that arrive late or out of order, and of upstream
+ * incarnations that replace each other at one address.
  */
 
 #include <glib.h>
@@ -9,7 +9,7 @@
 #include "tests/rule_table.h"
 #include "tests/runner_fixture.h"
 
-/* The upstream i-1 runs a task of the entry. */
+/* Creates a runner whose upstream i-1 runs a task of the entry. */
 static void
 new_with_task(runner_fixture *fix)
 {
@@ -17,7 +17,8 @@
     RunnerFix_BeginTask(fix);
 }
 
-/* i-1 has crashed and i-2 has taken its place, by the upstream's own word. */
+/* Replaces the crashed i-1 by i-2, which the upstream's answer to a poll
+ * confirms. */
 static void
 replace_incarnation(runner_fixture *fix)
 {
@@ -59,8 +60,8 @@
     Runner_Free(fix.runner);
 }
 
-/* A companion that has started since knows no dead ones: what the upstream
- * answers decides. */
+/* A companion that started after the death of i-0 does not know that i-0 is
+ * dead, so the upstream's answer to a poll decides. */
 static void
 test_unknown_dead_incarnation(void)
 {
@@ -79,7 +80,7 @@
     Runner_Free(fix.runner);
 }
 
-/* Its first heartbeat overtakes the last of the one before. */
+/* The first heartbeat of i-2 overtakes the last one of i-1. */
 static void
 test_first_heartbeat_before_last(void)
 {
@@ -135,7 +136,8 @@
     Runner_Free(fix.runner);
 }
 
-/* The one in force answers nothing: the other's second heartbeat will do. */
+/* If the current incarnation does not answer, the second heartbeat of another
+ * is enough to replace it. */
 static void
 test_current_incarnation_silent(void)
 {
@@ -152,7 +154,8 @@
     Runner_Free(fix.runner);
 }
 
-/* What is ordered of the living one is reckoned by its own clock. */
+/* Deadlines of orders are based on the clock of the incarnation that is alive,
+ * not on that in a late answer of a dead one. */
 static void
 test_clock_of_dead_incarnation(void)
 {
@@ -175,7 +178,7 @@
     }
 }
 
-/* Likewise where another incarnation answers the stop of a task. */
+/* The same if another incarnation answers the stop of a task. */
 static void
 test_clock_of_other_incarnation(void)
 {
@@ -191,8 +194,8 @@
     Runner_Free(fix.runner);
 }
 
-/* Nobody knows which lives: the one that is asked for is not given up for
- * good. */
+/* While it is unknown which incarnation is alive, the replaced one is not
+ * marked as permanently gone. */
 static void
 test_wrong_incarnation_adopted(void)
 {
@@ -212,25 +215,26 @@
 }
 
 static const RuleTable_Row rules[] = {
-    {"/heartbeats/a dead incarnation is not believed again",
+    {"/heartbeats/late ones of a dead incarnation are ignored",
      test_late_heartbeat_of_dead_incarnation},
-    {"/heartbeats/a new incarnation is taken at once",
+    {"/heartbeats/a new incarnation is adopted at once",
      test_new_incarnation_taken_at_once},
-    {"/heartbeats/the upstream decides on one never heard of",
+    {"/heartbeats/a poll decides on an unknown incarnation",
      test_unknown_dead_incarnation},
     {"/heartbeats/the first of one before the last of another",
      test_first_heartbeat_before_last},
-    {"/heartbeats/ready that comes after a later draining",
+    {"/heartbeats/ready that arrives after a later draining",
      test_late_ready_after_draining},
-    {"/heartbeats/one number counts once", test_duplicate_sequence},
-    {"/heartbeats/one that left stays gone", test_left_incarnation_stays_gone},
-    {"/heartbeats/one that is silent gives way",
+    {"/heartbeats/a sequence number counts once", test_duplicate_sequence},
+    {"/heartbeats/an incarnation that left stays gone",
+     test_left_incarnation_stays_gone},
+    {"/heartbeats/an unresponsive incarnation is replaced",
      test_current_incarnation_silent},
-    {"/heartbeats/the clock of a dead one does not count",
+    {"/heartbeats/the clock of a dead incarnation is ignored",
      test_clock_of_dead_incarnation},
-    {"/heartbeats/the clock of another does not count",
+    {"/heartbeats/the clock of another incarnation is ignored",
      test_clock_of_other_incarnation},
-    {"/heartbeats/the wrong one taken gives way",
+    {"/heartbeats/a wrongly adopted incarnation is replaced",
      test_wrong_incarnation_adopted},
 };
 
--- a/tests/order_rules.c
+++ b/tests/order_rules.c
@@ -1,6 +1,6 @@
 /*
- * Single rules of orders and looks whose answers go missing: one runner,
- * driven through its door with fake ports.
+ * Single rules of orders and polls whose answers are lost: one runner, driven
+ * through its public functions with fake ports.
  */
 
 #include <glib.h>
@@ -9,16 +9,16 @@
 #include "tests/rule_table.h"
 #include "tests/runner_fixture.h"
 
-/* Above any pause between two copies, in ms. */
+/* Longer than any delay between two copies, in ms. */
 #define PAUSE_MS 200
-/* Copies of a start before its run is stopped. */
+/* Copies of a start after which its run is stopped. */
 #define COPIES 6
-/* Of two starts until the doubt begins. */
+/* Copies of two starts in total, unless the upstream is suspected earlier. */
 #define COPIES_OF_TWO_STARTS 12
-/* Between two readings of the clock while answers are awaited, in ms. */
+/* Step of the simulated clock while answers are awaited, in ms. */
 #define STEP_MS 10
 
-/* No answer comes for @p ms. */
+/* Advances the clock by @p ms without answering anything. */
 static void
 withhold_answers(runner_fixture *fix, int64_t ms)
 {
@@ -32,7 +32,7 @@
     }
 }
 
-/* No order is answered for @p ms, but looks are. */
+/* Advances the clock by @p ms, answering polls but no orders. */
 static void
 answer_polls_only(runner_fixture *fix, int64_t ms)
 {
@@ -55,7 +55,7 @@
                      CLOCK_MS + fix->now_ms - START_MS);
 }
 
-/* A runner with one run that the upstream has confirmed. */
+/* Creates a runner with one run that the upstream has confirmed. */
 static void
 new_with_run(runner_fixture *fix)
 {
@@ -108,13 +108,13 @@
     g_assert_cmpint(fix.status, ==, LC_RUN_NO_ROOM);
     fix.now_ms += STEP_MS;
     RunnerFix_AnswerLook(&fix, NULL, 0, &ended, 1);
-    /* As an entry does, which numbers its runs anew after a refusal. */
+    /* After a refusal, an entry uses a new run number. */
     RunnerFix_CallRun(&fix, 2, 2, 1500, 500);
     g_assert_cmpint(fix.starts, ==, COPIES + 1);
     Runner_Free(fix.runner);
 }
 
-/* One broken connection is answered by a second copy, not by a stop. */
+/* After one broken connection, a second copy is sent instead of a stop. */
 static void
 test_broken_connection(void)
 {
@@ -131,7 +131,7 @@
     Runner_Free(fix.runner);
 }
 
-/* The refused copy says nothing of the one that had no answer. */
+/* A refused copy does not tell whether the unanswered one was executed. */
 static void
 test_refused_copy_keeps_room(void)
 {
@@ -155,7 +155,7 @@
     }
 }
 
-/* A refused start that was sent once has certainly not begun. */
+/* A start whose only copy was refused has certainly not been executed. */
 static void
 test_refused_at_once(void)
 {
@@ -169,7 +169,7 @@
     Runner_Free(fix.runner);
 }
 
-/* The first copy was carried out and has ended before the second came. */
+/* The first copy was executed and its run ended before the second arrived. */
 static void
 test_old_after_copy(void)
 {
@@ -203,7 +203,8 @@
     Runner_Free(fix.runner);
 }
 
-/* An upstream that answers nothing gets no more copies, and takes no work. */
+/* An upstream that answers nothing is sent no more copies and is reported as
+ * absent until it answers a poll. */
 static void
 test_silent_upstream(void)
 {
@@ -228,7 +229,7 @@
     Runner_Free(fix.runner);
 }
 
-/* Three answers missing in a row are still taken for chance. */
+/* Up to three consecutive missing answers are attributed to chance. */
 static void
 test_few_missing_answers(void)
 {
@@ -263,7 +264,7 @@
     Runner_Free(fix.runner);
 }
 
-/* What an answer tells that a later one has passed is out of date. */
+/* An answer that was overtaken by a later one is out of date. */
 static void
 test_overtaken_poll(void)
 {
@@ -285,7 +286,8 @@
     Runner_Free(fix.runner);
 }
 
-/* A start that was confirmed after a look was sent may be missing from it. */
+/* A start that was confirmed after a poll was sent may be missing from its
+ * answer. */
 static void
 test_poll_before_start(void)
 {
@@ -301,7 +303,7 @@
     Runner_Free(fix.runner);
 }
 
-/* Once an answer was missed, looks wait shorter for an end. */
+/* After a missing answer, the upstream delays its answers to polls less. */
 static void
 test_polls_while_answers_go_missing(void)
 {
@@ -325,24 +327,23 @@
      test_answered_start_not_sent_again},
     {"/orders/a start without an answer keeps its room",
      test_unanswered_keeps_room},
-    {"/orders/a broken connection is followed by a copy",
+    {"/orders/a broken connection causes another copy",
      test_broken_connection},
     {"/orders/a refused copy does not free the room of another",
      test_refused_copy_keeps_room},
-    {"/orders/a start refused at once has not begun", test_refused_at_once},
+    {"/orders/a start refused at once was not executed", test_refused_at_once},
     {"/orders/a run that ended before its second copy came is not refused",
      test_old_after_copy},
     {"/orders/a stop without an answer is sent again", test_stop_sent_again},
-    {"/orders/a silent upstream is sent nothing but looks",
+    {"/orders/an unresponsive upstream is sent only polls",
      test_silent_upstream},
-    {"/orders/a few missing answers are taken for chance",
-     test_few_missing_answers},
-    {"/looks/an overdue look is followed by another and still counts",
+    {"/orders/a few missing answers are tolerated", test_few_missing_answers},
+    {"/polls/an overdue poll is followed by another and still counts",
      test_overdue_poll},
-    {"/looks/an answer that was passed changes nothing", test_overtaken_poll},
-    {"/looks/a look sent before a start does not end it",
+    {"/polls/an overtaken answer changes nothing", test_overtaken_poll},
+    {"/polls/a poll sent before a start does not end it",
      test_poll_before_start},
-    {"/looks/wait shorter while answers go missing",
+    {"/polls/wait shorter while answers are lost",
      test_polls_while_answers_go_missing},
 };
 
--- a/tests/runner_rules.c
+++ b/tests/runner_rules.c
@@ -1,6 +1,7 @@
 /*
  * Single rules of a companion's decisions: one runner, driven through its
- * door with fake ports. What random schedules reach too seldom to prove.
+ * public functions with fake ports. Covers cases that random schedules reach
+ * too rarely.
  */
 
 #include <glib.h>
@@ -22,7 +23,7 @@
 }
 
 static void
-test_lease_lapses(void)
+test_lease_expires(void)
 {
     runner_fixture fix;
 
@@ -93,8 +94,9 @@
     Runner_Free(fix.runner);
 }
 
-/* An earlier copy of its call may come after one that was refused, over a
- * connection that was held up; its entry may have sent the task elsewhere. */
+/* A RUN call that was refused must not be executed when a copy of it arrives
+ * later, over a delayed connection: the entry may have sent the task
+ * elsewhere. */
 static void
 test_refused_run_stays_refused(void)
 {
@@ -145,14 +147,14 @@
     fix.now_ms += 60;
     Runner_Tick(fix.runner, fix.now_ms);
     RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
-    /* As an entry does, which numbers its runs anew after a refusal. */
+    /* After a refusal, an entry uses a new run number. */
     RunnerFix_CallRun(&fix, 1, 2, 1000, 500);
     g_assert_cmpint(fix.starts, ==, 1);
     Runner_Free(fix.runner);
 }
 
-/* The companion's previous incarnation may have started the run: it must not
- * be started twice under the same number. */
+/* The companion's previous process may have started the run, which must not be
+ * started twice under the same number. */
 static void
 test_queried_run_is_not_started(void)
 {
@@ -206,7 +208,7 @@
 }
 
 static void
-test_kept_ends_are_held(void)
+test_durable_ends_are_held(void)
 {
     runner_fixture fix;
     lc_run_id run = RunnerFix_Run(1, RUN_ID_KEPT_BASE + 1);
@@ -224,7 +226,8 @@
     Runner_Free(fix.runner);
 }
 
-/* More ends than an upstream lists at once hide that of a run. */
+/* If an upstream has more ends than it lists in one answer, the end of a run
+ * may be missing, so an unlisted run must not be taken as lost. */
 static void
 test_full_listing(void)
 {
@@ -265,7 +268,7 @@
     Runner_Free(fix.runner);
 }
 
-/* What runs is the successor's, and lasts as long as its lease. */
+/* A run in progress is transferred to the successor and bound to its lease. */
 static void
 test_fence_hands_over(void)
 {
@@ -319,8 +322,8 @@
 }
 
 static const RuleTable_Row rules[] = {
-    {"/runner/refuses a run whose hold is over", test_expired_run},
-    {"/runner/stops the runs of a silent entry", test_lease_lapses},
+    {"/runner/refuses an expired run", test_expired_run},
+    {"/runner/stops the runs of a silent entry", test_lease_expires},
     {"/runner/holds the upstream no longer than the lease",
      test_hold_within_lease},
     {"/runner/starts only what fits", test_no_room},
@@ -328,17 +331,18 @@
      test_halt_before_run},
     {"/runner/starts a run once", test_same_run_twice},
     {"/runner/a refused run stays refused", test_refused_run_stays_refused},
-    {"/runner/looks for strangers first", test_inventory_first},
+    {"/runner/stops unknown runs before the first start",
+     test_inventory_first},
     {"/runner/does not start a run called with LC_HOLD_NONE",
      test_queried_run_is_not_started},
-    {"/runner/starts nothing on an upstream that leaves", test_draining},
-    {"/runner/takes note of ends", test_ends_are_acknowledged},
-    {"/runner/holds ends of kept jobs until they are released",
-     test_kept_ends_are_held},
-    {"/runner/does not take a run as over when its end may be hidden",
+    {"/runner/starts nothing on a draining upstream", test_draining},
+    {"/runner/acknowledges ends", test_ends_are_acknowledged},
+    {"/runner/holds ends of durable jobs until they are released",
+     test_durable_ends_are_held},
+    {"/runner/does not lose a run whose end may be unlisted",
      test_full_listing},
-    {"/runner/takes no order of an owner that is gone", test_fenced_owner},
-    {"/runner/hands runs over to the successor", test_fence_hands_over},
+    {"/runner/refuses runs of a fenced owner", test_fenced_owner},
+    {"/runner/transfers runs to the successor", test_fence_hands_over},
     {"/runner/admits one task on trial", test_trial_admits_one},
     {"/runner/loses runs to another incarnation", test_other_incarnation},
 };
