--- a/lease/runner_kept.c
+++ b/lease/runner_kept.c
@@ -4,25 +4,26 @@
 #include "lease/run_id.h"
 #include "lease/runner_state.h"
 
-/* Ends are kept so long for entries that ask again. */
-#define FORGET_MS 4000
-/* An end that nobody releases is held so long: more than it takes until an
- * owner that is gone was claimed. */
-#define FORGET_HELD_MS 30000
-/* By then its owner has mostly written it down. */
+/* Ended runs are retained for this long, for entries that ask again. */
+#define RETENTION_MS 4000
+/* Longest time that an end is held if it is not released. Exceeds the time
+ * until another entry has claimed the jobs of an owner that is gone. */
+#define HELD_RETENTION_MS 30000
+/* Owners have usually stored an end within this time. */
 #define HELD_LONG_MS 1500
-/* Owners that are gone do not come back after so many others. */
-#define MOST_FENCED 64
+/* Beyond this number, the oldest fenced owner is dropped. A claimed owner
+ * does not come back after so many others were claimed. */
+#define MAX_FENCED 64
 
 bool
-RunnerKept_IsFenced(const Runner *runner, const lc_node *owner)
+RunnerDurable_IsFenced(const Runner *runner, const lc_node *owner)
 {
     return Msg_HasNode(runner->fenced, owner);
 }
 
-/* Only an end that counts for good is held. */
+/* Only final results are held until released. */
 static bool
-is_held(Runner_End end)
+needs_release(Runner_End end)
 {
     return end == RUNNER_END_DONE || end == RUNNER_END_FAILED;
 }
@@ -93,7 +94,7 @@
 /* An upstream lists a limited number of ends per answer, so the oldest holds
  * are cleared early to keep newer ends listed. */
 void
-RunnerKept_CheckStartHold(Runner *runner, int64_t now_ms, Runner_Task *row)
+RunnerDurable_CheckStartHold(Runner *runner, int64_t now_ms, Runner_Task *row)
 {
     if (now_ms >= hold_expiry(runner, row) ||
         runner->up.last_seen - row->end_number >= RUNNER_MOST_HELD) {
@@ -104,7 +105,7 @@
 /* A previous process of this companion may have sent several copies of the
  * start, so one copy is assumed to be unanswered. */
 static Runner_Task *
-add_stranger(Runner *runner, int64_t now_ms, const Runner_EndRow *ended)
+add_unknown_end(Runner *runner, int64_t now_ms, const Runner_EndRow *ended)
 {
     lc_run_args found = {.id = ended->id, .spec = (char *)(uintptr_t) ""};
     Runner_Task *row = RunnerTask_Add(runner, now_ms, &found);
@@ -118,17 +119,17 @@
 }
 
 void
-RunnerKept_HoldEnd(Runner *runner, int64_t now_ms, Runner_Task *row,
-                   const Runner_EndRow *ended)
+RunnerDurable_HoldEnd(Runner *runner, int64_t now_ms, Runner_Task *row,
+                      const Runner_EndRow *ended)
 {
     bool stopped = row != NULL && row->state == TASK_STOPPING &&
                    ended->end != RUNNER_END_DONE;
 
-    if (!is_held(ended->end) || stopped) {
-        return; /* its owner is told that it was stopped */
+    if (!needs_release(ended->end) || stopped) {
+        return; /* reported to the owner as stopped */
     }
     if (row == NULL) {
-        row = add_stranger(runner, now_ms, ended);
+        row = add_unknown_end(runner, now_ms, ended);
     }
     row->end_number = ended->number;
     row->unreleased = true;
@@ -137,7 +138,7 @@
 }
 
 void
-RunnerKept_LetGo(Runner *runner, Runner_Task *row)
+RunnerDurable_Release(Runner *runner, Runner_Task *row)
 {
     if (row->unreleased) {
         row->unreleased = false;
@@ -146,22 +147,22 @@
 }
 
 void
-RunnerKept_LetGoAll(Runner *runner)
+RunnerDurable_ReleaseAll(Runner *runner)
 {
     GList *rows = RunnerTask_All(runner);
     GList *item;
 
     for (item = rows; item != NULL; item = item->next) {
         Runner_Task *row = item->data;
-        RunnerKept_LetGo(runner, row);
+        RunnerDurable_Release(runner, row);
         clear_start_hold(runner, row);
-        row->end_number = 0; /* it may be listed anew */
+        row->end_number = 0; /* may be listed again under another number */
     }
     g_list_free(rows);
 }
 
 uint64_t
-RunnerKept_LastSeen(const Runner *runner)
+RunnerDurable_LastSeen(const Runner *runner)
 {
     uint64_t last = runner->up.last_seen;
     GHashTableIter iter;
@@ -181,25 +182,26 @@
 }
 
 bool
-RunnerKept_IsHeldLong(const Runner_Task *row, int64_t now_ms)
+RunnerDurable_IsHeldLong(const Runner_Task *row, int64_t now_ms)
 {
     return row->unreleased && now_ms - row->ended_ms > HELD_LONG_MS;
 }
 
 bool
-RunnerKept_IsForgotten(const Runner *runner, const Runner_Task *row,
-                       int64_t now_ms)
+RunnerDurable_IsDisposable(const Runner *runner, const Runner_Task *row,
+                           int64_t now_ms)
 {
     bool start_expired = !RunId_IsKept(&row->id) ||
                          now_ms >= start_expiry(runner, row);
 
-    return start_expired && now_ms - row->ended_ms >
-                                (row->unreleased ? FORGET_HELD_MS : FORGET_MS);
+    return start_expired &&
+           now_ms - row->ended_ms >
+               (row->unreleased ? HELD_RETENTION_MS : RETENTION_MS);
 }
 
 void
-RunnerKept_OnRelease(Runner *runner, int64_t now_ms, uint64_t reply_id,
-                     const lc_release_args *args)
+RunnerDurable_OnRelease(Runner *runner, int64_t now_ms, uint64_t reply_id,
+                        const lc_release_args *args)
 {
     Msg_Reply reply = {.kind = MSG_RELEASE};
     u_int i;
@@ -210,7 +212,7 @@
         Runner_Task *row = g_hash_table_lookup(runner->tasks,
                                                &args->runs.runs_val[i]);
         if (row != NULL) {
-            RunnerKept_LetGo(runner, row);
+            RunnerDurable_Release(runner, row);
         }
     }
     Runner_State(runner, now_ms, &reply.u.release.host);
@@ -218,27 +220,27 @@
 }
 
 static void
-add_fenced(Runner *runner, const lc_node *gone)
+add_fenced(Runner *runner, const lc_node *owner)
 {
-    if (RunnerKept_IsFenced(runner, gone)) {
+    if (RunnerDurable_IsFenced(runner, owner)) {
         return;
     }
-    if (runner->fenced->len >= MOST_FENCED) {
+    if (runner->fenced->len >= MAX_FENCED) {
         g_array_remove_index(runner->fenced, 0);
     }
-    g_array_append_val(runner->fenced, *gone);
+    g_array_append_val(runner->fenced, *owner);
 }
 
-/* The run goes on for the successor, as long as it was held and a lease more.
- */
+/* Transfers a run to the successor of its owner, with a new lease plus
+ * TERM_KEPT_MS from now. */
 static void
-hand_over(Runner *runner, int64_t now_ms, Runner_Task *row,
-          const lc_node *successor)
+transfer_run(Runner *runner, int64_t now_ms, Runner_Task *row,
+             const lc_node *successor)
 {
-    Runner_Owner *gone = RunnerOwner_Find(runner, &row->owner);
+    Runner_Owner *former = RunnerOwner_Find(runner, &row->owner);
 
-    if (gone != NULL) {
-        gone->running--;
+    if (former != NULL) {
+        former->running--;
     }
     row->owner = *successor;
     RunnerOwner_Extend(runner, successor,
@@ -247,7 +249,7 @@
 }
 
 static bool
-is_of(const Runner_Task *row, const lc_fence_args *args)
+is_affected(const Runner_Task *row, const lc_fence_args *args)
 {
     u_int i;
 
@@ -273,12 +275,12 @@
         lc_held_run held = {.id = row->id,
                             .running = row->state != TASK_ENDED,
                             .status = row->status};
-        if (!RunId_IsKept(&row->id) || !is_of(row, args) ||
+        if (!RunId_IsKept(&row->id) || !is_affected(row, args) ||
             runs->len >= LC_MAX_PAGE) {
             continue;
         }
         if (row->state != TASK_ENDED) {
-            hand_over(runner, now_ms, row, &args->successor);
+            transfer_run(runner, now_ms, row, &args->successor);
         }
         else if (!row->unreleased) {
             continue;
@@ -288,8 +290,8 @@
 }
 
 void
-RunnerKept_OnFence(Runner *runner, int64_t now_ms, uint64_t reply_id,
-                   const lc_fence_args *args)
+RunnerDurable_OnFence(Runner *runner, int64_t now_ms, uint64_t reply_id,
+                      const lc_fence_args *args)
 {
     Msg_Reply reply = {.kind = MSG_FENCE};
     GArray *runs = g_array_new(FALSE, TRUE, sizeof(lc_held_run));
--- a/tests/heartbeat_rules.c
+++ b/tests/heartbeat_rules.c
@@ -1,6 +1,6 @@
 /*
- * Rules of heartbeats that come late or out of order, and of incarnations that
- * take each other's place at one address.
+ * Rules of heartbeats that arrive late or out of order, and of upstream
+ * incarnations that replace each other at one address.
  */
 
 #include <glib.h>
@@ -9,30 +9,31 @@
 #include "tests/rule_table.h"
 #include "tests/runner_fixture.h"
 
-/* The upstream i-1 runs a task of the entry. */
+/* Creates a runner whose upstream i-1 runs a task of the entry. */
 static void
-begin_task(runner_fixture *fix)
+new_with_task(runner_fixture *fix)
 {
     RunnerFix_NewReady(fix);
     RunnerFix_BeginTask(fix);
 }
 
-/* i-1 has crashed and i-2 has taken its place, by the upstream's own word. */
+/* Replaces the crashed i-1 by i-2, which the upstream's answer to a poll
+ * confirms. */
 static void
-replace(runner_fixture *fix)
+replace_incarnation(runner_fixture *fix)
 {
     RunnerFix_BeatOf(fix, "i-2", 1, RUNNER_UPSTREAM_READY);
-    RunnerFix_AnswerLookOther(fix);
+    RunnerFix_AnswerPollOther(fix);
     RunnerFix_AnswerLook(fix, NULL, 0, NULL, 0);
 }
 
 static void
-test_late_beat_of_a_dead_one(void)
+test_late_heartbeat_of_dead_incarnation(void)
 {
     runner_fixture fix;
 
     RunnerFix_NewReady(&fix);
-    replace(&fix);
+    replace_incarnation(&fix);
     g_assert_true(RunnerFix_TakesTask(&fix, 1));
     g_assert_cmpstr(fix.start.instance, ==, "i-2");
     fix.replies = 0;
@@ -44,14 +45,14 @@
 }
 
 static void
-test_new_one_is_taken_at_once(void)
+test_new_incarnation_taken_at_once(void)
 {
     runner_fixture fix;
 
-    begin_task(&fix);
+    new_with_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
     RunnerFix_BeatOf(&fix, "i-2", 1, RUNNER_UPSTREAM_READY);
-    RunnerFix_AnswerLookOther(&fix);
+    RunnerFix_AnswerPollOther(&fix);
     g_assert_cmpint(fix.status, ==, LC_RUN_CRASHED);
     RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
     g_assert_true(RunnerFix_TakesTask(&fix, 2));
@@ -59,14 +60,14 @@
     Runner_Free(fix.runner);
 }
 
-/* A companion that has started since knows no dead ones: what the upstream
- * answers decides. */
+/* A companion that started after the death of i-0 does not know that i-0 is
+ * dead, so the upstream's answer to a poll decides. */
 static void
-test_unknown_one_that_is_dead(void)
+test_unknown_dead_incarnation(void)
 {
     runner_fixture fix;
 
-    begin_task(&fix);
+    new_with_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
     RunnerFix_BeatOf(&fix, "i-0", 50, RUNNER_UPSTREAM_READY);
     g_assert_cmpint(fix.replies, ==, 0);
@@ -79,14 +80,14 @@
     Runner_Free(fix.runner);
 }
 
-/* Its first heartbeat overtakes the last of the one before. */
+/* The first heartbeat of i-2 overtakes the last one of i-1. */
 static void
-test_first_before_last(void)
+test_first_heartbeat_before_last(void)
 {
     runner_fixture fix;
 
     RunnerFix_NewReady(&fix);
-    replace(&fix);
+    replace_incarnation(&fix);
     RunnerFix_BeatOf(&fix, "i-1", 2, RUNNER_UPSTREAM_DRAINING);
     RunnerFix_BeatOf(&fix, "i-2", 2, RUNNER_UPSTREAM_READY);
     g_assert_true(RunnerFix_TakesTask(&fix, 1));
@@ -109,7 +110,7 @@
 }
 
 static void
-test_twice_the_same(void)
+test_duplicate_sequence(void)
 {
     runner_fixture fix;
 
@@ -121,7 +122,7 @@
 }
 
 static void
-test_one_that_left_stays_gone(void)
+test_left_incarnation_stays_gone(void)
 {
     runner_fixture fix;
 
@@ -135,9 +136,10 @@
     Runner_Free(fix.runner);
 }
 
-/* The one in force answers nothing: the other's second heartbeat will do. */
+/* If the current incarnation does not answer, the second heartbeat of another
+ * is enough to replace it. */
 static void
-test_current_one_is_silent(void)
+test_current_incarnation_silent(void)
 {
     Runner_Listing none = {.end = RUNNER_ORDER_UNSENT};
     runner_fixture fix;
@@ -152,9 +154,10 @@
     Runner_Free(fix.runner);
 }
 
-/* What is ordered of the living one is reckoned by its own clock. */
+/* Deadlines of orders are based on the clock of the incarnation that is alive,
+ * not on that in a late answer of a dead one. */
 static void
-test_clock_of_a_dead_one(void)
+test_clock_of_dead_incarnation(void)
 {
     static const Runner_OrderEnd ends[] = {
         RUNNER_ORDER_TAKEN, RUNNER_ORDER_OTHER, RUNNER_ORDER_LATE};
@@ -166,7 +169,7 @@
         RunnerFix_NewReady(&fix);
         RunnerFix_CallRun(&fix, 1, 1, 1000, 500);
         order = fix.start_id;
-        replace(&fix);
+        replace_incarnation(&fix);
         Runner_OnStarted(fix.runner, fix.now_ms, order, ends[i],
                          CLOCK_MS + 1000000);
         g_assert_true(RunnerFix_TakesTask(&fix, 2));
@@ -175,13 +178,13 @@
     }
 }
 
-/* Likewise where another incarnation answers the stop of a task. */
+/* The same if another incarnation answers the stop of a task. */
 static void
-test_clock_of_another(void)
+test_clock_of_other_incarnation(void)
 {
     runner_fixture fix;
 
-    begin_task(&fix);
+    new_with_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
     RunnerFix_CallHalt(&fix, 1, 1);
     Runner_OnStopped(fix.runner, fix.now_ms, fix.stop_id, RUNNER_ORDER_OTHER,
@@ -191,18 +194,18 @@
     Runner_Free(fix.runner);
 }
 
-/* Nobody knows which lives: the one that is asked for is not given up for
- * good. */
+/* While it is unknown which incarnation is alive, the replaced one is not
+ * marked as permanently gone. */
 static void
-test_wrong_one_taken(void)
+test_wrong_incarnation_adopted(void)
 {
     Runner_Listing none = {.end = RUNNER_ORDER_UNSENT};
     runner_fixture fix;
 
-    begin_task(&fix);
+    new_with_task(&fix);
     Runner_OnLook(fix.runner, fix.now_ms, fix.look_id, &none);
     RunnerFix_BeatOf(&fix, "i-0", 50, RUNNER_UPSTREAM_READY);
-    RunnerFix_AnswerLookOther(&fix);
+    RunnerFix_AnswerPollOther(&fix);
     fix.now_ms += 1000;
     RunnerFix_BeatOf(&fix, "i-1", 9, RUNNER_UPSTREAM_READY);
     RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
@@ -212,23 +215,27 @@
 }
 
 static const RuleTable_Row rules[] = {
-    {"/heartbeats/a dead incarnation is not believed again",
-     test_late_beat_of_a_dead_one},
-    {"/heartbeats/a new incarnation is taken at once",
-     test_new_one_is_taken_at_once},
-    {"/heartbeats/the upstream decides on one never heard of",
-     test_unknown_one_that_is_dead},
+    {"/heartbeats/late ones of a dead incarnation are ignored",
+     test_late_heartbeat_of_dead_incarnation},
+    {"/heartbeats/a new incarnation is adopted at once",
+     test_new_incarnation_taken_at_once},
+    {"/heartbeats/a poll decides on an unknown incarnation",
+     test_unknown_dead_incarnation},
     {"/heartbeats/the first of one before the last of another",
-     test_first_before_last},
-    {"/heartbeats/ready that comes after a later draining",
+     test_first_heartbeat_before_last},
+    {"/heartbeats/ready that arrives after a later draining",
      test_late_ready_after_draining},
-    {"/heartbeats/one number counts once", test_twice_the_same},
-    {"/heartbeats/one that left stays gone", test_one_that_left_stays_gone},
-    {"/heartbeats/one that is silent gives way", test_current_one_is_silent},
-    {"/heartbeats/the clock of a dead one does not count",
-     test_clock_of_a_dead_one},
-    {"/heartbeats/the clock of another does not count", test_clock_of_another},
-    {"/heartbeats/the wrong one taken gives way", test_wrong_one_taken},
+    {"/heartbeats/a sequence number counts once", test_duplicate_sequence},
+    {"/heartbeats/an incarnation that left stays gone",
+     test_left_incarnation_stays_gone},
+    {"/heartbeats/an unresponsive incarnation is replaced",
+     test_current_incarnation_silent},
+    {"/heartbeats/the clock of a dead incarnation is ignored",
+     test_clock_of_dead_incarnation},
+    {"/heartbeats/the clock of another incarnation is ignored",
+     test_clock_of_other_incarnation},
+    {"/heartbeats/a wrongly adopted incarnation is replaced",
+     test_wrong_incarnation_adopted},
 };
 
 int
--- a/tests/order_rules.c
+++ b/tests/order_rules.c
@@ -1,6 +1,6 @@
 /*
- * Single rules of orders and looks whose answers go missing: one runner,
- * driven through its door with fake ports.
+ * Single rules of orders and polls whose answers are lost: one runner, driven
+ * through its public functions with fake ports.
  */
 
 #include <glib.h>
@@ -9,18 +9,18 @@
 #include "tests/rule_table.h"
 #include "tests/runner_fixture.h"
 
-/* Above any pause between two copies, in ms. */
+/* Longer than any delay between two copies, in ms. */
 #define PAUSE_MS 200
-/* Copies of a start before its run is stopped. */
+/* Copies of a start after which its run is stopped. */
 #define COPIES 6
-/* Of two starts until the doubt begins. */
-#define COPIES_OF_TWO 12
-/* Between two readings of the clock while answers are awaited, in ms. */
+/* Copies of two starts in total, unless the upstream is suspected earlier. */
+#define COPIES_OF_TWO_STARTS 12
+/* Step of the simulated clock while answers are awaited, in ms. */
 #define STEP_MS 10
 
-/* No answer comes for @p ms. */
+/* Advances the clock by @p ms without answering anything. */
 static void
-stay_silent(runner_fixture *fix, int64_t ms)
+withhold_answers(runner_fixture *fix, int64_t ms)
 {
     int64_t until_ms = fix->now_ms + ms;
 
@@ -32,15 +32,15 @@
     }
 }
 
-/* No order is answered for @p ms, but looks are. */
+/* Advances the clock by @p ms, answering polls but no orders. */
 static void
-answer_looks_alone(runner_fixture *fix, int64_t ms)
+answer_polls_only(runner_fixture *fix, int64_t ms)
 {
     int64_t until_ms = fix->now_ms + ms;
     uint64_t answered = 0;
 
     while (fix->now_ms < until_ms) {
-        stay_silent(fix, STEP_MS);
+        withhold_answers(fix, STEP_MS);
         if (fix->look_id != answered) {
             answered = fix->look_id;
             RunnerFix_AnswerLook(fix, NULL, 0, NULL, 0);
@@ -55,7 +55,7 @@
                      CLOCK_MS + fix->now_ms - START_MS);
 }
 
-/* A runner with one run that the upstream has confirmed. */
+/* Creates a runner with one run that the upstream has confirmed. */
 static void
 new_with_run(runner_fixture *fix)
 {
@@ -73,7 +73,7 @@
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 1000, 500);
     first = fix.start;
-    stay_silent(&fix, STEP_MS);
+    withhold_answers(&fix, STEP_MS);
     g_assert_cmpint(fix.starts, ==, 2);
     g_assert_cmpint(fix.stops, ==, 0);
     g_assert_true(RunId_Equal(&fix.start.id, &first.id));
@@ -87,7 +87,7 @@
     runner_fixture fix;
 
     new_with_run(&fix);
-    stay_silent(&fix, PAUSE_MS);
+    withhold_answers(&fix, PAUSE_MS);
     Runner_Tick(fix.runner, fix.now_ms);
     g_assert_cmpint(fix.starts, ==, 1);
     Runner_Free(fix.runner);
@@ -101,20 +101,20 @@
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 3000, 500);
-    answer_looks_alone(&fix, 300);
+    answer_polls_only(&fix, 300);
     g_assert_cmpint(fix.starts, ==, COPIES);
     g_assert_cmpint(fix.stops, >=, 1);
     RunnerFix_CallRun(&fix, 2, 1, 1500, 500);
     g_assert_cmpint(fix.status, ==, LC_RUN_NO_ROOM);
     fix.now_ms += STEP_MS;
     RunnerFix_AnswerLook(&fix, NULL, 0, &ended, 1);
-    /* As an entry does, which numbers its runs anew after a refusal. */
+    /* After a refusal, an entry uses a new run number. */
     RunnerFix_CallRun(&fix, 2, 2, 1500, 500);
     g_assert_cmpint(fix.starts, ==, COPIES + 1);
     Runner_Free(fix.runner);
 }
 
-/* One broken connection is answered by a second copy, not by a stop. */
+/* After one broken connection, a second copy is sent instead of a stop. */
 static void
 test_broken_connection(void)
 {
@@ -122,16 +122,16 @@
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 3000, 500);
-    stay_silent(&fix, STEP_MS);
+    withhold_answers(&fix, STEP_MS);
     answer_start(&fix, RUNNER_ORDER_UNANSWERED);
-    stay_silent(&fix, PAUSE_MS / 4);
+    withhold_answers(&fix, PAUSE_MS / 4);
     Runner_Tick(fix.runner, fix.now_ms);
     g_assert_cmpint(fix.starts, >=, 2);
     g_assert_cmpint(fix.stops, ==, 0);
     Runner_Free(fix.runner);
 }
 
-/* The refused copy says nothing of the one that had no answer. */
+/* A refused copy does not tell whether the unanswered one was executed. */
 static void
 test_refused_copy_keeps_room(void)
 {
@@ -145,7 +145,7 @@
         runner_fixture fix;
         RunnerFix_NewReady(&fix);
         RunnerFix_CallRun(&fix, 1, 1, 3000, 500);
-        stay_silent(&fix, STEP_MS);
+        withhold_answers(&fix, STEP_MS);
         g_assert_cmpint(fix.starts, ==, 2);
         fix.replies = 0;
         answer_start(&fix, refusals[i]);
@@ -155,7 +155,7 @@
     }
 }
 
-/* A refused start that was sent once has certainly not begun. */
+/* A start whose only copy was refused has certainly not been executed. */
 static void
 test_refused_at_once(void)
 {
@@ -169,7 +169,7 @@
     Runner_Free(fix.runner);
 }
 
-/* The first copy was carried out and has ended before the second came. */
+/* The first copy was executed and its run ended before the second arrived. */
 static void
 test_old_after_copy(void)
 {
@@ -178,7 +178,7 @@
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 3000, 500);
-    stay_silent(&fix, STEP_MS);
+    withhold_answers(&fix, STEP_MS);
     fix.replies = 0;
     answer_start(&fix, RUNNER_ORDER_OLD);
     g_assert_cmpint(fix.replies, ==, 0);
@@ -198,12 +198,13 @@
     RunnerFix_CallRun(&fix, 1, 1, 3000, 500);
     answer_start(&fix, RUNNER_ORDER_TAKEN);
     RunnerFix_CallHalt(&fix, 1, 1);
-    stay_silent(&fix, STEP_MS);
+    withhold_answers(&fix, STEP_MS);
     g_assert_cmpint(fix.stops, >=, 2);
     Runner_Free(fix.runner);
 }
 
-/* An upstream that answers nothing gets no more copies, and takes no work. */
+/* An upstream that answers nothing is sent no more copies and is reported as
+ * absent until it answers a poll. */
 static void
 test_silent_upstream(void)
 {
@@ -214,12 +215,12 @@
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 1000, 500);
     RunnerFix_CallRun(&fix, 2, 1, 1000, 500);
-    stay_silent(&fix, 120);
+    withhold_answers(&fix, 120);
     Runner_State(fix.runner, fix.now_ms, &state);
     g_assert_cmpint(state.state, ==, LC_UPSTREAM_ABSENT);
     starts = fix.starts;
-    g_assert_cmpint(starts, <, COPIES_OF_TWO);
-    stay_silent(&fix, PAUSE_MS);
+    g_assert_cmpint(starts, <, COPIES_OF_TWO_STARTS);
+    withhold_answers(&fix, PAUSE_MS);
     Runner_Tick(fix.runner, fix.now_ms);
     g_assert_cmpint(fix.starts, ==, starts);
     RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
@@ -228,23 +229,23 @@
     Runner_Free(fix.runner);
 }
 
-/* Three answers missing in a row are still taken for chance. */
+/* Up to three consecutive missing answers are attributed to chance. */
 static void
-test_few_misses(void)
+test_few_missing_answers(void)
 {
     runner_fixture fix;
     lc_host_state state;
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 1000, 500);
-    stay_silent(&fix, STEP_MS);
+    withhold_answers(&fix, STEP_MS);
     Runner_State(fix.runner, fix.now_ms, &state);
     g_assert_cmpint(state.state, ==, LC_UPSTREAM_READY);
     Runner_Free(fix.runner);
 }
 
 static void
-test_overdue_look(void)
+test_overdue_poll(void)
 {
     runner_fixture fix;
     Runner_EndRow ended = {1, RunnerFix_Run(1, 1), RUNNER_END_DONE};
@@ -256,16 +257,16 @@
 
     new_with_run(&fix);
     first = fix.look_id;
-    stay_silent(&fix, 130);
+    withhold_answers(&fix, 130);
     g_assert_cmpuint(fix.look_id, >, first);
     Runner_OnLook(fix.runner, fix.now_ms, first, &late);
     g_assert_cmpint(fix.status, ==, LC_RUN_DONE);
     Runner_Free(fix.runner);
 }
 
-/* What an answer tells that a later one has passed is out of date. */
+/* An answer that was overtaken by a later one is out of date. */
 static void
-test_passed_look(void)
+test_overtaken_poll(void)
 {
     runner_fixture fix;
     Runner_Row running = {RunnerFix_Run(1, 1), 50};
@@ -278,16 +279,17 @@
 
     new_with_run(&fix);
     first = fix.look_id;
-    stay_silent(&fix, 130);
+    withhold_answers(&fix, 130);
     RunnerFix_AnswerLook(&fix, NULL, 0, &ended, 1);
     Runner_OnLook(fix.runner, fix.now_ms, first, &late);
     g_assert_cmpint(fix.stops, ==, 0);
     Runner_Free(fix.runner);
 }
 
-/* A start that was confirmed after a look was sent may be missing from it. */
+/* A start that was confirmed after a poll was sent may be missing from its
+ * answer. */
 static void
-test_look_before_start(void)
+test_poll_before_start(void)
 {
     runner_fixture fix;
 
@@ -301,21 +303,21 @@
     Runner_Free(fix.runner);
 }
 
-/* Once an answer was missed, looks wait shorter for an end. */
+/* After a missing answer, the upstream delays its answers to polls less. */
 static void
-test_looks_while_answers_go_missing(void)
+test_polls_while_answers_go_missing(void)
 {
     runner_fixture fix;
-    uint32_t calm_ms;
+    uint32_t usual_wait_ms;
     Runner_Row running = {RunnerFix_Run(1, 1), 50};
 
     new_with_run(&fix);
-    calm_ms = fix.look.wait_ms;
-    stay_silent(&fix, 130);
+    usual_wait_ms = fix.look.wait_ms;
+    withhold_answers(&fix, 130);
     g_assert_cmpuint(fix.look.wait_ms, ==, 0);
     RunnerFix_AnswerLook(&fix, &running, 1, NULL, 0);
     g_assert_cmpuint(fix.look.wait_ms, >, 0);
-    g_assert_cmpuint(fix.look.wait_ms, <, calm_ms);
+    g_assert_cmpuint(fix.look.wait_ms, <, usual_wait_ms);
     Runner_Free(fix.runner);
 }
 
@@ -325,24 +327,24 @@
      test_answered_start_not_sent_again},
     {"/orders/a start without an answer keeps its room",
      test_unanswered_keeps_room},
-    {"/orders/a broken connection is followed by a copy",
+    {"/orders/a broken connection causes another copy",
      test_broken_connection},
     {"/orders/a refused copy does not free the room of another",
      test_refused_copy_keeps_room},
-    {"/orders/a start refused at once has not begun", test_refused_at_once},
+    {"/orders/a start refused at once was not executed", test_refused_at_once},
     {"/orders/a run that ended before its second copy came is not refused",
      test_old_after_copy},
     {"/orders/a stop without an answer is sent again", test_stop_sent_again},
-    {"/orders/a silent upstream is sent nothing but looks",
+    {"/orders/an unresponsive upstream is sent only polls",
      test_silent_upstream},
-    {"/orders/a few missing answers are taken for chance", test_few_misses},
-    {"/looks/an overdue look is followed by another and still counts",
-     test_overdue_look},
-    {"/looks/an answer that was passed changes nothing", test_passed_look},
-    {"/looks/a look sent before a start does not end it",
-     test_look_before_start},
-    {"/looks/wait shorter while answers go missing",
-     test_looks_while_answers_go_missing},
+    {"/orders/a few missing answers are tolerated", test_few_missing_answers},
+    {"/polls/an overdue poll is followed by another and still counts",
+     test_overdue_poll},
+    {"/polls/an overtaken answer changes nothing", test_overtaken_poll},
+    {"/polls/a poll sent before a start does not end it",
+     test_poll_before_start},
+    {"/polls/wait shorter while answers are lost",
+     test_polls_while_answers_go_missing},
 };
 
 int
