--- a/lease/answer_time.h
+++ b/lease/answer_time.h
@@ -1,10 +1,10 @@
 /**
  * @file answer_time.h
- * @brief How long a server takes to answer, and how many of its answers go
- * missing: the retransmission timeout of RFC 6298 over measured times.
+ * @brief Estimator of a server's response time and loss rate: the
+ * retransmission timeout of RFC 6298 over measured response times.
  *
- * A plain value with no clock of its own. Every copy of a request is timed by
- * itself, so that no sample is ambiguous.
+ * A plain value with no clock of its own. Every copy of a request is timed
+ * separately, so that no sample is ambiguous.
  */
 #ifndef LC_LEASE_ANSWER_TIME_H
 #define LC_LEASE_ANSWER_TIME_H
@@ -12,27 +12,28 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Estimate of one server's answer times. */
+/** Estimate for one server. */
 typedef struct {
     int64_t mean_us;        /**< smoothed mean of the samples */
-    int64_t deviation_us;   /**< smoothed mean of their deviations */
-    bool sampled;           /**< a sample was taken */
-    uint32_t lost_permille; /**< moving share of requests unanswered in time */
+    int64_t deviation_us;   /**< smoothed mean deviation */
+    bool sampled;           /**< at least one sample was added */
+    uint32_t lost_permille; /**< moving average, unanswered in time */
 } AnswerTime;
 
-/** Takes the time, in ms, that an answer took. */
+/** Adds a sample: the time in ms that an answer took. */
 void AnswerTime_Take(AnswerTime *times, int64_t answer_ms);
 
-/** A request was answered. */
+/** Records a request that was answered in time. */
 void AnswerTime_Hit(AnswerTime *times);
 
-/** A request had no answer in time. */
+/** Records a request that was not answered in time. */
 void AnswerTime_Miss(AnswerTime *times);
 
-/** Time in ms after which a request's answer counts as missing. */
+/** Timeout in ms after which a request counts as unanswered. */
 int64_t AnswerTime_TimeoutMs(const AnswerTime *times);
 
-/** Whether so many answers go missing that it pays to ask more often. */
+/** Whether the loss rate is high enough that more frequent requests pay off.
+ */
 bool AnswerTime_IsLossy(const AnswerTime *times);
 
 #endif
--- a/lease/incarnations.c
+++ b/lease/incarnations.c
@@ -5,7 +5,7 @@
 typedef struct {
     int64_t born_ms;
     char instance[]; /* ends with a NUL */
-} gone_life;
+} dead_incarnation;
 
 void
 Incarnations_Init(Incarnations *list)
@@ -26,9 +26,9 @@
     const GList *item;
 
     for (item = list->gone.head; item != NULL; item = item->next) {
-        const gone_life *life = item->data;
-        if (life->born_ms == born_ms &&
-            strcmp(life->instance, instance) == 0) {
+        const dead_incarnation *incarnation = item->data;
+        if (incarnation->born_ms == born_ms &&
+            strcmp(incarnation->instance, instance) == 0) {
             return true;
         }
     }
@@ -40,16 +40,16 @@
                       int64_t born_ms)
 {
     size_t size = strlen(instance) + 1;
-    gone_life *life;
+    dead_incarnation *incarnation;
 
     if (instance[0] == '\0' || Incarnations_IsGone(list, instance, born_ms)) {
         return;
     }
-    life = g_malloc(sizeof(*life) + size);
-    life->born_ms = born_ms;
-    memcpy(life->instance, instance, size);
-    g_queue_push_head(&list->gone, life);
-    if (g_queue_get_length(&list->gone) > INCARNATIONS_MOST) {
+    incarnation = g_malloc(sizeof(*incarnation) + size);
+    incarnation->born_ms = born_ms;
+    memcpy(incarnation->instance, instance, size);
+    g_queue_push_head(&list->gone, incarnation);
+    if (g_queue_get_length(&list->gone) > DEAD_INCARNATIONS_MAX) {
         g_free(g_queue_pop_tail(&list->gone));
     }
 }
--- a/lease/incarnations.h
+++ b/lease/incarnations.h
@@ -1,13 +1,13 @@
 /**
  * @file incarnations.h
- * @brief Lives of one upstream that are certainly over, so that what is heard
- * of them late is not believed.
+ * @brief List of an upstream's incarnations that have certainly ended, so that
+ * delayed messages of them are ignored.
  *
- * A life is a name and the time of its start, as an upstream may start again
- * under the name it had. The last 64 are remembered: at one crash each 1.4 s,
- * the fastest that the users' pages name, those of the last minute and a half.
- * A heartbeat that was held up for longer is judged by what the upstream
- * itself answers.
+ * An incarnation is an instance name and a start time, because an upstream may
+ * restart under the same name. The last 64 are kept: at one crash each 1.4 s,
+ * the highest rate that the user documentation names, these are the
+ * incarnations of the last 90 s. A heartbeat that was delayed for longer is
+ * checked against what the upstream itself answers.
  */
 #ifndef LC_LEASE_INCARNATIONS_H
 #define LC_LEASE_INCARNATIONS_H
@@ -16,9 +16,9 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define INCARNATIONS_MOST 64
+#define DEAD_INCARNATIONS_MAX 64
 
-/** The last to go first. */
+/** Ended incarnations, the latest first. */
 typedef struct {
     GQueue gone;
 } Incarnations;
@@ -26,11 +26,13 @@
 void Incarnations_Init(Incarnations *list);
 void Incarnations_Clear(Incarnations *list);
 
-/** Notes that one is gone; an empty name is none. @p born_ms is 0 for an
- * upstream that tells no start: then no other life of that name is known. */
+/** Adds an incarnation that has ended; an empty name is ignored. @p born_ms is
+ * its start time in ms, 0 for an upstream that reports none: then no
+ * other incarnation of that name is known. */
 void Incarnations_NoteGone(Incarnations *list, const char *instance,
                            int64_t born_ms);
 
+/** Whether an incarnation is known to have ended. */
 bool Incarnations_IsGone(const Incarnations *list, const char *instance,
                          int64_t born_ms);
 
--- a/lease/keeper.h
+++ b/lease/keeper.h
@@ -1,13 +1,14 @@
 /**
  * @file keeper.h
- * @brief An entry's decisions on kept jobs: when a submission may be
- * acknowledged, what is written down of each job, when the jobs of another
- * owner are taken over, and when their tasks may start again.
+ * @brief Management of durable jobs in an entry: when a submission may be
+ * acknowledged, which progress is recorded, when the jobs of a failed owner
+ * are taken over, and when their tasks may be started again.
  *
- * All entries follow one log of records (kept.h); its order decides who owns
- * a job. The owner runs it through its dispatcher, under an identity of its
- * own that it gives up when another entry has claimed it. No I/O and no
- * clock; ports never call back. Arguments are borrowed unless said otherwise.
+ * All entries read the same log of records (kept.h); the order of the records
+ * decides who owns a job. The owner runs the job through its dispatcher, under
+ * an owner identity that it replaces once another entry has claimed it. No
+ * I/O and no clock; ports never call back. Arguments are borrowed unless
+ * stated otherwise.
  */
 #ifndef LC_LEASE_KEEPER_H
 #define LC_LEASE_KEEPER_H
@@ -19,10 +20,10 @@
 #include "lease/kept.h"
 #include "lease/queue_counts.h"
 
-/** What is known of a job. */
+/** State of a job as reported to callers. */
 typedef enum {
     KEEPER_UNKNOWN, /**< no such job */
-    KEEPER_STALE, /**< not known here, but the log has not been read lately */
+    KEEPER_STALE,   /**< not known here, but the log was not read recently */
     KEEPER_PENDING,
     KEEPER_RUNNING,
     KEEPER_SUCCEEDED,
@@ -30,151 +31,157 @@
     KEEPER_CANCELLED
 } Keeper_State;
 
-/** Functions through which a keeper acts; none may call it back. */
+/** Functions provided by the embedder; none may call back. */
 typedef struct {
-    /** Writes a record, or drops the key if @p length is 0; returns its
-     * number, which rises. */
+    /** Appends a record to the log, or deletes the key if @p length is 0;
+     * returns the number of the write; numbers increase. */
     uint64_t (*put)(void *context, const char *key, const uint8_t *value,
                     size_t length);
-    /** Answers a caller. */
+    /** Sends the final answer to a caller. */
     void (*answer)(void *context, uint64_t request_id,
                    const Dispatcher_Answer *answer);
-    /** Tells a caller of a job's state. */
-    void (*tell)(void *context, uint64_t request_id, Keeper_State state);
-    /** Calls a companion. */
+    /** Answers a caller's query with a job's state. */
+    void (*answer_state)(void *context, uint64_t request_id,
+                         Keeper_State state);
+    /** Sends an RPC call to a companion. */
     void (*call)(void *context, Address to, uint64_t call_id,
                  const Msg_Call *call);
-    /** Queue of a name in the routes in force, or NULL. */
+    /** Looks up a queue by name in the current routes; NULL if unknown. */
     const Route *(*route)(void *context, const char *queue);
-    /** Reads a job as its caller sent it. */
+    /** Parses a job from the request body as submitted. */
     Err_Kind (*parse)(void *context, uint64_t id, const char *body,
                       LeasedJob *job, Status *status);
-    /** Writes an event. */
+    /** Emits a log event. */
     void (*event)(void *context, Event_Id id, const char *detail);
 } Keeper_Ports;
 
-/** Settings. */
 typedef struct {
-    lc_node node;        /**< of this entry; as an owner it goes by the
-                              numbers behind this incarnation */
-    uint32_t max_jobs;   /**< open at once, of all entries */
-    int64_t resubmit_ms; /**< runs of a lapsed owner are over by then */
-    int64_t keep_ms;     /**< a job's outcome is known for so long */
+    lc_node node;        /**< this entry; its owner identities use the
+                              incarnation numbers after this one */
+    uint32_t max_jobs;   /**< limit on open jobs of all entries together */
+    int64_t resubmit_ms; /**< time after which the runs of an owner whose
+                              lease has expired are over */
+    int64_t keep_ms;     /**< how long a job's outcome can be queried */
 } Keeper_Config;
 
-/** A job handed in that must be kept. */
+/** Submission of a durable job. */
 typedef struct {
     uint64_t request_id;
     const Route *route;
-    const char *body; /**< as its caller sent it */
+    const char *body; /**< request body as submitted */
     const LeasedJob *job;
 } Keeper_Submit;
 
-/** Opaque keeper. */
+/** Opaque state of the durable jobs of an entry. */
 typedef struct Keeper Keeper;
 
-/** Makes a keeper, which runs its jobs through @p dispatcher. */
+/** Creates the state; jobs are run through @p dispatcher, which is borrowed.
+ * The caller frees the result with Keeper_Free. */
 Keeper *Keeper_New(const Keeper_Config *config, const Keeper_Ports *ports,
                    void *context, Dispatcher *dispatcher, int64_t now_ms);
 void Keeper_Free(Keeper *keeper);
 
-/** Takes a job; answers it when it is written down, or refuses it. */
+/** Handles a submission: answers it once its record is written, or rejects
+ * it. */
 void Keeper_OnSubmit(Keeper *keeper, int64_t now_ms,
                      const Keeper_Submit *submit);
 
-/** Cancels a job; false if it is not a kept one that is known here. */
+/** Cancels a job; returns false if it is not a durable job known here. */
 bool Keeper_OnCancel(Keeper *keeper, int64_t now_ms, uint64_t request_id,
                      uint64_t job, const char *queue);
 
-/** Cancels a job that no entry knows: the log is read once more first, as it
- * may have been accepted a moment ago elsewhere. */
+/** Cancels a job that is not known here. The log is read again first, because
+ * another entry may have accepted the job a moment ago. */
 void Keeper_CancelUnknown(Keeper *keeper, int64_t now_ms, uint64_t request,
                           uint64_t id, const char *queue);
 
-/** A caller has gone: it is not answered; its job stays. */
+/** A caller has disconnected: it gets no answer, but its job remains. */
 void Keeper_OnCallerGone(Keeper *keeper, uint64_t request_id);
 
-/** A caller asks for a job's state. It is told at once, unless the job is
- * open: then the answer waits a moment for its end, as callers mostly ask
- * when a job should be over. */
+/** A caller queries a job's state. The answer is immediate unless the job is
+ * open: then it is delayed briefly to wait for the outcome, because callers
+ * mostly ask when they expect the job to have ended. */
 void Keeper_OnLook(Keeper *keeper, int64_t now_ms, uint64_t request,
                    uint64_t id, const char *queue);
 
-/** State of a job now. */
+/** Returns the current state of a job. */
 Keeper_State Keeper_Look(const Keeper *keeper, int64_t now_ms, uint64_t id,
                          const char *queue);
 
-/** Counts the jobs of this owner of which no task was started. Names are
- * borrowed. */
+/** Adds this owner's jobs of which no task was started to @p counts, by
+ * queue. Queue names are borrowed. */
 void Keeper_AddWaiting(const Keeper *keeper, QueueCounts *counts);
 
-/** A record was read. */
+/** Applies a record read from the log. */
 void Keeper_OnRecord(Keeper *keeper, int64_t now_ms,
                      const Kept_Record *record);
 
-/** All records were read that stood in the log at @p asked_ms. */
+/** All records that the log held at @p asked_ms have been read. */
 void Keeper_OnRead(Keeper *keeper, int64_t now_ms, int64_t asked_ms);
 
-/** All records up to a number are written. */
+/** All records up to @p number are written. */
 void Keeper_OnWritten(Keeper *keeper, int64_t now_ms, uint64_t number);
 
-/** Number of no task: of an end that is not to be written down. */
-#define KEEPER_NO_TASK UINT32_MAX
+/** Task number of a run end that is not to be recorded. */
+#define DURABLE_JOBS_NO_TASK UINT32_MAX
 
-/** The dispatcher tells of a run that ended well or badly. */
+/** The dispatcher reports that a run has ended; @p done on success. */
 void Keeper_OnRunEnd(Keeper *keeper, const lc_run_id *id, uint32_t task,
                      lc_node host, bool done);
 
-/** The dispatcher tells that an upstream has crashed under a run. */
+/** The dispatcher reports that an upstream crashed while executing a run. */
 void Keeper_OnCrash(Keeper *keeper, const lc_run_id *id, uint32_t task);
 
-/** The dispatcher tells that a job is over. */
+/** The dispatcher reports that a job has ended. */
 void Keeper_OnJobOver(Keeper *keeper, uint64_t job,
                       Dispatcher_Outcome outcome);
 
-/** Another entry spoke; @p kept is its identity as an owner, 0 if it cannot
- * look after its jobs. */
+/** A message of another entry has arrived; @p owner_incarnation is the
+ * incarnation of its owner identity, 0 if it cannot manage its jobs. */
 void Keeper_OnPeer(Keeper *keeper, int64_t now_ms, Address address,
-                   uint64_t kept);
+                   uint64_t owner_incarnation);
 
-/** An entry that reads the log and spoke lately, or 0. */
+/** Address of an entry that reads the log and was heard from recently, or
+ * 0. */
 Address Keeper_SomePeer(const Keeper *keeper, int64_t now_ms);
 
-/** A call of this keeper ended; @p reply is NULL when it broke. */
+/** A call sent through the port has ended; @p reply is NULL if it failed. */
 void Keeper_OnReply(Keeper *keeper, int64_t now_ms, uint64_t call_id,
                     const Msg_Reply *reply);
 
-/** A companion was heard of, or began anew. */
+/** A companion has reported, or has restarted. */
 void Keeper_OnHost(Keeper *keeper, int64_t now_ms);
 
-/** Writes down what has changed; to be called when all input was taken. */
+/** Writes the records of changed jobs; to be called once all pending input
+ * has been processed. */
 void Keeper_Settle(Keeper *keeper, int64_t now_ms);
 
-/** Time has passed; to be called every `term.tick_ms` or more often. */
+/** Handles timeouts; to be called at least every `term.tick_ms`. */
 void Keeper_Tick(Keeper *keeper, int64_t now_ms);
 
-/** Hands all jobs over to another entry, also those that still come. */
+/** Hands all jobs over to another entry, including those submitted later. */
 void Keeper_Leave(Keeper *keeper, int64_t now_ms);
 
-/** Identity as an owner that others may rely on, or 0. */
+/** Incarnation of the owner identity to announce to other entries; 0 if this
+ * entry is leaving or has not read the log recently. */
 uint64_t Keeper_Identity(const Keeper *keeper, int64_t now_ms);
 
-/** Whether no kept job is open and no caller asks for one: nobody waits for
- * what stands in the log. */
+/** Whether no durable job is open and no caller waits for one, so that nothing
+ * depends on reading the log soon. */
 bool Keeper_IsQuiet(const Keeper *keeper);
 
-/** Whether this entry has to hear every companion, and every entry often: some
- * entry's kept jobs are open, or were until lately. Who takes them over asks
- * all companions for what they hold. */
+/** Whether this entry needs reports from every companion, and frequent
+ * messages from every entry: durable jobs of some entry are open, or were
+ * until recently. A successor asks all companions for the runs they hold. */
 bool Keeper_NeedsAll(const Keeper *keeper);
 
-/** Whether no caller waits and no own job is open. */
+/** Whether no caller waits and this entry owns no open job. */
 bool Keeper_IsIdle(const Keeper *keeper);
 
-/** Appends figures for scrapers. */
+/** Appends metrics in the text exposition format. */
 void Keeper_Metrics(const Keeper *keeper, int64_t now_ms, GString *out);
 
-/** State for operators; the caller owns the result. */
+/** Returns the state as JSON for operators; the caller owns the result. */
 json_t *Keeper_Dump(const Keeper *keeper, int64_t now_ms);
 
 #endif
--- a/lease/keeper_callers.c
+++ b/lease/keeper_callers.c
@@ -2,15 +2,15 @@
 
 #include "lease/keeper_state.h"
 
-/* A caller waits so long at most until its job is written down. */
-#define WAITER_MS 2000
-/* The answer to a look at an open job waits so long for its end. */
-#define LOOK_WAIT_MS 50
-/* A log that has not answered for so long is taken as down. */
-#define LOG_DOWN_MS 1500
-/* The read that was on its way while nobody waited for the log is held so much
- * longer (platform/keyed_log.c). */
-#define QUIET_MS 1500
+/* Longest time a caller waits until its record is written. */
+#define WRITE_TIMEOUT_MS 2000
+/* Longest delay of the answer to a state query while the job is open. */
+#define STATE_QUERY_WAIT_MS 50
+/* A log that has not answered for this long is regarded as down. */
+#define LOG_TIMEOUT_MS 1500
+/* The store holds a read that was sent while nothing depended on the log for
+ * this much longer (platform/keyed_log.c). */
+#define QUIET_POLL_EXTRA_MS 1500
 
 static void
 answer(Keeper *keeper, uint64_t request, Dispatcher_Outcome outcome,
@@ -26,23 +26,23 @@
 }
 
 bool
-KeeperCaller_LogIsDown(const Keeper *keeper, int64_t now_ms)
+DurableCaller_IsLogDown(const Keeper *keeper, int64_t now_ms)
 {
-    bool quiet = keeper->quiet_ms != 0 &&
-                 now_ms - keeper->quiet_ms <= LOG_DOWN_MS;
-    int64_t most_ms = LOG_DOWN_MS + (quiet ? QUIET_MS : 0);
+    bool quiet = keeper->last_quiet_ms != 0 &&
+                 now_ms - keeper->last_quiet_ms <= LOG_TIMEOUT_MS;
+    int64_t limit_ms = LOG_TIMEOUT_MS + (quiet ? QUIET_POLL_EXTRA_MS : 0);
 
-    return keeper->contact_ms == 0 || now_ms - keeper->contact_ms > most_ms;
+    return keeper->log_read_ms == 0 || now_ms - keeper->log_read_ms > limit_ms;
 }
 
-static Keeper_Waiter *
-find_submit(const Keeper *keeper, uint64_t job)
+static DurableJobs_Waiter *
+find_submit_waiter(const Keeper *keeper, uint64_t job)
 {
     guint i;
 
     for (i = 0; i < keeper->waiters->len; i++) {
-        Keeper_Waiter *waiter = &g_array_index(keeper->waiters, Keeper_Waiter,
-                                               i);
+        DurableJobs_Waiter *waiter = &g_array_index(keeper->waiters,
+                                                    DurableJobs_Waiter, i);
         if (waiter->job == job && !waiter->cancels) {
             return waiter;
         }
@@ -54,23 +54,25 @@
 add_waiter(Keeper *keeper, int64_t now_ms, uint64_t number, uint64_t request,
            uint64_t job, const char *queue, bool cancels)
 {
-    Keeper_Waiter waiter = {.number = number,
-                            .request = request,
-                            .job = job,
-                            .queue = g_strdup(queue),
-                            .asked_ms = now_ms,
-                            .until_ms = now_ms + WAITER_MS,
-                            .cancels = cancels};
+    DurableJobs_Waiter waiter = {.number = number,
+                                 .request = request,
+                                 .job = job,
+                                 .queue = g_strdup(queue),
+                                 .asked_ms = now_ms,
+                                 .until_ms = now_ms + WRITE_TIMEOUT_MS,
+                                 .cancels = cancels};
 
     g_array_append_val(keeper->waiters, waiter);
 }
 
-/* An ID is one job, whoever hands it in and how often. */
+/* An ID denotes one job, whoever submits it and however often. */
 static bool
-answer_known(Keeper *keeper, int64_t now_ms, const Keeper_Submit *submit)
+answer_if_known(Keeper *keeper, int64_t now_ms, const Keeper_Submit *submit)
 {
-    const Kept_Job *known = Kept_Find(keeper->kept, submit->job->id);
-    const Keeper_Waiter *waiter = find_submit(keeper, submit->job->id);
+    const DurableLog_Job *known = DurableLog_Find(keeper->log,
+                                                  submit->job->id);
+    const DurableJobs_Waiter *waiter = find_submit_waiter(keeper,
+                                                          submit->job->id);
 
     if (known != NULL && known->submitted) {
         if (strcmp(known->queue, submit->route->name) == 0) {
@@ -78,7 +80,8 @@
         }
         else {
             answer(keeper, submit->request_id, DISPATCHER_NOT_RUN,
-                   ERR_KEY_REUSED, "this identity is a job of another queue");
+                   ERR_KEY_REUSED,
+                   "this job ID is already in use in another queue");
         }
         return true;
     }
@@ -90,15 +93,15 @@
     return false;
 }
 
-/* An entry that is being stopped hands new jobs to another, if there is one
- * that can look after them. */
+/* An entry that is shutting down assigns new jobs to another entry, if one can
+ * take them. */
 static lc_node
-owner_of_new(const Keeper *keeper, int64_t now_ms)
+choose_owner(const Keeper *keeper, int64_t now_ms)
 {
     lc_node other = {0, 0};
 
     if (keeper->leaving) {
-        other = KeeperOwner_Other(keeper, now_ms);
+        other = DurableTakeover_PickSuccessor(keeper, now_ms);
     }
     return other.incarnation != 0 ? other : keeper->node;
 }
@@ -108,14 +111,14 @@
 {
     lc_kept_record record = {.job = submit->job->id};
     lc_kept_submit *body = &record.body.lc_kept_body_u.submit;
-    char key[KEPT_KEY_SIZE];
+    char key[DURABLE_LOG_KEY_SIZE];
 
     record.body.kind = LC_KEPT_SUBMIT;
     body->owner = owner;
     body->queue = submit->route->name;
     body->body = (char *)(uintptr_t)submit->body;
-    Kept_SubmitKey(submit->job->id, keeper->node, key);
-    return Keeper_Put(keeper, key, &record);
+    DurableLog_SubmitKey(submit->job->id, keeper->node, key);
+    return DurableJobs_Put(keeper, key, &record);
 }
 
 void
@@ -124,16 +127,16 @@
     Status status = {ERR_OK, ""};
     uint64_t number;
 
-    if (answer_known(keeper, now_ms, submit)) {
+    if (answer_if_known(keeper, now_ms, submit)) {
         return;
     }
-    if (KeeperCaller_LogIsDown(keeper, now_ms)) {
+    if (DurableCaller_IsLogDown(keeper, now_ms)) {
         Err_Set(&status, ERR_LOG_DOWN, "the store does not answer");
     }
-    else if (Kept_OpenCount(keeper->kept) + keeper->waiters->len >=
+    else if (DurableLog_OpenCount(keeper->log) + keeper->waiters->len >=
              keeper->config.max_jobs) {
         Err_Set(&status, ERR_QUEUE_FULL, "%u kept jobs are open",
-                Kept_OpenCount(keeper->kept));
+                DurableLog_OpenCount(keeper->log));
     }
     else {
         Route_Check(submit->route, submit->job, &status);
@@ -143,7 +146,7 @@
                status.message);
         return;
     }
-    number = put_submit(keeper, submit, owner_of_new(keeper, now_ms));
+    number = put_submit(keeper, submit, choose_owner(keeper, now_ms));
     add_waiter(keeper, now_ms, number, submit->request_id, submit->job->id,
                submit->route->name, false);
 }
@@ -152,22 +155,22 @@
 put_cancel(Keeper *keeper, uint64_t job, const char *queue)
 {
     lc_kept_record record = {.job = job};
-    char key[KEPT_KEY_SIZE];
+    char key[DURABLE_LOG_KEY_SIZE];
 
     record.body.kind = LC_KEPT_CANCEL;
     record.body.lc_kept_body_u.queue = (char *)(uintptr_t)queue;
-    Kept_CancelKey(job, key);
-    return Keeper_Put(keeper, key, &record);
+    DurableLog_CancelKey(job, key);
+    return DurableJobs_Put(keeper, key, &record);
 }
 
 bool
 Keeper_OnCancel(Keeper *keeper, int64_t now_ms, uint64_t request, uint64_t id,
                 const char *queue)
 {
-    const Kept_Job *job = Kept_Find(keeper->kept, id);
+    const DurableLog_Job *job = DurableLog_Find(keeper->log, id);
 
     if ((job == NULL || strcmp(job->queue, queue) != 0) &&
-        find_submit(keeper, id) == NULL) {
+        find_submit_waiter(keeper, id) == NULL) {
         return false;
     }
     if (job != NULL && (job->outcome != LC_KEPT_OPEN || job->cancelled)) {
@@ -187,10 +190,11 @@
 }
 
 static void
-remove_looker(Keeper *keeper, guint index)
+remove_state_query(Keeper *keeper, guint index)
 {
-    g_free(g_array_index(keeper->lookers, Keeper_Looker, index).queue);
-    g_array_remove_index_fast(keeper->lookers, index);
+    g_free(g_array_index(keeper->state_queries, DurableJobs_StateQuery, index)
+               .queue);
+    g_array_remove_index_fast(keeper->state_queries, index);
 }
 
 void
@@ -199,26 +203,26 @@
     guint i;
 
     for (i = 0; i < keeper->waiters->len; i++) {
-        Keeper_Waiter *waiter = &g_array_index(keeper->waiters, Keeper_Waiter,
-                                               i);
+        DurableJobs_Waiter *waiter = &g_array_index(keeper->waiters,
+                                                    DurableJobs_Waiter, i);
         if (waiter->request == request) {
             waiter->request = 0;
         }
     }
-    for (i = 0; i < keeper->lookers->len; i++) {
-        if (g_array_index(keeper->lookers, Keeper_Looker, i).request ==
-            request) {
-            remove_looker(keeper, i);
+    for (i = 0; i < keeper->state_queries->len; i++) {
+        if (g_array_index(keeper->state_queries, DurableJobs_StateQuery, i)
+                .request == request) {
+            remove_state_query(keeper, i);
             return;
         }
     }
 }
 
-/* As far as the log or the own dispatcher tells. */
+/* Judged by progress records and by the local dispatcher. */
 static bool
-has_begun(const Keeper *keeper, const Kept_Job *job)
+has_started(const Keeper *keeper, const DurableLog_Job *job)
 {
-    bool begun = true; /* an own job that the dispatcher has ended */
+    bool started = true; /* for an owned job that the dispatcher has ended */
 
     if (job->writers->len > 0) {
         return true;
@@ -226,12 +230,12 @@
     if (!g_hash_table_contains(keeper->jobs, &job->id)) {
         return false;
     }
-    Dispatcher_Look(keeper->dispatcher, job->id, job->queue, &begun);
-    return begun;
+    Dispatcher_Look(keeper->dispatcher, job->id, job->queue, &started);
+    return started;
 }
 
 static Keeper_State
-state_of(const Keeper *keeper, const Kept_Job *job)
+state_of(const Keeper *keeper, const DurableLog_Job *job)
 {
     static const Keeper_State states[] = {
         [LC_KEPT_OPEN] = KEEPER_PENDING,
@@ -242,7 +246,7 @@
     if (job->outcome == LC_KEPT_OPEN && job->cancelled) {
         return KEEPER_CANCELLED;
     }
-    if (job->outcome == LC_KEPT_OPEN && has_begun(keeper, job)) {
+    if (job->outcome == LC_KEPT_OPEN && has_started(keeper, job)) {
         return KEEPER_RUNNING;
     }
     return states[job->outcome];
@@ -252,17 +256,17 @@
 Keeper_Look(const Keeper *keeper, int64_t now_ms, uint64_t id,
             const char *queue)
 {
-    const Kept_Job *job = Kept_Find(keeper->kept, id);
+    const DurableLog_Job *job = DurableLog_Find(keeper->log, id);
 
     if (job != NULL && strcmp(job->queue, queue) == 0 &&
         (job->submitted || job->outcome != LC_KEPT_OPEN)) {
         return state_of(keeper, job);
     }
-    if (find_submit(keeper, id) != NULL) {
+    if (find_submit_waiter(keeper, id) != NULL) {
         return KEEPER_PENDING;
     }
-    return KeeperCaller_LogIsDown(keeper, now_ms) ? KEEPER_STALE
-                                                  : KEEPER_UNKNOWN;
+    return DurableCaller_IsLogDown(keeper, now_ms) ? KEEPER_STALE
+                                                   : KEEPER_UNKNOWN;
 }
 
 void
@@ -270,42 +274,42 @@
               const char *queue)
 {
     Keeper_State state = Keeper_Look(keeper, now_ms, id, queue);
-    Keeper_Looker looker = {
-        .request = request, .job = id, .until_ms = now_ms + LOOK_WAIT_MS};
+    DurableJobs_StateQuery query = {.request = request,
+                                    .job = id,
+                                    .until_ms = now_ms + STATE_QUERY_WAIT_MS};
 
     if (state != KEEPER_PENDING && state != KEEPER_RUNNING) {
-        keeper->ports->tell(keeper->context, request, state);
+        keeper->ports->answer_state(keeper->context, request, state);
         return;
     }
-    looker.queue = g_strdup(queue);
-    g_array_append_val(keeper->lookers, looker);
+    query.queue = g_strdup(queue);
+    g_array_append_val(keeper->state_queries, query);
 }
 
-/* Tells those whose job is over, or who have waited. */
 void
-KeeperCaller_TellLookers(Keeper *keeper, int64_t now_ms)
+DurableCaller_AnswerStateQueries(Keeper *keeper, int64_t now_ms)
 {
     guint i = 0;
 
-    while (i < keeper->lookers->len) {
-        const Keeper_Looker *looker = &g_array_index(keeper->lookers,
-                                                     Keeper_Looker, i);
-        Keeper_State state = Keeper_Look(keeper, now_ms, looker->job,
-                                         looker->queue);
+    while (i < keeper->state_queries->len) {
+        const DurableJobs_StateQuery *query = &g_array_index(
+            keeper->state_queries, DurableJobs_StateQuery, i);
+        Keeper_State state = Keeper_Look(keeper, now_ms, query->job,
+                                         query->queue);
         if ((state == KEEPER_PENDING || state == KEEPER_RUNNING) &&
-            now_ms < looker->until_ms) {
+            now_ms < query->until_ms) {
             i++;
             continue;
         }
-        keeper->ports->tell(keeper->context, looker->request, state);
-        remove_looker(keeper, i);
+        keeper->ports->answer_state(keeper->context, query->request, state);
+        remove_state_query(keeper, i);
     }
 }
 
 static bool
-is_waiting(const Keeper *keeper, const Kept_Job *job)
+is_waiting(const Keeper *keeper, const DurableLog_Job *job)
 {
-    lc_node owner = Kept_OwnerOf(keeper->kept, job);
+    lc_node owner = Kept_OwnerOf(keeper->log, job);
 
     return Msg_SameNode(&owner, &keeper->node) && job->writers->len == 0 &&
            !g_hash_table_contains(keeper->jobs, &job->id);
@@ -317,12 +321,12 @@
     GPtrArray *open;
     guint i;
 
-    if (!keeper->unstarted && keeper->recoveries->len == 0) {
+    if (!keeper->has_unstarted && keeper->recoveries->len == 0) {
         return;
     }
-    open = Kept_Open(keeper->kept);
+    open = DurableLog_OpenJobs(keeper->log);
     for (i = 0; i < open->len; i++) {
-        const Kept_Job *job = g_ptr_array_index(open, i);
+        const DurableLog_Job *job = g_ptr_array_index(open, i);
         if (is_waiting(keeper, job)) {
             QueueCounts_Add(counts, job->queue);
         }
@@ -333,20 +337,20 @@
 static void
 remove_waiter(Keeper *keeper, guint index)
 {
-    g_free(g_array_index(keeper->waiters, Keeper_Waiter, index).queue);
+    g_free(g_array_index(keeper->waiters, DurableJobs_Waiter, index).queue);
     g_array_remove_index(keeper->waiters, index);
 }
 
 void
-KeeperCaller_TakeRead(Keeper *keeper, int64_t now_ms)
+DurableCaller_OnLogRead(Keeper *keeper, int64_t now_ms)
 {
     guint i = 0;
 
     while (i < keeper->waiters->len) {
-        Keeper_Waiter waiter = g_array_index(keeper->waiters, Keeper_Waiter,
-                                             i);
+        DurableJobs_Waiter waiter = g_array_index(keeper->waiters,
+                                                  DurableJobs_Waiter, i);
         if (waiter.number != UINT64_MAX ||
-            keeper->contact_ms <= waiter.asked_ms) {
+            keeper->log_read_ms <= waiter.asked_ms) {
             i++;
             continue;
         }
@@ -354,8 +358,8 @@
         if (waiter.request != 0 &&
             !Keeper_OnCancel(keeper, now_ms, waiter.request, waiter.job,
                              waiter.queue)) {
-            keeper->ports->tell(keeper->context, waiter.request,
-                                KEEPER_UNKNOWN);
+            keeper->ports->answer_state(keeper->context, waiter.request,
+                                        KEEPER_UNKNOWN);
         }
         g_free(waiter.queue);
     }
@@ -369,8 +373,8 @@
     (void)now_ms;
     keeper->written = MAX(keeper->written, number);
     while (i < keeper->waiters->len) {
-        Keeper_Waiter *waiter = &g_array_index(keeper->waiters, Keeper_Waiter,
-                                               i);
+        DurableJobs_Waiter *waiter = &g_array_index(keeper->waiters,
+                                                    DurableJobs_Waiter, i);
         if (waiter->number > number) {
             i++;
             continue;
@@ -382,22 +386,22 @@
         }
         remove_waiter(keeper, i);
     }
-    KeeperJob_ReleaseWritten(keeper);
+    DurableOwned_SendReleases(keeper);
 }
 
-/* The record may still be written: the caller is told nothing certain, and
- * the job is known here as pending until it is. */
+/* The record may still be written, so the caller gets an indefinite answer.
+ * The waiter stays, and the job is known here as pending, until then. */
 void
-KeeperCaller_GiveUp(Keeper *keeper, int64_t now_ms)
+DurableCaller_ExpireWaiters(Keeper *keeper, int64_t now_ms)
 {
     guint i;
 
     for (i = 0; i < keeper->waiters->len; i++) {
-        Keeper_Waiter *waiter = &g_array_index(keeper->waiters, Keeper_Waiter,
-                                               i);
+        DurableJobs_Waiter *waiter = &g_array_index(keeper->waiters,
+                                                    DurableJobs_Waiter, i);
         if (waiter->request != 0 && now_ms >= waiter->until_ms) {
             answer(keeper, waiter->request, DISPATCHER_GIVEN_UP, ERR_LOG_DOWN,
-                   "the store has not confirmed it in time");
+                   "the store did not confirm the write in time");
             waiter->request = 0;
         }
     }
--- a/lease/keeper_jobs.c
+++ b/lease/keeper_jobs.c
@@ -4,9 +4,9 @@
 #include "lease/run_id.h"
 
 void
-KeeperJob_Free(gpointer item)
+DurableOwned_Free(gpointer item)
 {
-    Keeper_Job *row = item;
+    DurableJobs_OwnJob *row = item;
 
     g_byte_array_unref(row->done);
     g_array_unref(row->failures);
@@ -14,45 +14,46 @@
     g_free(row);
 }
 
-static Keeper_Job *
-add_row(Keeper *keeper, const Kept_Job *job)
+static DurableJobs_OwnJob *
+add_own_job(Keeper *keeper, const DurableLog_Job *job)
 {
-    Keeper_Job *row = g_new0(Keeper_Job, 1);
+    DurableJobs_OwnJob *row = g_new0(DurableJobs_OwnJob, 1);
 
     row->id = job->id;
     row->done = g_byte_array_new();
     g_byte_array_append(row->done, job->done->data, job->done->len);
     row->failures = g_array_copy(job->failures);
-    row->ends = g_array_new(FALSE, TRUE, sizeof(Keeper_End));
+    row->ends = g_array_new(FALSE, TRUE, sizeof(DurableJobs_RunEnd));
     g_hash_table_insert(keeper->jobs, &row->id, row);
     return row;
 }
 
 static void
-note_change(Keeper *keeper, Keeper_Job *row)
+mark_changed(Keeper *keeper, DurableJobs_OwnJob *row)
 {
     g_hash_table_add(keeper->changed, &row->id);
 }
 
 void
-KeeperJob_Forget(Keeper *keeper, Keeper_Job *row)
+DurableOwned_Remove(Keeper *keeper, DurableJobs_OwnJob *row)
 {
     guint i;
 
     for (i = 0; i < row->ends->len; i++) {
-        KeeperJob_Release(keeper, &g_array_index(row->ends, Keeper_End, i));
+        DurableOwned_QueueRelease(
+            keeper, &g_array_index(row->ends, DurableJobs_RunEnd, i));
     }
     g_hash_table_remove(keeper->changed, &row->id);
     g_hash_table_remove(keeper->jobs, &row->id);
 }
 
 void
-KeeperJob_Write(Keeper *keeper, const Keeper_Job *row)
+DurableOwned_PutProgress(Keeper *keeper, const DurableJobs_OwnJob *row)
 {
-    const Kept_Job *job = Kept_Find(keeper->kept, row->id);
+    const DurableLog_Job *job = DurableLog_Find(keeper->log, row->id);
     lc_kept_record record = {.job = row->id};
     lc_kept_progress *progress = &record.body.lc_kept_body_u.progress;
-    char key[KEPT_KEY_SIZE];
+    char key[DURABLE_LOG_KEY_SIZE];
     uint64_t number;
     guint i;
 
@@ -64,10 +65,11 @@
     progress->failures.failures_val =
         (lc_kept_failures *)(void *)row->failures->data;
     progress->failures.failures_len = row->failures->len;
-    Kept_ProgressKey(row->id, keeper->node, key);
-    number = Keeper_Put(keeper, key, &record);
+    DurableLog_ProgressKey(row->id, keeper->node, key);
+    number = DurableJobs_Put(keeper, key, &record);
     for (i = 0; i < row->ends->len; i++) {
-        Keeper_End end = g_array_index(row->ends, Keeper_End, i);
+        DurableJobs_RunEnd end = g_array_index(row->ends, DurableJobs_RunEnd,
+                                               i);
         end.number = number;
         g_array_append_val(keeper->ends, end);
     }
@@ -75,7 +77,7 @@
 }
 
 static void
-add_failure(Keeper_Job *row, uint32_t task, uint32_t run)
+add_failure(DurableJobs_OwnJob *row, uint32_t task, uint32_t run)
 {
     lc_kept_failures fresh = {task, 1, run};
     guint i;
@@ -96,41 +98,41 @@
 Keeper_OnRunEnd(Keeper *keeper, const lc_run_id *id, uint32_t task,
                 lc_node host, bool done)
 {
-    Keeper_Job *row = g_hash_table_lookup(keeper->jobs, &id->job);
-    Keeper_End end = {.host = host, .run = *id};
+    DurableJobs_OwnJob *row = g_hash_table_lookup(keeper->jobs, &id->job);
+    DurableJobs_RunEnd end = {.host = host, .run = *id};
 
-    if (task == KEEPER_NO_TASK) {
-        KeeperJob_Release(keeper, &end);
+    if (task == DURABLE_JOBS_NO_TASK) {
+        DurableOwned_QueueRelease(keeper, &end);
         return;
     }
     if (row == NULL) {
-        return; /* not ours any more, or over: see KeeperOwner_AskHeld */
+        return; /* not owned, or ended: see DurableTakeover_FetchHeldEnds */
     }
     if (done) {
-        Kept_MarkDone(row->done, task);
+        DurableLog_MarkDone(row->done, task);
     }
     else {
         add_failure(row, task, id->run);
     }
     g_array_append_val(row->ends, end);
-    note_change(keeper, row);
+    mark_changed(keeper, row);
 }
 
 void
 Keeper_OnCrash(Keeper *keeper, const lc_run_id *id, uint32_t task)
 {
-    Keeper_Job *row = g_hash_table_lookup(keeper->jobs, &id->job);
+    DurableJobs_OwnJob *row = g_hash_table_lookup(keeper->jobs, &id->job);
 
     if (row != NULL) {
         add_failure(row, task | KEPT_CRASHES, id->run);
-        note_change(keeper, row);
+        mark_changed(keeper, row);
     }
 }
 
 void
 Keeper_OnJobOver(Keeper *keeper, uint64_t job, Dispatcher_Outcome outcome)
 {
-    Keeper_Job *row = g_hash_table_lookup(keeper->jobs, &job);
+    DurableJobs_OwnJob *row = g_hash_table_lookup(keeper->jobs, &job);
 
     if (row == NULL || row->written) {
         return;
@@ -146,49 +148,51 @@
         row->outcome = LC_KEPT_FAILED;
         break;
     }
-    note_change(keeper, row);
+    mark_changed(keeper, row);
 }
 
 static void
 send_release(Keeper *keeper, lc_node host, GArray *ends)
 {
-    Keeper_Call *about = g_new0(Keeper_Call, 1);
+    DurableJobs_Call *pending = g_new0(DurableJobs_Call, 1);
     Msg_Call call = {.kind = MSG_RELEASE};
     lc_run_id *runs = g_new0(lc_run_id, ends->len);
     guint i;
 
     for (i = 0; i < ends->len; i++) {
-        runs[i] = g_array_index(ends, Keeper_End, i).run;
+        runs[i] = g_array_index(ends, DurableJobs_RunEnd, i).run;
     }
     call.u.release.target = host.incarnation;
     call.u.release.runs.runs_len = MIN(ends->len, LC_MAX_PAGE);
     call.u.release.runs.runs_val = runs;
-    about->kind = MSG_RELEASE;
-    about->host = host;
-    about->ends = g_array_ref(ends);
+    pending->kind = MSG_RELEASE;
+    pending->host = host;
+    pending->ends = g_array_ref(ends);
     keeper->ports->call(keeper->context, host.address,
-                        Handle_Add(keeper->calls, about), &call);
+                        Handle_Add(keeper->calls, pending), &call);
     g_free(runs);
 }
 
 void
-KeeperJob_Release(Keeper *keeper, const Keeper_End *end)
+DurableOwned_QueueRelease(Keeper *keeper, const DurableJobs_RunEnd *end)
 {
-    Keeper_End written = *end;
+    DurableJobs_RunEnd written = *end;
 
     written.number = 0;
     g_array_append_val(keeper->ends, written);
 }
 
-/* Takes the ends at one companion out of the list. */
+/* Removes the written ends at one companion from the list, one page at most.
+ */
 static GArray *
-take_ends_at(Keeper *keeper, lc_node host)
+take_written_ends_at(Keeper *keeper, lc_node host)
 {
-    GArray *taken = g_array_new(FALSE, TRUE, sizeof(Keeper_End));
+    GArray *taken = g_array_new(FALSE, TRUE, sizeof(DurableJobs_RunEnd));
     guint i = 0;
 
     while (i < keeper->ends->len) {
-        Keeper_End *end = &g_array_index(keeper->ends, Keeper_End, i);
+        DurableJobs_RunEnd *end = &g_array_index(keeper->ends,
+                                                 DurableJobs_RunEnd, i);
         if (end->number <= keeper->written &&
             Msg_SameNode(&end->host, &host) && taken->len < LC_MAX_PAGE) {
             g_array_append_val(taken, *end);
@@ -202,28 +206,30 @@
 }
 
 void
-KeeperJob_ReleaseWritten(Keeper *keeper)
+DurableOwned_SendReleases(Keeper *keeper)
 {
     guint i = 0;
 
     while (i < keeper->ends->len) {
-        Keeper_End end = g_array_index(keeper->ends, Keeper_End, i);
+        DurableJobs_RunEnd end = g_array_index(keeper->ends,
+                                               DurableJobs_RunEnd, i);
         GArray *ends;
         if (end.number > keeper->written) {
             i++;
             continue;
         }
-        ends = take_ends_at(keeper, end.host);
+        ends = take_written_ends_at(keeper, end.host);
         send_release(keeper, end.host, ends);
         g_array_unref(ends);
         i = 0;
     }
 }
 
-/* A companion that could not be reached is asked again, unless it is gone:
- * another incarnation tells of what it finds. */
+/* If the companion was not reached, its ends are queued again, unless it has
+ * restarted: the next incarnation reports the ends that it finds. */
 void
-KeeperJob_Released(Keeper *keeper, const Keeper_Call *call, bool taken)
+DurableOwned_OnReleaseReply(Keeper *keeper, const DurableJobs_Call *call,
+                            bool taken)
 {
     const Fleet_Host *host = Dispatcher_Host(keeper->dispatcher,
                                              call->host.address);
@@ -235,17 +241,17 @@
     g_array_append_vals(keeper->ends, call->ends->data, call->ends->len);
 }
 
-/* Takes what companions hold of a job: its ends are written down, what runs
- * goes to the dispatcher. */
+/* Adopts the runs of a job that companions hold: ends are recorded, active
+ * runs are passed to the dispatcher. */
 static void
-take_found(Keeper *keeper, Keeper_Job *row, const LeasedJob *job,
-           const Keeper_Recovery *recovery, GArray *runs)
+adopt_found_runs(Keeper *keeper, DurableJobs_OwnJob *row, const LeasedJob *job,
+                 const DurableJobs_Recovery *recovery, GArray *runs)
 {
     guint i;
 
     for (i = 0; recovery != NULL && i < recovery->runs->len; i++) {
-        const Keeper_Found *found = &g_array_index(recovery->runs,
-                                                   Keeper_Found, i);
+        const DurableJobs_FoundRun *found = &g_array_index(
+            recovery->runs, DurableJobs_FoundRun, i);
         const lc_run_id *id = &found->run.id;
         Dispatcher_Placement place = {*id, found->host};
         if (id->job != row->id) {
@@ -261,25 +267,26 @@
 }
 
 static void
-write_outcome(Keeper *keeper, const Kept_Job *job, lc_kept_outcome outcome)
+write_outcome(Keeper *keeper, const DurableLog_Job *job,
+              lc_kept_outcome outcome)
 {
-    Keeper_Job *row = add_row(keeper, job);
+    DurableJobs_OwnJob *row = add_own_job(keeper, job);
 
     row->outcome = outcome;
-    note_change(keeper, row);
+    mark_changed(keeper, row);
 }
 
 void
-KeeperJob_Start(Keeper *keeper, int64_t now_ms, Kept_Job *job,
-                const Keeper_Recovery *recovery)
+DurableOwned_Start(Keeper *keeper, int64_t now_ms, DurableLog_Job *job,
+                   const DurableJobs_Recovery *recovery)
 {
     const Route *route = keeper->ports->route(keeper->context, job->queue);
-    uint32_t generation = Kept_Generation(keeper->kept, job);
+    uint32_t generation = DurableLog_TakeoverCount(keeper->log, job);
     Dispatcher_Kept start = {.route = route,
                              .run_base = RUN_ID_KEPT_BASE +
                                          generation * RUN_ID_OWNER_STEP};
     Status status = {ERR_OK, ""};
-    Keeper_Job *row;
+    DurableJobs_OwnJob *row;
     GArray *runs;
 
     if (job->cancelled && (recovery == NULL || route == NULL)) {
@@ -287,7 +294,7 @@
         return;
     }
     if (route == NULL) {
-        keeper->unstarted = true; /* until the queue is back */
+        keeper->has_unstarted = true; /* until the queue exists again */
         return;
     }
     if (keeper->ports->parse(keeper->context, job->id, job->body, &start.job,
@@ -297,39 +304,39 @@
         return;
     }
     runs = g_array_new(FALSE, TRUE, sizeof(Dispatcher_Placement));
-    row = add_row(keeper, job);
-    take_found(keeper, row, &start.job, recovery, runs);
+    row = add_own_job(keeper, job);
+    adopt_found_runs(keeper, row, &start.job, recovery, runs);
     start.runs = runs;
     start.done = row->done;
     start.failures = row->failures;
     Dispatcher_AddKept(keeper->dispatcher, now_ms, &start);
     g_array_unref(runs);
     if (job->cancelled) {
-        /* What runs of it has to be stopped. */
+        /* Its active runs have to be stopped. */
         Dispatcher_OnCancel(keeper->dispatcher, now_ms, job->id, job->queue);
     }
 }
 
 void
-KeeperJob_StartAll(Keeper *keeper, int64_t now_ms)
+DurableOwned_StartAll(Keeper *keeper, int64_t now_ms)
 {
     GPtrArray *open;
     guint i;
 
-    if (!keeper->unstarted) {
+    if (!keeper->has_unstarted) {
         return;
     }
-    keeper->unstarted = false;
-    open = Kept_Open(keeper->kept);
+    keeper->has_unstarted = false;
+    open = DurableLog_OpenJobs(keeper->log);
     for (i = 0; i < open->len; i++) {
-        Kept_Job *job = g_ptr_array_index(open, i);
-        lc_node owner = Kept_OwnerOf(keeper->kept, job);
+        DurableLog_Job *job = g_ptr_array_index(open, i);
+        lc_node owner = Kept_OwnerOf(keeper->log, job);
         if (!Msg_SameNode(&owner, &keeper->node) ||
             g_hash_table_contains(keeper->jobs, &job->id)) {
             continue;
         }
-        if (KeeperOwner_RecoveryOf(keeper, job) == NULL) {
-            KeeperJob_Start(keeper, now_ms, job, NULL);
+        if (DurableTakeover_RecoveryOf(keeper, job) == NULL) {
+            DurableOwned_Start(keeper, now_ms, job, NULL);
         }
     }
     g_ptr_array_unref(open);
--- a/lease/keeper_state.h
+++ b/lease/keeper_state.h
@@ -1,9 +1,9 @@
 /**
  * @file keeper_state.h
- * @brief State of a keeper, shared by the files that make it up: what callers
- * ask for, own jobs and what is written of them, owners that are gone.
+ * @brief Private state of the durable jobs of an entry: waiting callers, owned
+ * jobs and their unwritten progress, takeovers of failed owners.
  *
- * For lease/keeper*.c alone.
+ * Included only by lease/keeper*.c.
  */
 #ifndef LC_LEASE_KEEPER_STATE_H
 #define LC_LEASE_KEEPER_STATE_H
@@ -11,212 +11,225 @@
 #include "base/handle.h"
 #include "lease/keeper.h"
 
-/* Without a word of the log for so long, an owner starts and renews nothing:
- * it may have been claimed. Longer than most outages of the store. */
-#define KEEPER_HOLD_MS 6000
+/* An owner that has not read the log for this long neither starts nor renews
+ * runs, because another entry may have claimed its jobs. Longer than most
+ * outages of the store. */
+#define DURABLE_JOBS_LOG_TIMEOUT_MS 6000
 
-/* A caller that waits for its job to be written down, or cancelled. */
+/* A caller waiting until its submission or cancellation is written. */
 typedef struct {
-    uint64_t number; /* of the record that it waits for; UINT64_MAX: for
-                        what stands in the log at `asked_ms` */
+    uint64_t number; /* of the awaited write; UINT64_MAX: waits until all that
+                        the log held at `asked_ms` is read */
     int64_t asked_ms;
     uint64_t request;
     uint64_t job;
     char *queue;
     int64_t until_ms;
     bool cancels;
-} Keeper_Waiter;
+} DurableJobs_Waiter;
 
-/* A caller that asked for the state of a job that was open. */
+/* A caller waiting for the state of a job that was open when it asked. */
 typedef struct {
     uint64_t request;
     uint64_t job;
     char *queue;
     int64_t until_ms;
-} Keeper_Looker;
+} DurableJobs_StateQuery;
 
-/* A job that this entry runs. */
+/* A job that this entry owns and runs. */
 typedef struct {
     uint64_t id;
-    GByteArray *done;
+    GByteArray *done; /* a bit for each task */
     GArray *failures; /* lc_kept_failures */
-    GArray *ends;     /* Keeper_End, not written down yet */
+    GArray *ends;     /* DurableJobs_RunEnd, not put yet */
     lc_kept_outcome outcome;
     bool written; /* its outcome is in the log */
-} Keeper_Job;
+} DurableJobs_OwnJob;
 
-/* An end that its companion holds until it is written down. */
+/* The end of a run, which its companion holds until it is recorded. */
 typedef struct {
-    uint64_t number; /* of the record with it; 0 before it is put */
+    uint64_t number; /* of the write that records it; 0 before the put */
     lc_node host;
     lc_run_id run;
-} Keeper_End;
+} DurableJobs_RunEnd;
 
-/* A held end of a job that is not known here: it is gone, or newer than what
- * was read of the log. */
+/* A held end of a job that is not known here: the job was dropped, or its
+ * submission is newer than the last read of the log. */
 typedef struct {
-    Keeper_End end;
+    DurableJobs_RunEnd end;
     int64_t heard_ms;
-} Keeper_Doubt;
+} DurableJobs_UnknownEnd;
 
-/* What companions say of the runs of an owner that is gone. */
+/* Takeover of a failed owner: the runs its companions have reported. */
 typedef struct {
     lc_node gone;
     int64_t claimed_ms;
-    int64_t told_ms; /* since when nothing more can be learnt of its runs but
-                        from the log; 0 before */
-    GArray *fenced;  /* lc_node, companions that have answered */
-    GArray *runs;    /* Keeper_Found */
-} Keeper_Recovery;
-
-/* A run found at a companion. */
+    int64_t answered_ms; /* when all companions had answered, or waiting for
+                        them ended; from then on only the log can tell more of
+                        these runs; 0 before */
+    GArray *fenced;      /* lc_node, companions that have answered the FENCE */
+    GArray *runs;        /* DurableJobs_FoundRun */
+} DurableJobs_Recovery;
+
+/* A run that a companion holds. */
 typedef struct {
     lc_held_run run;
     lc_node host;
-} Keeper_Found;
+} DurableJobs_FoundRun;
 
-/* Another entry as an owner. */
+/* Another entry, as a possible owner. */
 typedef struct {
     Address address;
-    uint64_t kept;
+    uint64_t owner_incarnation;
     int64_t heard_ms;
-} Keeper_Peer;
+} DurableJobs_Peer;
 
 /* An owner of open jobs. */
 typedef struct {
     lc_node owner;
-    int64_t since_ms; /* first seen, or its last record read */
-} Keeper_Seen;
+    int64_t since_ms; /* when it was first seen, or its last record was read */
+} DurableJobs_SeenOwner;
 
-/* A call on its way to a companion. */
+/* A pending call to a companion. */
 typedef struct {
     Msg_Kind kind;
     lc_node host;
     lc_node gone;
-    GArray *ends; /* Keeper_End, of a RELEASE */
-} Keeper_Call;
+    GArray *ends; /* DurableJobs_RunEnd, of a RELEASE */
+} DurableJobs_Call;
 
 struct Keeper {
     Keeper_Config config;
     const Keeper_Ports *ports;
     void *context;
     Dispatcher *dispatcher;
-    Kept *kept;
-    lc_node node; /* as an owner */
+    Kept *log;
+    lc_node node; /* current owner identity */
     int64_t started_ms;
-    int64_t contact_ms;  /* the log was read as it stood then; 0 for never */
-    uint64_t written;    /* records up to this number are */
-    GArray *waiters;     /* Keeper_Waiter */
-    GArray *lookers;     /* Keeper_Looker */
-    GHashTable *jobs;    /* id -> Keeper_Job */
-    GHashTable *changed; /* set of ids */
-    GArray *ends;        /* Keeper_End, put but not written */
-    GArray *doubts;      /* Keeper_Doubt */
-    GArray *recoveries;  /* Keeper_Recovery */
-    GArray *peers;       /* Keeper_Peer */
-    GArray *seen;        /* Keeper_Seen */
-    GArray *claims;      /* lc_node, put lately */
-    Handle_Table *calls; /* Keeper_Call */
-    int64_t wrote_ms;    /* own record read back last */
-    int64_t alive_ms;    /* when it was said last that this owner lives */
-    int64_t claimed_ms;  /* when the last claim was put */
-    int64_t swept_ms;
-    int64_t open_ms;      /* when a job was last seen open; 0 for never */
-    int64_t quiet_ms;     /* when nobody waited for the log last */
-    int64_t all_since_ms; /* since when all companions are asked to report */
+    int64_t log_read_ms;   /* the log was read at least up to its state at this
+  time; 0   for never */
+    uint64_t written;      /* all writes up to this number are confirmed */
+    GArray *waiters;       /* DurableJobs_Waiter */
+    GArray *state_queries; /* DurableJobs_StateQuery */
+    GHashTable *jobs;      /* id -> DurableJobs_OwnJob */
+    GHashTable *changed;   /* set of ids */
+    GArray *ends;          /* DurableJobs_RunEnd, to release once written */
+    GArray *unknown_ends;  /* DurableJobs_UnknownEnd */
+    GArray *recoveries;    /* DurableJobs_Recovery */
+    GArray *peers;         /* DurableJobs_Peer */
+    GArray *seen_owners;   /* DurableJobs_SeenOwner */
+    GArray *claims;        /* lc_node, owners claimed by recent puts */
+    Handle_Table *calls;   /* DurableJobs_Call */
+    int64_t own_record_ms; /* when an own record was last read back */
+    int64_t heartbeat_ms;  /* when the last heartbeat record was put */
+    int64_t claimed_ms;    /* when the last claim was put */
+    int64_t expiry_checked_ms;
+    int64_t last_open_ms;         /* when a job was last open; 0 for never */
+    int64_t last_quiet_ms;        /* when nothing last depended on the log */
+    int64_t all_reports_since_ms; /* when all companions were first asked to
+                                     report */
     bool leaving;
-    bool unstarted; /* own jobs may wait to be started */
+    bool has_unstarted; /* owned jobs may be waiting to be started */
 };
 
-/** Puts a record; returns its number. */
-uint64_t Keeper_Put(Keeper *keeper, const char *key,
-                    const lc_kept_record *record);
+/** Puts a record; returns the number of the write. */
+uint64_t DurableJobs_Put(Keeper *keeper, const char *key,
+                         const lc_kept_record *record);
 
 /* Callers: keeper_callers.c. */
 
-/** Whether the log has not answered lately. */
-bool KeeperCaller_LogIsDown(const Keeper *keeper, int64_t now_ms);
+/** Whether the log has not answered within its timeout. */
+bool DurableCaller_IsLogDown(const Keeper *keeper, int64_t now_ms);
 
-/** Tells those whose job is over, or who have waited. */
-void KeeperCaller_TellLookers(Keeper *keeper, int64_t now_ms);
+/** Answers queries whose job has ended or whose wait is over. */
+void DurableCaller_AnswerStateQueries(Keeper *keeper, int64_t now_ms);
 
-/** Cancels, or calls unknown, what was asked for before the last read. */
-void KeeperCaller_TakeRead(Keeper *keeper, int64_t now_ms);
+/** Carries out cancellations of jobs that were unknown before the last read;
+ * reports those that still are as unknown. */
+void DurableCaller_OnLogRead(Keeper *keeper, int64_t now_ms);
 
-/** Answers those whose record was not written in time. */
-void KeeperCaller_GiveUp(Keeper *keeper, int64_t now_ms);
+/** Answers callers whose record was not written in time. */
+void DurableCaller_ExpireWaiters(Keeper *keeper, int64_t now_ms);
 
-/* Own jobs: keeper_jobs.c. */
+/* Owned jobs: keeper_jobs.c. */
 
-void KeeperJob_Free(gpointer item);
+void DurableOwned_Free(gpointer item);
 
-/** Hands a job to the dispatcher, with the runs that were found of it. */
-void KeeperJob_Start(Keeper *keeper, int64_t now_ms, Kept_Job *job,
-                     const Keeper_Recovery *recovery);
+/** Hands a job to the dispatcher; @p recovery has the runs of it that were
+ * found at companions, or is NULL. */
+void DurableOwned_Start(Keeper *keeper, int64_t now_ms, DurableLog_Job *job,
+                        const DurableJobs_Recovery *recovery);
 
-/** Starts own jobs that no recovery waits for. */
-void KeeperJob_StartAll(Keeper *keeper, int64_t now_ms);
+/** Starts owned jobs that are not waiting for a recovery. */
+void DurableOwned_StartAll(Keeper *keeper, int64_t now_ms);
 
-/** Asks a companion to let go of an end. */
-void KeeperJob_Release(Keeper *keeper, const Keeper_End *end);
+/** Queues an end for release at its companion. */
+void DurableOwned_QueueRelease(Keeper *keeper, const DurableJobs_RunEnd *end);
 
-/** Lets go of all ends whose records are written. */
-void KeeperJob_ReleaseWritten(Keeper *keeper);
+/** Sends RELEASE calls for all ends whose records are written. */
+void DurableOwned_SendReleases(Keeper *keeper);
 
-/** A RELEASE has ended. */
-void KeeperJob_Released(Keeper *keeper, const Keeper_Call *call, bool taken);
+/** A RELEASE call has ended; @p taken if the companion answered it. */
+void DurableOwned_OnReleaseReply(Keeper *keeper, const DurableJobs_Call *call,
+                                 bool taken);
 
-/** Puts the record of a job's progress. */
-void KeeperJob_Write(Keeper *keeper, const Keeper_Job *row);
+/** Puts the progress record of a job. */
+void DurableOwned_PutProgress(Keeper *keeper, const DurableJobs_OwnJob *row);
 
-/** Drops a job whose outcome is in the log. */
-void KeeperJob_Forget(Keeper *keeper, Keeper_Job *row);
+/** Removes a job whose outcome is in the log; queues its ends for release. */
+void DurableOwned_Remove(Keeper *keeper, DurableJobs_OwnJob *row);
 
-/* Owners that are gone: keeper_owners.c. */
+/* Takeover of failed owners: keeper_owners.c. */
 
-/** Claims owners that are gone. */
-void KeeperOwner_Watch(Keeper *keeper, int64_t now_ms);
+/** Claims the jobs of owners that have been silent for too long. */
+void DurableTakeover_ClaimSilentOwners(Keeper *keeper, int64_t now_ms);
 
-/** Writes that an owner's jobs are its successor's. */
-void KeeperOwner_PutClaim(Keeper *keeper, int64_t now_ms, const lc_node *gone,
-                          const lc_node *successor);
+/** Puts a claim that hands the jobs of @p gone to @p successor. */
+void DurableTakeover_PutClaim(Keeper *keeper, int64_t now_ms,
+                              const lc_node *gone, const lc_node *successor);
 
-/** Another entry that can look after jobs; zeros if there is none. */
-lc_node KeeperOwner_Other(const Keeper *keeper, int64_t now_ms);
+/** Another entry that can take over jobs; zeros if there is none. */
+lc_node DurableTakeover_PickSuccessor(const Keeper *keeper, int64_t now_ms);
 
-/** An owner has written a record: it lives, whether others hear it or not. */
-void KeeperOwner_Wrote(Keeper *keeper, int64_t now_ms, lc_node writer);
+/** An owner has written a record, so it is alive even if its messages do not
+ * arrive. */
+void DurableTakeover_OnOwnerRecord(Keeper *keeper, int64_t now_ms,
+                                   lc_node writer);
 
-/** Writes that this owner lives, if it has jobs and wrote nothing lately. */
-void KeeperOwner_SayAlive(Keeper *keeper, int64_t now_ms);
+/** Puts a heartbeat record if this owner has jobs and has written nothing
+ * recently. */
+void DurableTakeover_PutHeartbeat(Keeper *keeper, int64_t now_ms);
 
-/** A claim was read. */
-void KeeperOwner_Claimed(Keeper *keeper, int64_t now_ms, lc_node gone,
-                         lc_node successor);
+/** A claim that takes effect was read. */
+void DurableTakeover_OnClaim(Keeper *keeper, int64_t now_ms, lc_node gone,
+                             lc_node successor);
 
-/** Asks companions, and starts jobs once all have answered. */
-void KeeperOwner_Recover(Keeper *keeper, int64_t now_ms);
+/** Sends FENCE calls to companions; starts the jobs of a recovery once all
+ * companions have answered. */
+void DurableTakeover_AdvanceRecoveries(Keeper *keeper, int64_t now_ms);
 
-/** Lets go of ends of jobs that the log, read since they were heard of, does
- * not know. */
-void KeeperOwner_TakeRead(Keeper *keeper);
+/** Releases ends whose job is unknown to a log that was read after the end was
+ * reported. */
+void DurableTakeover_OnLogRead(Keeper *keeper);
 
-/** Asks companions for ends that they hold for long. */
-void KeeperOwner_AskHeld(Keeper *keeper, int64_t now_ms);
+/** Fetches ends that companions have held for long. */
+void DurableTakeover_FetchHeldEnds(Keeper *keeper, int64_t now_ms);
 
-/** A companion has told of the runs it holds. */
-void KeeperOwner_Fenced(Keeper *keeper, int64_t now_ms,
-                        const Keeper_Call *call, const lc_fence_res *result);
+/** A companion has answered a FENCE with the runs it holds. */
+void DurableTakeover_OnFenceReply(Keeper *keeper, int64_t now_ms,
+                                  const DurableJobs_Call *call,
+                                  const lc_fence_res *result);
 
-/** Whether jobs of an owner wait for what companions say. */
-const Keeper_Recovery *KeeperOwner_RecoveryOf(const Keeper *keeper,
-                                              const Kept_Job *job);
+/** The recovery of the last claim that gave @p job to this entry; NULL if none
+ * is pending. Borrowed. */
+const DurableJobs_Recovery *
+DurableTakeover_RecoveryOf(const Keeper *keeper, const DurableLog_Job *job);
 
-/** Asks a companion for the runs of an owner; a node of zeros asks for all
- * ends that are held. */
-void KeeperOwner_Ask(Keeper *keeper, lc_node host, lc_node gone);
+/** Sends a FENCE call for the runs of an owner; zeros in @p gone ask for all
+ * held ends. */
+void DurableTakeover_SendFence(Keeper *keeper, lc_node host, lc_node gone);
 
-/** Frees what a recovery holds. */
-void KeeperOwner_ClearRecovery(Keeper_Recovery *recovery);
+/** Frees the members of a recovery. */
+void DurableTakeover_ClearRecovery(DurableJobs_Recovery *recovery);
 
 #endif
--- a/lease/kept.c
+++ b/lease/kept.c
@@ -4,10 +4,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Successors of successors: no chain is that long but one that closes on
- * itself. */
-#define MOST_CLAIMS 64
-#define BITS 8
+/* Limit on a chain of successors; only a cyclic chain can be this long. */
+#define MAX_CLAIM_CHAIN 64
+#define BITS_PER_BYTE 8
 #define PROGRESS_LETTER 'p'
 #define HEX_DIGITS 16
 
@@ -15,19 +14,19 @@
     uint64_t offset;
     lc_node gone;
     lc_node successor;
-    bool counts;
+    bool effective;
 } kept_claim;
 
 struct Kept {
-    GHashTable *jobs; /* id -> Kept_Job */
-    GHashTable *open; /* set of those that are submitted and not over */
+    GHashTable *jobs; /* id -> DurableLog_Job */
+    GHashTable *open; /* ids of submitted jobs that have not ended */
     GArray *claims;   /* kept_claim, by offset */
 };
 
 static void
 free_job(gpointer item)
 {
-    Kept_Job *job = item;
+    DurableLog_Job *job = item;
 
     g_free(job->queue);
     g_free(job->body);
@@ -61,87 +60,91 @@
 
 static void
 format_key(char letter, uint64_t about, lc_node writer,
-           char key[KEPT_KEY_SIZE])
+           char key[DURABLE_LOG_KEY_SIZE])
 {
-    gsize length = (gsize)g_snprintf(key, KEPT_KEY_SIZE,
+    gsize length = (gsize)g_snprintf(key, DURABLE_LOG_KEY_SIZE,
                                      "%c%016" PRIx64 ".%" PRIx64, letter,
                                      about, (uint64_t)writer.incarnation);
 
     if (writer.address != 0) {
-        g_snprintf(key + length, KEPT_KEY_SIZE - length, ".%" PRIx64,
+        g_snprintf(key + length, DURABLE_LOG_KEY_SIZE - length, ".%" PRIx64,
                    (uint64_t)writer.address);
     }
 }
 
 void
-Kept_SubmitKey(uint64_t job, lc_node writer, char key[KEPT_KEY_SIZE])
+DurableLog_SubmitKey(uint64_t job, lc_node writer,
+                     char key[DURABLE_LOG_KEY_SIZE])
 {
     format_key('s', job, writer, key);
 }
 
 void
-Kept_ProgressKey(uint64_t job, lc_node writer, char key[KEPT_KEY_SIZE])
+DurableLog_ProgressKey(uint64_t job, lc_node writer,
+                       char key[DURABLE_LOG_KEY_SIZE])
 {
     format_key(PROGRESS_LETTER, job, writer, key);
 }
 
 void
-Kept_CancelKey(uint64_t job, char key[KEPT_KEY_SIZE])
+DurableLog_CancelKey(uint64_t job, char key[DURABLE_LOG_KEY_SIZE])
 {
-    g_snprintf(key, KEPT_KEY_SIZE, "x%016" PRIx64, job);
+    g_snprintf(key, DURABLE_LOG_KEY_SIZE, "x%016" PRIx64, job);
 }
 
 void
-Kept_ClaimKey(const lc_node *gone, lc_node writer, char key[KEPT_KEY_SIZE])
+DurableLog_ClaimKey(const lc_node *gone, lc_node writer,
+                    char key[DURABLE_LOG_KEY_SIZE])
 {
     gsize length;
 
     format_key('c', gone->incarnation, writer, key);
     length = strlen(key);
-    g_snprintf(key + length, KEPT_KEY_SIZE - length, ".%" PRIx64,
+    g_snprintf(key + length, DURABLE_LOG_KEY_SIZE - length, ".%" PRIx64,
                (uint64_t)gone->address);
 }
 
-/* One for each address, whatever its incarnation. */
+/* One key for each address, whatever the incarnation. */
 void
-Kept_AliveKey(const lc_node *owner, char key[KEPT_KEY_SIZE])
+DurableLog_HeartbeatKey(const lc_node *owner, char key[DURABLE_LOG_KEY_SIZE])
 {
-    g_snprintf(key, KEPT_KEY_SIZE, "h%" PRIx64, (uint64_t)owner->address);
+    g_snprintf(key, DURABLE_LOG_KEY_SIZE, "h%" PRIx64,
+               (uint64_t)owner->address);
 }
 
 bool
 Kept_IsDone(const GByteArray *done, uint32_t task)
 {
-    return task / BITS < done->len &&
-           (done->data[task / BITS] >> task % BITS & 1) != 0;
+    return task / BITS_PER_BYTE < done->len &&
+           (done->data[task / BITS_PER_BYTE] >> task % BITS_PER_BYTE & 1) != 0;
 }
 
 void
-Kept_MarkDone(GByteArray *done, uint32_t task)
+DurableLog_MarkDone(GByteArray *done, uint32_t task)
 {
     guint8 nothing = 0;
 
-    while (done->len <= task / BITS) {
+    while (done->len <= task / BITS_PER_BYTE) {
         g_byte_array_append(done, &nothing, 1);
     }
-    done->data[task / BITS] |= (guint8)(1U << task % BITS);
+    done->data[task / BITS_PER_BYTE] |= (guint8)(1U << task % BITS_PER_BYTE);
 }
 
-Kept_Job *
-Kept_Find(const Kept *kept, uint64_t id)
+DurableLog_Job *
+DurableLog_Find(const Kept *kept, uint64_t id)
 {
     return g_hash_table_lookup(kept->jobs, &id);
 }
 
-static Kept_Job *
+static DurableLog_Job *
 find_or_add(Kept *kept, uint64_t id, const char *queue)
 {
-    Kept_Job *job = Kept_Find(kept, id);
+    DurableLog_Job *job = DurableLog_Find(kept, id);
 
     if (job != NULL) {
         return job;
     }
-    job = g_new0(Kept_Job, 1);
+    job = g_new0(DurableLog_Job, 1);
     job->id = id;
     job->queue = g_strdup(queue);
     job->done = g_byte_array_new();
@@ -161,9 +164,9 @@
 }
 
 lc_node
-Kept_Writer(const Kept_Record *record)
+DurableLog_Writer(const Kept_Record *record)
 {
-    char text[KEPT_KEY_SIZE];
+    char text[DURABLE_LOG_KEY_SIZE];
     lc_node writer = {0, 0};
     const char *dot;
     char *end;
@@ -181,17 +184,17 @@
 }
 
 static Kept_Change
-take_submit(Kept *kept, const Kept_Record *record, uint64_t id,
-            const lc_kept_submit *submit)
+apply_submit(Kept *kept, const Kept_Record *record, uint64_t id,
+             const lc_kept_submit *submit)
 {
-    Kept_Job *job = find_or_add(kept, id, submit->queue);
-    Kept_Change change = {.kind = KEPT_NOTHING, .job = job};
+    DurableLog_Job *job = find_or_add(kept, id, submit->queue);
+    Kept_Change change = {.kind = DURABLE_LOG_UNCHANGED, .job = job};
 
-    note_writer(job->submitters, Kept_Writer(record));
+    note_writer(job->submitters, DurableLog_Writer(record));
     if (job->submitted && job->offset <= record->offset) {
         return change;
     }
-    change.kind = KEPT_SUBMITTED;
+    change.kind = DURABLE_LOG_SUBMITTED;
     job->submitted = true;
     job->offset = record->offset;
     job->owner = submit->owner;
@@ -204,7 +207,7 @@
 }
 
 static void
-merge_failures(Kept_Job *job, const lc_kept_failures *row)
+merge_failures(DurableLog_Job *job, const lc_kept_failures *row)
 {
     guint i;
 
@@ -221,16 +224,16 @@
 }
 
 static void
-merge_progress(Kept_Job *job, const lc_kept_progress *progress)
+merge_progress(DurableLog_Job *job, const lc_kept_progress *progress)
 {
     const uint8_t *bits = (const uint8_t *)progress->done.done_val;
     uint32_t bit;
     u_int i;
 
     for (i = 0; i < progress->done.done_len; i++) {
-        for (bit = 0; bit < BITS; bit++) {
+        for (bit = 0; bit < BITS_PER_BYTE; bit++) {
             if ((bits[i] >> bit & 1) != 0) {
-                Kept_MarkDone(job->done, i * BITS + bit);
+                DurableLog_MarkDone(job->done, i * BITS_PER_BYTE + bit);
             }
         }
     }
@@ -240,13 +243,13 @@
 }
 
 static Kept_Change
-take_progress(Kept *kept, int64_t now_ms, const Kept_Record *record,
-              uint64_t id, const lc_kept_progress *progress)
+apply_progress(Kept *kept, int64_t now_ms, const Kept_Record *record,
+               uint64_t id, const lc_kept_progress *progress)
 {
-    Kept_Job *job = find_or_add(kept, id, progress->queue);
-    Kept_Change change = {.kind = KEPT_PROGRESSED, .job = job};
+    DurableLog_Job *job = find_or_add(kept, id, progress->queue);
+    Kept_Change change = {.kind = DURABLE_LOG_PROGRESSED, .job = job};
 
-    note_writer(job->writers, Kept_Writer(record));
+    note_writer(job->writers, DurableLog_Writer(record));
     merge_progress(job, progress);
     if (progress->outcome == LC_KEPT_OPEN ||
         (job->outcome != LC_KEPT_OPEN && job->over_offset <= record->offset)) {
@@ -269,7 +272,7 @@
 
     for (i = 0; i < kept->claims->len; i++) {
         kept_claim *claim = &g_array_index(kept->claims, kept_claim, i);
-        if (claim->counts && Msg_SameNode(&claim->gone, gone)) {
+        if (claim->effective && Msg_SameNode(&claim->gone, gone)) {
             return claim;
         }
     }
@@ -285,26 +288,26 @@
     return left->offset < right->offset ? -1 : left->offset > right->offset;
 }
 
-/* Of an owner the first claim counts, unless its successor was claimed before:
- * so two that claim each other do not both lose. */
+/* The first claim of an owner is effective, unless its successor was claimed
+ * earlier, so that of two owners that claim each other one remains. */
 static void
-judge_claims(Kept *kept)
+select_effective_claims(Kept *kept)
 {
     guint i;
 
     g_array_sort(kept->claims, compare_claims);
     for (i = 0; i < kept->claims->len; i++) {
-        g_array_index(kept->claims, kept_claim, i).counts = false;
+        g_array_index(kept->claims, kept_claim, i).effective = false;
     }
     for (i = 0; i < kept->claims->len; i++) {
         kept_claim *claim = &g_array_index(kept->claims, kept_claim, i);
-        claim->counts = find_claim(kept, &claim->gone) == NULL &&
-                        find_claim(kept, &claim->successor) == NULL;
+        claim->effective = find_claim(kept, &claim->gone) == NULL &&
+                           find_claim(kept, &claim->successor) == NULL;
     }
 }
 
 static bool
-is_known(const Kept *kept, uint64_t offset)
+is_claim_known(const Kept *kept, uint64_t offset)
 {
     guint i;
 
@@ -317,43 +320,43 @@
 }
 
 static Kept_Change
-take_claim(Kept *kept, uint64_t offset, const lc_kept_claim *taken)
+apply_claim(Kept *kept, uint64_t offset, const lc_kept_claim *taken)
 {
-    Kept_Change change = {.kind = KEPT_NOTHING};
+    Kept_Change change = {.kind = DURABLE_LOG_UNCHANGED};
     kept_claim fresh = {offset, taken->gone, taken->successor, false};
-    const kept_claim *counts;
+    const kept_claim *effective;
 
-    if (is_known(kept, offset)) {
+    if (is_claim_known(kept, offset)) {
         return change;
     }
     g_array_append_val(kept->claims, fresh);
-    judge_claims(kept);
-    counts = find_claim(kept, &taken->gone);
-    if (counts != NULL && counts->offset == offset) {
-        change.kind = KEPT_CLAIMED;
+    select_effective_claims(kept);
+    effective = find_claim(kept, &taken->gone);
+    if (effective != NULL && effective->offset == offset) {
+        change.kind = DURABLE_LOG_CLAIMED;
         change.gone = taken->gone;
         change.successor = taken->successor;
     }
     return change;
 }
 
-/* Progress is dropped last, once nobody asks for the job any more. */
+/* The progress records of a job are deleted last, after its retention time. */
 static Kept_Change
-take_drop(Kept *kept, const Kept_Record *record)
+apply_drop(Kept *kept, const Kept_Record *record)
 {
-    Kept_Change change = {.kind = KEPT_NOTHING};
+    Kept_Change change = {.kind = DURABLE_LOG_UNCHANGED};
     char digits[HEX_DIGITS + 1] = "";
-    Kept_Job *job;
+    DurableLog_Job *job;
 
     if (record->key_length < 1 + HEX_DIGITS ||
         record->key[0] != PROGRESS_LETTER) {
         return change;
     }
     memcpy(digits, record->key + 1, HEX_DIGITS);
-    job = Kept_Find(kept, g_ascii_strtoull(digits, NULL, HEX_DIGITS));
+    job = DurableLog_Find(kept, g_ascii_strtoull(digits, NULL, HEX_DIGITS));
     if (job != NULL && job->outcome != LC_KEPT_OPEN) {
         g_hash_table_remove(kept->jobs, &job->id);
-        change.kind = KEPT_DROPPED;
+        change.kind = DURABLE_LOG_DROPPED;
     }
     return change;
 }
@@ -361,51 +364,51 @@
 Kept_Change
 Kept_Take(Kept *kept, int64_t now_ms, const Kept_Record *record)
 {
-    Kept_Change change = {.kind = KEPT_NOTHING};
+    Kept_Change change = {.kind = DURABLE_LOG_UNCHANGED};
     lc_kept_record read;
 
     if (record->length == 0) {
-        return take_drop(kept, record);
+        return apply_drop(kept, record);
     }
     if (!Msg_DecodeKept(record->value, record->length, &read)) {
         return change;
     }
     switch (read.body.kind) {
     case LC_KEPT_SUBMIT:
-        change = take_submit(kept, record, read.job,
-                             &read.body.lc_kept_body_u.submit);
+        change = apply_submit(kept, record, read.job,
+                              &read.body.lc_kept_body_u.submit);
         break;
     case LC_KEPT_PROGRESS:
-        change = take_progress(kept, now_ms, record, read.job,
-                               &read.body.lc_kept_body_u.progress);
+        change = apply_progress(kept, now_ms, record, read.job,
+                                &read.body.lc_kept_body_u.progress);
         break;
     case LC_KEPT_CANCEL:
-        change.kind = KEPT_CANCELLED;
+        change.kind = DURABLE_LOG_CANCELLED;
         change.job = find_or_add(kept, read.job,
                                  read.body.lc_kept_body_u.queue);
         change.job->cancelled = true;
         break;
     case LC_KEPT_ALIVE:
-        change.kind = KEPT_ALIVE;
+        change.kind = DURABLE_LOG_OWNER_ALIVE;
         change.gone = read.body.lc_kept_body_u.alive;
         break;
     case LC_KEPT_CLAIM:
-        change = take_claim(kept, record->offset,
-                            &read.body.lc_kept_body_u.claim);
+        change = apply_claim(kept, record->offset,
+                             &read.body.lc_kept_body_u.claim);
         break;
     }
     Msg_FreeKept(&read);
     return change;
 }
 
-/* Follows claims from an owner; returns how many there were. */
+/* Advances @p node along effective claims; returns their number. */
 static uint32_t
 follow_claims(const Kept *kept, lc_node *node)
 {
     uint32_t count = 0;
     const kept_claim *claim = find_claim(kept, node);
 
-    while (claim != NULL && count < MOST_CLAIMS) {
+    while (claim != NULL && count < MAX_CLAIM_CHAIN) {
         *node = claim->successor;
         count++;
         claim = find_claim(kept, node);
@@ -414,7 +417,7 @@
 }
 
 lc_node
-Kept_OwnerOf(const Kept *kept, const Kept_Job *job)
+Kept_OwnerOf(const Kept *kept, const DurableLog_Job *job)
 {
     lc_node node = job->owner;
 
@@ -423,7 +426,7 @@
 }
 
 uint32_t
-Kept_Generation(const Kept *kept, const Kept_Job *job)
+DurableLog_TakeoverCount(const Kept *kept, const DurableLog_Job *job)
 {
     lc_node node = job->owner;
 
@@ -431,11 +434,11 @@
 }
 
 static bool
-leads_to(const Kept *kept, lc_node from, const lc_node *node)
+claims_lead_to(const Kept *kept, lc_node from, const lc_node *node)
 {
     uint32_t count;
 
-    for (count = 0; count < MOST_CLAIMS; count++) {
+    for (count = 0; count < MAX_CLAIM_CHAIN; count++) {
         const kept_claim *claim = find_claim(kept, &from);
         if (Msg_SameNode(&from, node)) {
             return true;
@@ -449,29 +452,31 @@
 }
 
 bool
-Kept_Passed(const Kept *kept, const Kept_Job *job, const lc_node *node)
+DurableLog_HasOwned(const Kept *kept, const DurableLog_Job *job,
+                    const lc_node *node)
 {
-    return leads_to(kept, job->owner, node);
+    return claims_lead_to(kept, job->owner, node);
 }
 
 GArray *
-Kept_Line(const Kept *kept, const lc_node *node)
+DurableLog_Predecessors(const Kept *kept, const lc_node *node)
 {
-    GArray *line = g_array_new(FALSE, TRUE, sizeof(lc_node));
+    GArray *predecessors = g_array_new(FALSE, TRUE, sizeof(lc_node));
     guint i;
 
-    g_array_append_val(line, *node);
-    for (i = 0; i < kept->claims->len && line->len < LC_MAX_PEERS; i++) {
+    g_array_append_val(predecessors, *node);
+    for (i = 0; i < kept->claims->len && predecessors->len < LC_MAX_PEERS;
+         i++) {
         lc_node gone = g_array_index(kept->claims, kept_claim, i).gone;
-        if (!Msg_SameNode(&gone, node) && leads_to(kept, gone, node)) {
-            g_array_append_val(line, gone);
+        if (!Msg_SameNode(&gone, node) && claims_lead_to(kept, gone, node)) {
+            g_array_append_val(predecessors, gone);
         }
     }
-    return line;
+    return predecessors;
 }
 
 GPtrArray *
-Kept_Open(const Kept *kept)
+DurableLog_OpenJobs(const Kept *kept)
 {
     GPtrArray *list = g_ptr_array_new();
     GHashTableIter iter;
@@ -485,7 +490,7 @@
 }
 
 GPtrArray *
-Kept_Over(const Kept *kept, int64_t until_ms)
+DurableLog_EndedJobs(const Kept *kept, int64_t until_ms)
 {
     GPtrArray *list = g_ptr_array_new();
     GHashTableIter iter;
@@ -493,7 +498,7 @@
 
     g_hash_table_iter_init(&iter, kept->jobs);
     while (g_hash_table_iter_next(&iter, NULL, &item)) {
-        const Kept_Job *job = item;
+        const DurableLog_Job *job = item;
         if (job->outcome != LC_KEPT_OPEN && job->over_ms <= until_ms) {
             g_ptr_array_add(list, item);
         }
@@ -502,7 +507,7 @@
 }
 
 uint32_t
-Kept_OpenCount(const Kept *kept)
+DurableLog_OpenCount(const Kept *kept)
 {
     return g_hash_table_size(kept->open);
 }
--- a/lease/kept.h
+++ b/lease/kept.h
@@ -1,13 +1,13 @@
 /**
  * @file kept.h
- * @brief Kept jobs as the store's log tells them: every entry takes the same
- * records in the same order and so knows the same jobs, owners and outcomes.
+ * @brief Replicated table of durable jobs: every entry applies the same log
+ * records in the same order and so has the same jobs, owners and outcomes.
  *
- * Records are keyed, and the newest of each key stays in the store. Taking a
- * record twice, or late, changes nothing: of two submissions or claims the
- * lower offset counts, and no claim of a successor that was claimed before;
- * what is done stays done, the first outcome stays. No I/O. Times are
- * monotonic, in ms.
+ * Records are keyed; the store's log is compacted to the newest record of each
+ * key. Applying a record twice, or late, is harmless: of two submissions or
+ * claims the one with the lower offset is effective, a claim whose successor
+ * was claimed earlier is void, completed tasks stay completed, and the first
+ * outcome stays. No I/O. Times are monotonic, in ms.
  */
 #ifndef LC_LEASE_KEPT_H
 #define LC_LEASE_KEPT_H
@@ -19,57 +19,58 @@
 
 #include "wire/msg.h"
 
-/** In a row of failures: it counts upstreams that crashed under the task
- * instead. Versions that knew none pass such rows over, as no task has that
- * number. */
+/** Flag in the task number of a failures row: the row counts upstream crashes
+ * under the task instead. Versions without crash counting ignore such rows,
+ * because no task has that number. */
 #define KEPT_CRASHES (1U << 31)
-/** Size of the text of a key with its NUL. */
-#define KEPT_KEY_SIZE 64
+/** Buffer size of a key, including the NUL. */
+#define DURABLE_LOG_KEY_SIZE 64
 
-/** One job. Owned by its table. */
+/** One job. Owned by the table. */
 typedef struct {
     uint64_t id;
     char *queue;
-    bool submitted;  /**< its submission was taken */
-    char *body;      /**< as its caller sent it; NULL once it is over */
-    uint64_t offset; /**< of the submission that counts */
-    lc_node owner;   /**< who submitted it; see Kept_OwnerOf */
-    bool cancelled;  /**< its caller asked for that */
+    bool submitted;  /**< its submission record was applied */
+    char *body;      /**< as submitted; NULL once the job has ended */
+    uint64_t offset; /**< of the effective submission */
+    lc_node owner;   /**< first owner; see Kept_OwnerOf for the current one */
+    bool cancelled;  /**< a caller has cancelled it */
     lc_kept_outcome outcome;
-    uint64_t over_offset; /**< of the outcome that counts */
-    int64_t over_ms;      /**< when an outcome was first taken */
+    uint64_t over_offset; /**< of the effective outcome */
+    int64_t over_ms;      /**< when an outcome was first applied */
     GByteArray *done;     /**< a bit for each task */
     GArray *failures;     /**< lc_kept_failures */
-    GArray *submitters;   /**< lc_node, with a submission */
-    GArray *writers;      /**< lc_node, with progress */
-} Kept_Job;
+    GArray *submitters;   /**< lc_node, writers of submission records */
+    GArray *writers;      /**< lc_node, writers of progress records */
+} DurableLog_Job;
 
-/** What a record changed. */
+/** Kind of change made by a record. */
 typedef enum {
-    KEPT_NOTHING,
-    KEPT_SUBMITTED, /**< a job became known, or got another first owner */
-    KEPT_PROGRESSED,
-    KEPT_CANCELLED,
-    KEPT_CLAIMED, /**< an owner was claimed */
-    KEPT_ALIVE,   /**< an owner says that it lives */
-    KEPT_DROPPED  /**< a job was forgotten; the pointer is NULL */
-} Kept_Kind;
-
-/** The change, with what it is about. */
+    DURABLE_LOG_UNCHANGED,
+    DURABLE_LOG_SUBMITTED, /**< a job became known, or its first owner changed
+                            */
+    DURABLE_LOG_PROGRESSED,
+    DURABLE_LOG_CANCELLED,
+    DURABLE_LOG_CLAIMED,     /**< the jobs of an owner were claimed */
+    DURABLE_LOG_OWNER_ALIVE, /**< heartbeat of an owner */
+    DURABLE_LOG_DROPPED      /**< a job was removed; its pointer is NULL */
+} DurableLog_ChangeKind;
+
+/** Change made by a record. */
 typedef struct {
-    Kept_Kind kind;
-    Kept_Job *job; /**< or NULL */
-    lc_node gone;  /**< of a claim; who lives, of KEPT_ALIVE */
+    DurableLog_ChangeKind kind;
+    DurableLog_Job *job; /**< or NULL */
+    lc_node gone;        /**< claimed owner; of a heartbeat, its sender */
     lc_node successor;
 } Kept_Change;
 
-/** A record as the store holds it. Borrowed. */
+/** A record as stored. All pointers are borrowed. */
 typedef struct {
     uint64_t offset;
-    const char *key; /**< not terminated */
+    const char *key; /**< not NUL-terminated */
     size_t key_length;
     const uint8_t *value;
-    size_t length; /**< 0: the key was dropped */
+    size_t length; /**< 0: the key was deleted */
 } Kept_Record;
 
 /** Opaque table. */
@@ -78,51 +79,57 @@
 Kept *Kept_New(void);
 void Kept_Free(Kept *kept);
 
-/** Takes a record. */
+/** Applies a record; one that cannot be decoded changes nothing. */
 Kept_Change Kept_Take(Kept *kept, int64_t now_ms, const Kept_Record *record);
 
-/** Job of an identity, or NULL. */
-Kept_Job *Kept_Find(const Kept *kept, uint64_t id);
+/** Finds a job by its ID; NULL if there is none. */
+DurableLog_Job *DurableLog_Find(const Kept *kept, uint64_t id);
 
-/** Who looks after a job: its first owner or the last successor. */
-lc_node Kept_OwnerOf(const Kept *kept, const Kept_Job *job);
+/** Current owner of a job: its first owner or the last successor. */
+lc_node Kept_OwnerOf(const Kept *kept, const DurableLog_Job *job);
 
-/** How often its owners were claimed. */
-uint32_t Kept_Generation(const Kept *kept, const Kept_Job *job);
+/** How many takeovers a job has been through. */
+uint32_t DurableLog_TakeoverCount(const Kept *kept, const DurableLog_Job *job);
 
 /** Whether a node is the first owner of a job or among its successors. */
-bool Kept_Passed(const Kept *kept, const Kept_Job *job, const lc_node *node);
-
-/** An owner with all whose jobs it had taken over, lc_node; the caller frees
- * the array. */
-GArray *Kept_Line(const Kept *kept, const lc_node *node);
-
-/** Jobs that are not over, Kept_Job; the caller frees the array. */
-GPtrArray *Kept_Open(const Kept *kept);
-
-/** Jobs over since @p until_ms or longer; the caller frees the array. */
-GPtrArray *Kept_Over(const Kept *kept, int64_t until_ms);
-
-/** Number of jobs that are not over. */
-uint32_t Kept_OpenCount(const Kept *kept);
-
-/** Who wrote a record, as its key tells: the incarnation is 0 if that is not
- * told there; the address is 0 in keys of versions that left it out. */
-lc_node Kept_Writer(const Kept_Record *record);
-
-/** Keys, written into a text. The writer stands there with its address: of
- * processes that start at one moment two may have the same incarnation. */
-void Kept_SubmitKey(uint64_t job, lc_node writer, char key[KEPT_KEY_SIZE]);
-void Kept_ProgressKey(uint64_t job, lc_node writer, char key[KEPT_KEY_SIZE]);
-void Kept_CancelKey(uint64_t job, char key[KEPT_KEY_SIZE]);
-void Kept_AliveKey(const lc_node *owner, char key[KEPT_KEY_SIZE]);
-void Kept_ClaimKey(const lc_node *gone, lc_node writer,
-                   char key[KEPT_KEY_SIZE]);
-
-/** Whether a task is marked in a map of done tasks. */
+bool DurableLog_HasOwned(const Kept *kept, const DurableLog_Job *job,
+                         const lc_node *node);
+
+/** An owner and all owners whose jobs it had taken over, LC_MAX_PEERS at most,
+ * as an array of lc_node; the caller frees it. */
+GArray *DurableLog_Predecessors(const Kept *kept, const lc_node *node);
+
+/** Jobs that have not ended, as DurableLog_Job pointers owned by the table;
+ * the caller frees the array. */
+GPtrArray *DurableLog_OpenJobs(const Kept *kept);
+
+/** Jobs that ended at or before @p until_ms; the caller frees the array. */
+GPtrArray *DurableLog_EndedJobs(const Kept *kept, int64_t until_ms);
+
+/** Number of jobs that have not ended. */
+uint32_t DurableLog_OpenCount(const Kept *kept);
+
+/** Writer of a record, parsed from its key. The incarnation is 0 if the key
+ * names no writer; the address is 0 in keys of versions that omitted it. */
+lc_node DurableLog_Writer(const Kept_Record *record);
+
+/** Format the key of a record. Keys hold the writer's address as well as its
+ * incarnation, because two processes that start at the same moment may have
+ * the same incarnation. */
+void DurableLog_SubmitKey(uint64_t job, lc_node writer,
+                          char key[DURABLE_LOG_KEY_SIZE]);
+void DurableLog_ProgressKey(uint64_t job, lc_node writer,
+                            char key[DURABLE_LOG_KEY_SIZE]);
+void DurableLog_CancelKey(uint64_t job, char key[DURABLE_LOG_KEY_SIZE]);
+void DurableLog_HeartbeatKey(const lc_node *owner,
+                             char key[DURABLE_LOG_KEY_SIZE]);
+void DurableLog_ClaimKey(const lc_node *gone, lc_node writer,
+                         char key[DURABLE_LOG_KEY_SIZE]);
+
+/** Whether a task is marked in a bitmap of completed tasks. */
 bool Kept_IsDone(const GByteArray *done, uint32_t task);
 
-/** Marks a task. */
-void Kept_MarkDone(GByteArray *done, uint32_t task);
+/** Marks a task in the bitmap, which grows as needed. */
+void DurableLog_MarkDone(GByteArray *done, uint32_t task);
 
 #endif
--- a/lease/term.c
+++ b/lease/term.c
@@ -2,23 +2,23 @@
 
 #include <glib.h>
 
-/* An upstream's clock may be 2% slow. */
-#define DRIFT_PERCENT 2
+/* An upstream's clock may be up to 2% slow. */
+#define MAX_CLOCK_DRIFT_PERCENT 2
 #define PERCENT 100
-/* Rounding of clocks to whole ms, at each of the places that read one. */
+/* Allowance for rounding to whole ms at each place that reads a clock. */
 #define ROUNDING_MS 8
-#define LEAST_TERM_MS 100
+#define MIN_LEASE_MS 100
 
 int64_t
 Term_HoldAtMost(int64_t hold_ms)
 {
-    return hold_ms * PERCENT / (PERCENT - DRIFT_PERCENT) + 1;
+    return hold_ms * PERCENT / (PERCENT - MAX_CLOCK_DRIFT_PERCENT) + 1;
 }
 
 int64_t
 Term_UpstreamElapsed(int64_t elapsed_ms)
 {
-    return elapsed_ms * (PERCENT - DRIFT_PERCENT) / PERCENT;
+    return elapsed_ms * (PERCENT - MAX_CLOCK_DRIFT_PERCENT) / PERCENT;
 }
 
 bool
@@ -26,15 +26,15 @@
 {
     int64_t left = bounds->resubmit_ms - bounds->stop_ms - bounds->tick_ms -
                    ROUNDING_MS;
-    int64_t each = left * (PERCENT - DRIFT_PERCENT) /
-                   (2 * PERCENT - DRIFT_PERCENT);
+    int64_t each = left * (PERCENT - MAX_CLOCK_DRIFT_PERCENT) /
+                   (2 * PERCENT - MAX_CLOCK_DRIFT_PERCENT);
 
     term->stop_ms = bounds->stop_ms;
     term->tick_ms = bounds->tick_ms;
     term->hold_ms = MIN(each, bounds->hold_max_ms);
     term->hold_most_ms = bounds->hold_max_ms;
     term->lease_ms = each;
-    return each >= LEAST_TERM_MS;
+    return each >= MIN_LEASE_MS;
 }
 
 int64_t
--- a/lease/term.h
+++ b/lease/term.h
@@ -1,12 +1,14 @@
 /**
  * @file term.h
- * @brief The times of leases: how long an entry may hold a companion, how
- * far a companion may hold its upstream, and when a run is certainly over.
+ * @brief Lease durations: how long an entry's lease at a companion lasts, how
+ * far ahead a companion may extend the hold at its upstream, and when a run
+ * has certainly ended.
  *
- * Two runs of one task never overlap because, however entry and companion
- * fail, a run ends within lease + hold (on a clock that may be slow) + stop
- * + tick after its entry's last message, and a caller sends again only after
- * the resubmission time. Term_Plan derives the first two from the last.
+ * Two runs of one task never overlap: however entry and companion fail, a run
+ * ends within lease + hold (on a clock that may be slow) + stop + tick after
+ * the last message of its entry, and a caller resubmits only after the
+ * resubmission time. Term_Plan derives lease and hold from the resubmission
+ * time.
  */
 #ifndef LC_LEASE_TERM_H
 #define LC_LEASE_TERM_H
@@ -14,45 +16,49 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Runs of kept jobs are not bound to the resubmission time: a companion goes
- * on with them for so long after the lease, until a successor has been found.
- */
+/** Grace period in ms: a companion continues runs of durable jobs, which are
+ * not bound to the resubmission time, for this long after the lease, until a
+ * successor of their owner is found. */
 #define TERM_KEPT_MS 2500
 
-/** Times in ms. */
+/** Durations in ms. */
 typedef struct {
-    int64_t lease_ms;     /**< an entry's hold on its runs at a companion */
-    int64_t hold_ms;      /**< a companion's hold on its upstream, at most */
-    int64_t hold_most_ms; /**< an upstream cuts any hold to this */
-    int64_t stop_ms;      /**< an upstream needs so long to stop a task */
-    int64_t tick_ms;      /**< a companion looks at its leases so often */
+    int64_t lease_ms;     /**< lease of an entry on its runs at a companion */
+    int64_t hold_ms;      /**< longest hold a companion sets at its upstream */
+    int64_t hold_most_ms; /**< limit to which an upstream cuts any hold */
+    int64_t stop_ms;      /**< time an upstream needs to stop a task */
+    int64_t tick_ms;      /**< interval at which a companion checks leases */
 } Term;
 
-/** What the platform promises, in ms. */
+/** Guarantees given by the platform, in ms. */
 typedef struct {
-    int64_t resubmit_ms; /**< least time before a caller sends again */
-    int64_t hold_max_ms; /**< an upstream cuts holds to this */
+    int64_t resubmit_ms; /**< shortest time before a caller resubmits */
+    int64_t hold_max_ms; /**< limit to which an upstream cuts holds */
     int64_t stop_ms;
     int64_t tick_ms;
 } Term_Bounds;
 
-/** The longest equal lease and hold that @p bounds allow; false if there is
- * no room for either. */
+/** Derives the longest equal lease and hold that @p bounds allow, the hold
+ * being cut to `hold_max_ms`; returns false if they would be too short. */
 bool Term_Plan(const Term_Bounds *bounds, Term *term);
 
-/** Latest time, on the companion's clock, that a message of an entry may
- * hold: counted from the last word of the companion as if it had taken no
- * time to arrive, so that delay makes it earlier, never later. */
+/** Latest time, on the companion's clock in ms, until which a message of an
+ * entry may extend its lease. Counted from the companion's last message, of
+ * clock time @p stamp_ms, as if it had arrived (at @p received_ms) without
+ * delay, so that a delay makes the result earlier, never later. */
 int64_t Term_ValidUntil(const Term *term, int64_t stamp_ms,
                         int64_t received_ms, int64_t now_ms);
 
-/** How long a hold of @p hold_ms on the upstream's clock can last by ours. */
+/** Longest time in ms on the local clock that a hold of @p hold_ms on the
+ * upstream's clock can last. */
 int64_t Term_HoldAtMost(int64_t hold_ms);
 
-/** Least time that passed on the upstream's clock in @p elapsed_ms. */
+/** Shortest time in ms that can have passed on the upstream's clock while
+ * @p elapsed_ms passed locally. */
 int64_t Term_UpstreamElapsed(int64_t elapsed_ms);
 
-/** When all that an entry last held at @p sent_ms is certainly over. */
+/** Time in ms by which all runs that an entry last renewed at @p sent_ms have
+ * certainly ended. */
 int64_t Term_CertainEnd(const Term *term, int64_t sent_ms);
 
 #endif
--- a/tests/kept_rules.c
+++ b/tests/kept_rules.c
@@ -1,6 +1,6 @@
 /*
- * Single rules of kept jobs: one keeper with its dispatcher, or one runner,
- * driven through their doors with fake ports.
+ * Unit tests of durable jobs: the durable-job state of one entry with its
+ * dispatcher, driven through the public functions with fake ports.
  */
 
 #include <glib.h>
@@ -15,19 +15,19 @@
 #define MOST 256
 #define HOLD_MS 6000
 #define RESUBMIT_MS 1300
-/* The wall clock shows so much more than the monotonic one. */
+/* Offset of the wall clock from the monotonic one. */
 #define WALL_MS 1700000000000
 
 static const lc_node own_node = {0x7f0000011b59, 1000};
 static const lc_node companion_node = {0x7f0000011b63, 900};
-/* Another entry, as an owner. */
+/* Owner identity of another entry. */
 static const lc_node other_owner = {0x7f0000011b5a, 2001};
 static const lc_node third_owner = {0x7f0000011b5b, 2001};
 
 typedef struct {
-    char key[KEPT_KEY_SIZE];
+    char key[DURABLE_LOG_KEY_SIZE];
     GByteArray *value;
-} put_record;
+} written_record;
 
 typedef struct {
     uint64_t id;
@@ -42,28 +42,28 @@
     Route_Table *routes;
     Route *route;
     int64_t now_ms;
-    uint64_t offset; /* of the next record that is read */
-    GPtrArray *puts; /* put_record */
-    GArray *calls;   /* sent_call, of both */
+    uint64_t offset; /* of the next record to be read */
+    GPtrArray *puts; /* written_record */
+    GArray *calls;   /* sent_call, of dispatcher and durable jobs */
     int answers;
     Dispatcher_Outcome outcome;
     Err_Kind kind;
-    int told;
-    Keeper_State state_told;
+    int states_answered;
+    Keeper_State last_state;
     uint32_t tasks; /* of each job */
-    bool lasts;
-    uint32_t times;
+    bool long_running;
+    uint32_t repeat_count;
     lc_upstream_state state;
     uint64_t incarnation_offset; /* added to the companion's incarnation */
-    u_int held_long; /* ends that the companion says it holds for long */
+    u_int held_long; /* ends that the companion reports as held for long */
 } fixture;
 
 /* ---- ports ---- */
 
 static void
-free_put(gpointer item)
+free_written_record(gpointer item)
 {
-    put_record *put = item;
+    written_record *put = item;
 
     g_byte_array_unref(put->value);
     g_free(put);
@@ -73,7 +73,7 @@
 port_put(void *context, const char *key, const uint8_t *value, size_t length)
 {
     fixture *fix = context;
-    put_record *put = g_new0(put_record, 1);
+    written_record *put = g_new0(written_record, 1);
 
     g_strlcpy(put->key, key, sizeof(put->key));
     put->value = g_byte_array_new();
@@ -96,13 +96,13 @@
 }
 
 static void
-port_tell(void *context, uint64_t request, Keeper_State state)
+port_answer_state(void *context, uint64_t request, Keeper_State state)
 {
     fixture *fix = context;
 
     (void)request;
-    fix->told++;
-    fix->state_told = state;
+    fix->states_answered++;
+    fix->last_state = state;
 }
 
 static void
@@ -142,9 +142,9 @@
     job->steps[0].count = fix->tasks;
     job->steps[0].need.cpu_milli = 1000;
     job->steps[0].estimate_ms = 100;
-    job->steps[0].long_running = fix->lasts;
+    job->steps[0].long_running = fix->long_running;
     job->needs_keeping = true;
-    job->repeat_count = fix->times;
+    job->repeat_count = fix->repeat_count;
     job->start_at_ms = WALL_MS + START_MS + 500;
     job->interval_ms = 500;
     return ERR_OK;
@@ -185,7 +185,7 @@
 }
 
 static const Keeper_Ports keeper_ports = {
-    port_put,   port_answer, port_tell,         port_call,
+    port_put,   port_answer, port_answer_state, port_call,
     port_route, port_parse,  port_keeper_event,
 };
 static const Dispatcher_Ports dispatcher_ports = {
@@ -193,7 +193,7 @@
     LeaseFix_DropEvent, port_end,   port_crash,
     port_over,          NULL,       NULL};
 
-/* ---- a keeper ---- */
+/* ---- fixture ---- */
 
 static void
 report_host(fixture *fix)
@@ -216,7 +216,7 @@
 }
 
 static void
-settle(fixture *fix)
+flush(fixture *fix)
 {
     Dispatcher_Settle(fix->dispatcher, fix->now_ms);
     Keeper_Settle(fix->keeper, fix->now_ms);
@@ -226,12 +226,12 @@
 read_log(fixture *fix)
 {
     Keeper_OnRead(fix->keeper, fix->now_ms, fix->now_ms);
-    settle(fix);
+    flush(fix);
 }
 
-/* Time passes in touch with the log and the companion. */
+/* Advances the time while the log and the companion stay reachable. */
 static void
-pass(fixture *fix, int64_t ms)
+advance(fixture *fix, int64_t ms)
 {
     int64_t until = fix->now_ms + ms;
 
@@ -241,7 +241,7 @@
         read_log(fix);
         Keeper_Tick(fix->keeper, fix->now_ms);
         Dispatcher_Tick(fix->dispatcher, fix->now_ms);
-        settle(fix);
+        flush(fix);
     }
 }
 
@@ -249,7 +249,7 @@
 new_fixture(fixture *fix)
 {
     Dispatcher_Config config = {.node = own_node, .max_jobs = 100};
-    Keeper_Config keeping = {.node = own_node,
+    Keeper_Config durable = {.node = own_node,
                              .max_jobs = 100,
                              .resubmit_ms = RESUBMIT_MS,
                              .keep_ms = 60000};
@@ -258,14 +258,14 @@
     fix->now_ms = START_MS;
     fix->tasks = 1;
     fix->state = LC_UPSTREAM_READY;
-    fix->puts = g_ptr_array_new_with_free_func(free_put);
+    fix->puts = g_ptr_array_new_with_free_func(free_written_record);
     fix->calls = g_array_new(FALSE, TRUE, sizeof(sent_call));
     config.term = LeaseFix_Term();
     fix->dispatcher = Dispatcher_New(&config, &dispatcher_ports, fix,
                                      fix->now_ms);
     fix->routes = Route_NewTable(1);
     fix->route = LeaseFix_AddRoute(fix->routes);
-    fix->keeper = Keeper_New(&keeping, &keeper_ports, fix, fix->dispatcher,
+    fix->keeper = Keeper_New(&durable, &keeper_ports, fix, fix->dispatcher,
                              fix->now_ms);
     report_host(fix);
     read_log(fix);
@@ -301,11 +301,11 @@
     Keeper_OnRecord(fix->keeper, fix->now_ms, &record);
 }
 
-/* Reads back what was put as number, from 1. */
+/* Reads back the record of a put, numbered from 1. */
 static void
 read_put(fixture *fix, guint number)
 {
-    const put_record *put = g_ptr_array_index(fix->puts, number - 1);
+    const written_record *put = g_ptr_array_index(fix->puts, number - 1);
 
     read_bytes(fix, put->key, put->value->data, put->value->len);
 }
@@ -320,19 +320,19 @@
     g_byte_array_unref(bytes);
 }
 
-/* A submission of another entry. */
+/* Reads a submission of another entry. */
 static void
 read_submit(fixture *fix, uint64_t id, const lc_node *owner)
 {
     lc_kept_record record = {.job = id};
     lc_kept_submit *body = &record.body.lc_kept_body_u.submit;
-    char key[KEPT_KEY_SIZE];
+    char key[DURABLE_LOG_KEY_SIZE];
 
     record.body.kind = LC_KEPT_SUBMIT;
     body->owner = *owner;
     body->queue = (char *)(uintptr_t) "queue";
     body->body = (char *)(uintptr_t) "{}";
-    Kept_SubmitKey(id, *owner, key);
+    DurableLog_SubmitKey(id, *owner, key);
     read_record(fix, key, &record);
 }
 
@@ -340,12 +340,12 @@
 read_claim(fixture *fix, const lc_node *gone, const lc_node *successor)
 {
     lc_kept_record record = {.job = 0};
-    char key[KEPT_KEY_SIZE];
+    char key[DURABLE_LOG_KEY_SIZE];
 
     record.body.kind = LC_KEPT_CLAIM;
     record.body.lc_kept_body_u.claim.gone = *gone;
     record.body.lc_kept_body_u.claim.successor = *successor;
-    Kept_ClaimKey(gone, *successor, key);
+    DurableLog_ClaimKey(gone, *successor, key);
     read_record(fix, key, &record);
 }
 
@@ -375,7 +375,7 @@
     g_assert_not_reached();
 }
 
-/* The companion says how the last run ended. */
+/* The companion reports how the last run ended. */
 static void
 end_run(fixture *fix, lc_run_status status)
 {
@@ -390,7 +390,7 @@
     reply.u.run.host.pace_percent = 100;
     Dispatcher_OnReply(fix->dispatcher, fix->now_ms,
                        last_call(fix, MSG_RUN)->id, &reply);
-    settle(fix);
+    flush(fix);
 }
 
 /* The companion answers the last FENCE with one run, or none. */
@@ -408,7 +408,7 @@
     }
     Keeper_OnReply(fix->keeper, fix->now_ms, last_call(fix, MSG_FENCE)->id,
                    &reply);
-    settle(fix);
+    flush(fix);
 }
 
 static lc_node
@@ -445,7 +445,7 @@
     new_fixture(&fix);
     submit(&fix, 7);
     Keeper_OnWritten(fix.keeper, fix.now_ms, 1);
-    settle(&fix);
+    flush(&fix);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
     read_put(&fix, 1);
     read_log(&fix);
@@ -455,7 +455,7 @@
 }
 
 static void
-test_one_job(void)
+test_same_id_is_one_job(void)
 {
     fixture fix;
 
@@ -502,15 +502,16 @@
     free_fixture(&fix);
 }
 
-/* Whether it is written is not known: the caller is told nothing certain. */
+/* It is not known whether the record is written, so the caller gets an
+ * indefinite answer. */
 static void
-test_unwritten_is_given_up(void)
+test_unwritten_times_out(void)
 {
     fixture fix;
 
     new_fixture(&fix);
     submit(&fix, 7);
-    pass(&fix, 2100);
+    advance(&fix, 2100);
     g_assert_cmpint(fix.answers, ==, 1);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_GIVEN_UP);
     g_assert_cmpint(Keeper_Look(fix.keeper, fix.now_ms, 7, "queue"), ==,
@@ -532,9 +533,10 @@
     free_fixture(&fix);
 }
 
-/* A job accepted elsewhere a moment ago is not called unknown. */
+/* Guards against reporting a job as unknown that another entry has just
+ * accepted. */
 static void
-test_cancel_reads_first(void)
+test_cancel_rereads_log(void)
 {
     fixture fix;
 
@@ -542,12 +544,12 @@
     Keeper_CancelUnknown(fix.keeper, fix.now_ms, 5, 7, "queue");
     Keeper_CancelUnknown(fix.keeper, fix.now_ms, 6, 8, "queue");
     read_log(&fix);
-    g_assert_cmpint(fix.told, ==, 0);
+    g_assert_cmpint(fix.states_answered, ==, 0);
     read_submit(&fix, 7, &other_owner);
     fix.now_ms += 5;
     read_log(&fix);
-    g_assert_cmpint(fix.told, ==, 1);
-    g_assert_cmpint(fix.state_told, ==, KEEPER_UNKNOWN);
+    g_assert_cmpint(fix.states_answered, ==, 1);
+    g_assert_cmpint(fix.last_state, ==, KEEPER_UNKNOWN);
     g_assert_cmpuint(fix.puts->len, ==, 1);
     Keeper_OnWritten(fix.keeper, fix.now_ms, 1);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_CANCELLED);
@@ -574,7 +576,7 @@
     start_own(&fix);
     end_run(&fix, LC_RUN_DONE);
     g_assert_cmpuint(fix.puts->len, ==, 2);
-    pass(&fix, 200);
+    advance(&fix, 200);
     g_assert_cmpint(count_calls(&fix, MSG_RELEASE), ==, 0);
     g_assert_cmpint(Keeper_Look(fix.keeper, fix.now_ms, 7, "queue"), ==,
                     KEEPER_RUNNING);
@@ -605,7 +607,8 @@
 static void
 check_crash_record(const fixture *fix)
 {
-    const put_record *put = g_ptr_array_index(fix->puts, fix->puts->len - 1);
+    const written_record *put = g_ptr_array_index(fix->puts,
+                                                  fix->puts->len - 1);
     lc_kept_record record;
     const lc_kept_progress *progress = &record.body.lc_kept_body_u.progress;
 
@@ -618,7 +621,7 @@
     Msg_FreeKept(&record);
 }
 
-/* The log tells a successor how many upstreams have crashed under a task. */
+/* A successor learns from the log how many upstreams crashed under a task. */
 static void
 test_crashes_are_written(void)
 {
@@ -652,7 +655,7 @@
     read_put(fix, fix->puts->len);
     read_log(fix);
     g_assert_cmpint(last_call(fix, MSG_RUN)->valid_until_ms, >, fix->now_ms);
-    pass(fix, 50);
+    advance(fix, 50);
     g_assert_cmpuint(last_call(fix, MSG_RUN)->run.job, ==, 7);
     g_assert_cmpuint(last_call(fix, MSG_RUN)->run.run, ==, 1025);
     g_assert_cmpint(last_call(fix, MSG_RUN)->valid_until_ms, ==, LC_HOLD_NONE);
@@ -681,7 +684,7 @@
     runs = count_calls(&fix, MSG_RUN);
     end_run(&fix, LC_RUN_NOT_READY);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, runs);
-    pass(&fix, 100);
+    advance(&fix, 100);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, runs + 1);
     g_assert_cmpuint(last_call(&fix, MSG_RUN)->run.run, ==, 1025);
     g_assert_cmpint(last_call(&fix, MSG_RUN)->valid_until_ms, ==,
@@ -703,16 +706,16 @@
     deadline_ms = fix.now_ms + 5900;
     while (fix.now_ms < deadline_ms) {
         end_run(&fix, LC_RUN_NOT_READY);
-        pass(&fix, 450);
+        advance(&fix, 450);
         g_assert_cmpuint(last_call(&fix, MSG_RUN)->run.run, ==, 1025);
     }
     end_run(&fix, LC_RUN_NOT_READY);
-    pass(&fix, 50);
+    advance(&fix, 50);
     g_assert_cmpuint(last_call(&fix, MSG_RUN)->run.run, ==, 1026);
     free_fixture(&fix);
 }
 
-/* Failures at an upstream on trial count as others do. */
+/* Failures at an upstream on trial count like any others. */
 static void
 test_attempts_on_trial(void)
 {
@@ -729,10 +732,10 @@
     free_fixture(&fix);
 }
 
-/* However a task that lasts ends, it is started again; nothing of it is
- * written down, and its end is let go of. */
+/* However a long-running task ends, it is restarted; nothing of it is
+ * recorded, and its end is released. */
 static void
-test_lasting(void)
+test_long_running(void)
 {
     static const lc_run_status ends[] = {LC_RUN_DONE, LC_RUN_FAILED,
                                          LC_RUN_FAILED, LC_RUN_LOST};
@@ -741,14 +744,14 @@
     size_t i;
 
     new_fixture(&fix);
-    fix.lasts = true;
+    fix.long_running = true;
     submit(&fix, 7);
     read_put(&fix, 1);
     read_log(&fix);
     puts = fix.puts->len;
     for (i = 0; i < G_N_ELEMENTS(ends); i++) {
         end_run(&fix, ends[i]);
-        pass(&fix, 150);
+        advance(&fix, 150);
         g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 2 + (int)i);
     }
     g_assert_cmpuint(fix.puts->len, ==, puts);
@@ -758,25 +761,25 @@
     free_fixture(&fix);
 }
 
-/* Each time begins when the wall clock shows it, whatever the other did. */
+/* Each occurrence starts at its wall-clock time, whatever the others did. */
 static void
-test_times(void)
+test_repeats(void)
 {
     fixture fix;
 
     new_fixture(&fix);
-    fix.times = 2;
+    fix.repeat_count = 2;
     Dispatcher_SetWall(fix.dispatcher, WALL_MS);
     submit(&fix, 7);
     read_put(&fix, 1);
     read_log(&fix);
-    pass(&fix, 400);
+    advance(&fix, 400);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
-    pass(&fix, 150);
+    advance(&fix, 150);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
-    pass(&fix, 400);
+    advance(&fix, 400);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
-    pass(&fix, 100);
+    advance(&fix, 100);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 2);
     g_assert_cmpuint(last_call(&fix, MSG_RUN)->run.occurrence, ==, 1);
     end_run(&fix, LC_RUN_DONE);
@@ -787,7 +790,7 @@
 }
 
 static void
-test_held_in_touch_only(void)
+test_no_starts_without_log(void)
 {
     fixture fix;
 
@@ -805,7 +808,7 @@
 /* ---- owners ---- */
 
 static void
-test_claims_the_silent(void)
+test_claims_silent_owner(void)
 {
     fixture fix;
     guint puts;
@@ -814,16 +817,16 @@
     read_submit(&fix, 7, &other_owner);
     Keeper_OnPeer(fix.keeper, fix.now_ms, other_owner.address,
                   other_owner.incarnation);
-    pass(&fix, 1900);
+    advance(&fix, 1900);
     puts = fix.puts->len;
     g_assert_cmpuint(puts, ==, 0);
-    pass(&fix, 200);
+    advance(&fix, 200);
     g_assert_cmpuint(fix.puts->len, ==, 1);
     free_fixture(&fix);
 }
 
 static void
-test_one_that_writes_lives(void)
+test_writing_owner_is_not_claimed(void)
 {
     fixture fix;
     int i;
@@ -831,38 +834,38 @@
     new_fixture(&fix);
     read_submit(&fix, 7, &other_owner);
     for (i = 0; i < 5; i++) {
-        pass(&fix, 1000);
+        advance(&fix, 1000);
         read_submit(&fix, 8 + (uint64_t)i, &other_owner);
     }
     g_assert_cmpuint(fix.puts->len, ==, 0);
     free_fixture(&fix);
 }
 
-/* This entry has claimed the other's job. */
+/* This entry has claimed the job of another owner. */
 static void
-inherit(fixture *fix)
+claim_other_owner(fixture *fix)
 {
     lc_node successor;
 
     new_fixture(fix);
     read_submit(fix, 7, &other_owner);
-    pass(fix, 3000);
+    advance(fix, 3000);
     successor = own_identity(fix);
     read_claim(fix, &other_owner, &successor);
-    pass(fix, 50);
+    advance(fix, 50);
 }
 
 static void
-test_successor_asks_first(void)
+test_successor_fences_first(void)
 {
     fixture fix;
 
-    inherit(&fix);
+    claim_other_owner(&fix);
     g_assert_cmpint(count_calls(&fix, MSG_FENCE), ==, 1);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
     answer_fence(&fix, NULL);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
-    /* What the old owner wrote last is read before anything starts. */
+    /* The last records of the old owner are read before anything starts. */
     fix.now_ms += 5;
     read_log(&fix);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
@@ -870,38 +873,38 @@
     free_fixture(&fix);
 }
 
-/* What the old owner wrote last of job 7. */
+/* Reads the last progress record of the old owner for job 7. */
 static void
 read_progress(fixture *fix, const lc_kept_progress *progress)
 {
     lc_kept_record record = {.job = 7};
-    char key[KEPT_KEY_SIZE];
+    char key[DURABLE_LOG_KEY_SIZE];
 
     record.body.kind = LC_KEPT_PROGRESS;
     record.body.lc_kept_body_u.progress = *progress;
-    Kept_ProgressKey(7, other_owner, key);
+    DurableLog_ProgressKey(7, other_owner, key);
     read_record(fix, key, &record);
 }
 
 static void
-test_successor_reads_the_last_end(void)
+test_successor_reads_last_progress(void)
 {
     char done = 1;
     lc_kept_progress progress = {.queue = (char *)(uintptr_t) "queue",
                                  .done = {.done_len = 1, .done_val = &done}};
     fixture fix;
 
-    inherit(&fix);
+    claim_other_owner(&fix);
     answer_fence(&fix, NULL);
     read_progress(&fix, &progress);
-    pass(&fix, 100);
+    advance(&fix, 100);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
     free_fixture(&fix);
 }
 
-/* One crash under another owner, one under this: the job is given up. */
+/* One crash under the old owner and one under this one: the job fails. */
 static void
-test_successor_counts_on(void)
+test_successor_adds_crash_counts(void)
 {
     lc_kept_failures crash = {KEPT_CRASHES, 1, 1025};
     lc_kept_progress progress = {
@@ -909,10 +912,10 @@
         .failures = {.failures_len = 1, .failures_val = &crash}};
     fixture fix;
 
-    inherit(&fix);
+    claim_other_owner(&fix);
     answer_fence(&fix, NULL);
     read_progress(&fix, &progress);
-    pass(&fix, 100);
+    advance(&fix, 100);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
     end_run(&fix, LC_RUN_CRASHED);
     read_put(&fix, fix.puts->len);
@@ -922,16 +925,16 @@
 }
 
 static void
-test_successor_takes_a_held_end(void)
+test_successor_takes_held_end(void)
 {
     lc_held_run held = {.id = {.job = 7, .run = 1025},
                         .running = false,
                         .status = LC_RUN_DONE};
     fixture fix;
 
-    inherit(&fix);
+    claim_other_owner(&fix);
     answer_fence(&fix, &held);
-    pass(&fix, 100);
+    advance(&fix, 100);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
     read_put(&fix, fix.puts->len);
     g_assert_cmpint(Keeper_Look(fix.keeper, fix.now_ms, 7, "queue"), ==,
@@ -940,33 +943,33 @@
 }
 
 static void
-test_successor_goes_on_with_a_run(void)
+test_successor_adopts_active_run(void)
 {
     lc_held_run held = {.id = {.job = 7, .run = 1025}, .running = true};
     fixture fix;
 
-    inherit(&fix);
+    claim_other_owner(&fix);
     answer_fence(&fix, &held);
-    pass(&fix, 100);
+    advance(&fix, 100);
     g_assert_cmpuint(last_call(&fix, MSG_RUN)->run.run, ==, 1025);
     free_fixture(&fix);
 }
 
 static void
-test_successor_waits_for_the_silent(void)
+test_successor_waits_for_silent_companion(void)
 {
     fixture fix;
 
-    inherit(&fix);
-    pass(&fix, HOLD_MS + RESUBMIT_MS + TERM_KEPT_MS - 200);
+    claim_other_owner(&fix);
+    advance(&fix, HOLD_MS + RESUBMIT_MS + TERM_KEPT_MS - 200);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
-    pass(&fix, 400);
+    advance(&fix, 400);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
     free_fixture(&fix);
 }
 
 static void
-test_claimed_lets_go(void)
+test_claimed_owner_stops(void)
 {
     uint64_t before;
     lc_node own;
@@ -976,7 +979,7 @@
     own = own_identity(&fix);
     before = own.incarnation;
     read_claim(&fix, &own, &other_owner);
-    pass(&fix, 200);
+    advance(&fix, 200);
     g_assert_cmpint(count_calls(&fix, MSG_HALT), ==, 0);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
     g_assert_true(Dispatcher_IsIdle(fix.dispatcher));
@@ -984,8 +987,8 @@
     free_fixture(&fix);
 }
 
-/* Two that claim each other: the first claim counts, the other is void, and
- * its successor looks after the jobs of both. */
+/* Two owners claim each other: the first claim is effective, the other is
+ * void, and the successor of the first owns the jobs of both. */
 static void
 test_mutual_claims(void)
 {
@@ -998,76 +1001,77 @@
     read_claim(&fix, &other_owner, &own);
     read_claim(&fix, &own, &other_owner);
     g_assert_cmpuint(own_identity(&fix).incarnation, ==, own.incarnation);
-    pass(&fix, 3000);
+    advance(&fix, 3000);
     answer_fence(&fix, NULL);
-    pass(&fix, 100);
+    advance(&fix, 100);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
     free_fixture(&fix);
 }
 
-/* Companions may have reported to some entries alone until the first kept job
- * came: a successor waits until all that live have reported to it. */
+/* Until the first durable job, companions may have reported to some entries
+ * only: a successor waits until all live companions have reported to it. */
 static void
-test_first_job_gathers_companions(void)
+test_first_job_needs_all_reports(void)
 {
     lc_node own;
     fixture fix;
 
     new_fixture(&fix);
-    pass(&fix, 5000);
+    advance(&fix, 5000);
     g_assert_false(Keeper_NeedsAll(fix.keeper));
     own = own_identity(&fix);
     read_submit(&fix, 7, &other_owner);
     g_assert_true(Keeper_NeedsAll(fix.keeper));
-    pass(&fix, 100);
+    advance(&fix, 100);
     read_claim(&fix, &other_owner, &own);
-    pass(&fix, 100);
+    advance(&fix, 100);
     answer_fence(&fix, NULL);
-    pass(&fix, 1500);
+    advance(&fix, 1500);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
-    pass(&fix, 1500);
+    advance(&fix, 1500);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
     end_run(&fix, LC_RUN_DONE);
     read_put(&fix, fix.puts->len);
-    pass(&fix, 20000);
+    advance(&fix, 20000);
     g_assert_true(Keeper_NeedsAll(fix.keeper));
-    pass(&fix, 11000);
+    advance(&fix, 11000);
     g_assert_false(Keeper_NeedsAll(fix.keeper));
     free_fixture(&fix);
 }
 
-/* Two processes that start at one moment may have the same incarnation. */
+/* Two processes that start at the same moment may have the same incarnation.
+ */
 static void
 test_keys_name_the_address(void)
 {
-    char one[KEPT_KEY_SIZE];
-    char other[KEPT_KEY_SIZE];
+    char one[DURABLE_LOG_KEY_SIZE];
+    char other[DURABLE_LOG_KEY_SIZE];
     Kept_Record record = {.key = one};
     lc_node writer;
 
-    Kept_SubmitKey(7, other_owner, one);
-    Kept_SubmitKey(7, third_owner, other);
+    DurableLog_SubmitKey(7, other_owner, one);
+    DurableLog_SubmitKey(7, third_owner, other);
     g_assert_cmpstr(one, !=, other);
     record.key_length = strlen(one);
-    writer = Kept_Writer(&record);
+    writer = DurableLog_Writer(&record);
     g_assert_true(Msg_SameNode(&writer, &other_owner));
-    Kept_ProgressKey(7, other_owner, one);
-    Kept_ProgressKey(7, third_owner, other);
+    DurableLog_ProgressKey(7, other_owner, one);
+    DurableLog_ProgressKey(7, third_owner, other);
     g_assert_cmpstr(one, !=, other);
-    Kept_ClaimKey(&other_owner, own_node, one);
-    Kept_ClaimKey(&third_owner, own_node, other);
+    DurableLog_ClaimKey(&other_owner, own_node, one);
+    DurableLog_ClaimKey(&third_owner, own_node, other);
     g_assert_cmpstr(one, !=, other);
     record.key = "s0000000000000007.7d1";
     record.key_length = strlen(record.key);
-    writer = Kept_Writer(&record);
+    writer = DurableLog_Writer(&record);
     g_assert_cmpuint(writer.incarnation, ==, 2001);
     g_assert_cmpuint(writer.address, ==, 0);
 }
 
 static void
-test_leaving_names_another(void)
+test_leaving_assigns_other_owner(void)
 {
-    const put_record *put;
+    const written_record *put;
     lc_kept_record record;
     fixture fix;
 
@@ -1085,10 +1089,10 @@
     free_fixture(&fix);
 }
 
-/* A companion tells of an end that it holds for long, of a job that this entry
- * has not read. */
+/* A companion reports an end that it has held for long, of a job that this
+ * entry does not know. */
 static void
-hear_of_held_end(fixture *fix)
+report_unknown_held_end(fixture *fix)
 {
     lc_held_run held = {.id = {.job = 9, .run = 1025}, .status = LC_RUN_DONE};
 
@@ -1102,16 +1106,16 @@
     g_assert_cmpint(count_calls(fix, MSG_RELEASE), ==, 0);
 }
 
-/* Its job stands in the log that was not read far enough. */
+/* The job is in a part of the log that is not read yet. */
 static void
-test_held_end_of_an_unread_job(void)
+test_held_end_of_unread_job(void)
 {
     lc_node other = {own_node.address + 1, 500};
     fixture fix;
 
-    hear_of_held_end(&fix);
+    report_unknown_held_end(&fix);
     Keeper_OnRead(fix.keeper, fix.now_ms + 5, fix.now_ms - 5);
-    settle(&fix);
+    flush(&fix);
     g_assert_cmpint(count_calls(&fix, MSG_RELEASE), ==, 0);
     fix.now_ms += 10;
     read_submit(&fix, 9, &other);
@@ -1120,13 +1124,13 @@
     free_fixture(&fix);
 }
 
-/* Nobody knows its job. */
+/* The job is not in the log. */
 static void
-test_held_end_of_no_job(void)
+test_held_end_of_missing_job(void)
 {
     fixture fix;
 
-    hear_of_held_end(&fix);
+    report_unknown_held_end(&fix);
     fix.now_ms += 10;
     read_log(&fix);
     g_assert_cmpint(count_calls(&fix, MSG_RELEASE), ==, 1);
@@ -1139,20 +1143,20 @@
 static const RuleTable_Row rules[] = {
     {"/keeper/answers when it is written", test_answered_when_written},
     {"/keeper/starts when it is read", test_started_when_read},
-    {"/keeper/an identity is one job", test_one_job},
+    {"/keeper/an identity is one job", test_same_id_is_one_job},
     {"/keeper/the first submission counts", test_first_submission_counts},
     {"/keeper/refuses while the log is down", test_refused_without_log},
-    {"/keeper/gives up what is not written in time",
-     test_unwritten_is_given_up},
+    {"/keeper/gives up what is not written in time", test_unwritten_times_out},
     {"/keeper/does not call a job unknown without the log",
      test_unknown_or_stale},
     {"/keeper/reads the log before it calls a cancelled job unknown",
-     test_cancel_reads_first},
+     test_cancel_rereads_log},
     {"/keeper/releases ends when they are written",
      test_released_when_written},
     {"/keeper/counts attempts", test_attempts_are_written},
     {"/keeper/writes crashes down", test_crashes_are_written},
-    {"/keeper/a successor counts crashes on", test_successor_counts_on},
+    {"/keeper/a successor counts crashes on",
+     test_successor_adds_crash_counts},
     {"/keeper/retries a run unknown to the companion's successor",
      test_run_unknown_to_successor},
     {"/keeper/asks the companion's successor again until it is ready",
@@ -1160,33 +1164,33 @@
     {"/keeper/retries a task when the companion's successor is never ready",
      test_successor_never_ready},
     {"/keeper/counts attempts on trial", test_attempts_on_trial},
-    {"/keeper/starts what lasts again", test_lasting},
-    {"/keeper/starts each time when it is due", test_times},
+    {"/keeper/starts what lasts again", test_long_running},
+    {"/keeper/starts each time when it is due", test_repeats},
     {"/keeper/starts nothing long after its last word of the log",
-     test_held_in_touch_only},
-    {"/keeper/claims a silent owner", test_claims_the_silent},
-    {"/keeper/does not claim one that writes", test_one_that_writes_lives},
+     test_no_starts_without_log},
+    {"/keeper/claims a silent owner", test_claims_silent_owner},
+    {"/keeper/does not claim one that writes",
+     test_writing_owner_is_not_claimed},
     {"/keeper/asks companions and the log before it goes on",
-     test_successor_asks_first},
+     test_successor_fences_first},
     {"/keeper/reads what the old owner wrote last",
-     test_successor_reads_the_last_end},
-    {"/keeper/takes ends that companions hold",
-     test_successor_takes_a_held_end},
-    {"/keeper/goes on with what runs", test_successor_goes_on_with_a_run},
+     test_successor_reads_last_progress},
+    {"/keeper/takes ends that companions hold", test_successor_takes_held_end},
+    {"/keeper/goes on with what runs", test_successor_adopts_active_run},
     {"/keeper/waits for a silent companion",
-     test_successor_waits_for_the_silent},
-    {"/keeper/lets go when it is claimed", test_claimed_lets_go},
+     test_successor_waits_for_silent_companion},
+    {"/keeper/lets go when it is claimed", test_claimed_owner_stops},
     {"/keeper/the first job gathers all companions",
-     test_first_job_gathers_companions},
+     test_first_job_needs_all_reports},
     {"/keeper/keys name a writer's address", test_keys_name_the_address},
     {"/keeper/of two that claim each other the first stays",
      test_mutual_claims},
     {"/keeper/keeps the end of a job that it has not read",
-     test_held_end_of_an_unread_job},
+     test_held_end_of_unread_job},
     {"/keeper/lets go of the end of a job that nobody knows",
-     test_held_end_of_no_job},
+     test_held_end_of_missing_job},
     {"/keeper/hands new jobs to others when it leaves",
-     test_leaving_names_another},
+     test_leaving_assigns_other_owner},
 };
 
 int
--- a/tests/rebirth_rules.c
+++ b/tests/rebirth_rules.c
@@ -1,7 +1,7 @@
 /*
- * Rules of an upstream that starts again under the name it had, of machines
- * that are suspended, of tasks that crash the upstreams that start them, and
- * of capacity that changes while tasks run.
+ * Unit tests of the runner: an upstream that restarts under the same name,
+ * machines that are suspended, tasks that crash their upstream, and capacity
+ * that changes while tasks run.
  */
 
 #include <glib.h>
@@ -13,12 +13,12 @@
 #include "tests/runner_fixture.h"
 
 #define FIRST_BORN_MS 1700000000000
-#define LATER_BORN_MS 1700000005000
+#define NEXT_BORN_MS 1700000005000
 
 static const lc_node entry_node = RUNNER_FIX_ENTRY;
 static const lc_node companion_node = RUNNER_FIX_COMPANION;
 
-/* The upstream of the first life runs a task of job 1. */
+/* The first incarnation of the upstream is given a task of job 1. */
 static void
 begin_task(runner_fixture *fix)
 {
@@ -29,16 +29,17 @@
     RunnerFix_BeginTask(fix);
 }
 
-/* It has crashed and started again: its clock and all its counts are new. */
+/* The upstream has crashed and restarted: its clock and all its counters are
+ * reset. */
 static void
-start_again(runner_fixture *fix)
+restart_upstream(runner_fixture *fix)
 {
-    fix->born_ms = LATER_BORN_MS;
+    fix->born_ms = NEXT_BORN_MS;
     fix->clock_ms = 1000;
     fix->beats = 0;
 }
 
-/* The entry holds its runs for a lease more. */
+/* The entry renews its lease for valid_ms. */
 static void
 renew(runner_fixture *fix, int64_t valid_ms)
 {
@@ -51,7 +52,7 @@
 }
 
 static void
-test_heartbeat_of_a_later_life(void)
+test_heartbeat_of_next_incarnation(void)
 {
     runner_fixture fix;
     int64_t token;
@@ -59,7 +60,7 @@
     begin_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
     token = fix.look.token;
-    start_again(&fix);
+    restart_upstream(&fix);
     RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
     RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
     g_assert_cmpint(fix.look.token, >, token);
@@ -73,16 +74,16 @@
     Runner_Free(fix.runner);
 }
 
-/* A list of runs is the first sign. Nothing is started before the heartbeat
- * has told what there is room for. */
+/* A list of runs is the first sign of the restart. Nothing is started before
+ * a heartbeat has reported the capacity. */
 static void
-test_list_of_a_later_life(void)
+test_list_of_next_incarnation(void)
 {
     runner_fixture fix;
 
     begin_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
-    start_again(&fix);
+    restart_upstream(&fix);
     RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
     RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
     g_assert_cmpint(fix.status, ==, LC_RUN_CRASHED);
@@ -92,10 +93,10 @@
     Runner_Free(fix.runner);
 }
 
-/* Its ends are numbered from 1 again, below those that were read of the life
- * before: none of them is taken note of unread. */
+/* The next incarnation numbers its ends from 1 again, below those read of the
+ * previous one: none of them may be acknowledged unread. */
 static void
-test_ends_of_a_later_life_are_read(void)
+test_ends_of_next_incarnation_are_read(void)
 {
     runner_fixture fix;
     Runner_EndRow many = {57, RunnerFix_Run(1, 1), RUNNER_END_DONE};
@@ -104,7 +105,7 @@
     begin_task(&fix);
     RunnerFix_AnswerLook(&fix, NULL, 0, &many, 1);
     g_assert_cmpint((int64_t)fix.look.last_seen, ==, 57);
-    start_again(&fix);
+    restart_upstream(&fix);
     RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
     RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
     g_assert_cmpint((int64_t)fix.look.last_seen, ==, 0);
@@ -139,17 +140,17 @@
     Runner_Free(fix.runner);
 }
 
-/* A start for the life before was carried out by the next one: the run is not
- * told as over before it has been stopped. */
+/* A start meant for the previous incarnation is executed by the next one: the
+ * run is not reported as ended before it has been stopped. */
 static void
-test_start_taken_by_the_later_life(void)
+test_start_taken_by_next_incarnation(void)
 {
     runner_fixture fix;
 
     begin_task(&fix);
     RunnerFix_CallRun(&fix, 2, 1, 1000, 500);
     RunnerFix_AnswerRunning(&fix, 1);
-    start_again(&fix);
+    restart_upstream(&fix);
     RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
     RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
     fix.replies = 0;
@@ -329,9 +330,10 @@
     Runner_Free(fix.runner);
 }
 
-/* Its deadline means nothing on the later life's clock. */
+/* The deadline of the start is meaningless on the clock of the next
+ * incarnation. */
 static void
-test_start_is_not_sent_again_to_a_later_life(void)
+test_start_is_not_resent_to_next_incarnation(void)
 {
     runner_fixture fix;
     int starts;
@@ -339,7 +341,7 @@
     begin_task(&fix);
     RunnerFix_CallRun(&fix, 2, 1, 1000, 500);
     starts = fix.starts;
-    start_again(&fix);
+    restart_upstream(&fix);
     RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
     RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
     fix.now_ms += 60;
@@ -350,7 +352,7 @@
 }
 
 /* The answer to a start shows a clock that has gone back: the upstream is
- * asked who it is, and is sent nothing else meanwhile. */
+ * asked for its incarnation, and is sent nothing else meanwhile. */
 static void
 test_clock_that_goes_back(void)
 {
@@ -359,7 +361,7 @@
     begin_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
     RunnerFix_CallRun(&fix, 2, 1, 1000, 500);
-    start_again(&fix);
+    restart_upstream(&fix);
     Runner_OnStarted(fix.runner, fix.now_ms, fix.start_id, RUNNER_ORDER_TAKEN,
                      1000);
     g_assert_false(RunnerFix_TakesTask(&fix, 3));
@@ -370,12 +372,12 @@
 }
 
 static void
-test_late_heartbeat_of_the_earlier_life(void)
+test_late_heartbeat_of_previous_incarnation(void)
 {
     runner_fixture fix;
 
     begin_task(&fix);
-    start_again(&fix);
+    restart_upstream(&fix);
     RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
     RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
     RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
@@ -385,16 +387,16 @@
     Runner_Free(fix.runner);
 }
 
-/* A companion that has started since knows no earlier life: the upstream
- * tells which of two is in force. The time of day may have gone back. */
+/* A restarted companion knows no earlier incarnation: the upstream itself
+ * tells which of two is current. The time of day may have gone back. */
 static void
-test_unknown_life_is_asked_about(void)
+test_unknown_incarnation_is_queried(void)
 {
     runner_fixture fix;
 
     begin_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
-    fix.born_ms = LATER_BORN_MS;
+    fix.born_ms = NEXT_BORN_MS;
     RunnerFix_BeatOf(&fix, "i-1", 50, RUNNER_UPSTREAM_DRAINING);
     fix.born_ms = FIRST_BORN_MS;
     RunnerFix_AnswerRunning(&fix, 1);
@@ -411,7 +413,8 @@
     Runner_Free(fix.runner);
 }
 
-/* Of another writer, or of an earlier life: it tells no start. */
+/* The heartbeat reports no start time: it comes from another writer or from an
+ * earlier incarnation. */
 static void
 test_heartbeat_without_a_start(void)
 {
@@ -427,9 +430,9 @@
     Runner_Free(fix.runner);
 }
 
-/* That it leaves may be told late, of a life that is over. */
+/* A departure may be reported late, for an incarnation that has ended. */
 static void
-test_leave_of_an_earlier_life(void)
+test_departure_of_previous_incarnation(void)
 {
     runner_fixture fix;
 
@@ -450,21 +453,22 @@
     Runner_Free(fix.runner);
 }
 
-/* One life serves one service: the heartbeat is another writer's. */
+/* An incarnation serves one service only, so the heartbeat comes from another
+ * writer. */
 static void
 test_another_service(void)
 {
     runner_fixture fix;
     static const char *const labels[] = {NULL};
-    Runner_Upstream said = {.instance = "i-1",
-                            .born_ms = FIRST_BORN_MS,
-                            .sequence = 99,
-                            .service = "other",
-                            .says = RUNNER_UPSTREAM_DRAINING,
-                            .labels = labels};
+    Runner_Upstream heartbeat = {.instance = "i-1",
+                                 .born_ms = FIRST_BORN_MS,
+                                 .sequence = 99,
+                                 .service = "other",
+                                 .says = RUNNER_UPSTREAM_DRAINING,
+                                 .labels = labels};
 
     begin_task(&fix);
-    Runner_OnUpstream(fix.runner, fix.now_ms, &said);
+    Runner_OnUpstream(fix.runner, fix.now_ms, &heartbeat);
     g_assert_true(RunnerFix_TakesTask(&fix, 2));
     RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
     g_assert_true(RunnerFix_TakesTask(&fix, 3));
@@ -473,8 +477,8 @@
 
 /* ---- suspension ---- */
 
-/* The upstream's clock may have stood still as long: a deadline that is worked
- * out from it reaches no further than without the suspension. */
+/* The upstream's clock may have stood still for as long: a deadline derived
+ * from it must reach no further than without the suspension. */
 static void
 test_deadline_after_a_suspension(void)
 {
@@ -488,8 +492,9 @@
     Runner_Free(fix.runner);
 }
 
-/* To its owner the time has passed: the run is stopped before anything else,
- * and its room stays taken as long as the upstream may go on by itself. */
+/* For the owner of the run the time has passed: the run is stopped first, and
+ * its capacity stays reserved as long as the upstream may continue by itself.
+ */
 static void
 test_lease_after_a_suspension(void)
 {
@@ -510,7 +515,7 @@
     Runner_Free(fix.runner);
 }
 
-/* A renewal that lay in a buffer meanwhile is older than the lease. */
+/* A renewal that was buffered meanwhile is older than the lease. */
 static void
 test_renewal_after_a_suspension(void)
 {
@@ -525,18 +530,19 @@
     Runner_Free(fix.runner);
 }
 
-/* However long the machine was suspended, and whether its upstream was or not:
- * what waited starts nothing, and a new start is held no longer than ever. */
+/* However long the machine was suspended, and with or without its upstream:
+ * buffered calls start nothing, and a new start gets no longer deadline than
+ * usual. */
 static void
 test_any_suspension(void)
 {
-    static const int64_t lengths_ms[] = {100,  300,  589,  601,
-                                         1300, 4000, 20000};
+    static const int64_t durations_ms[] = {100,  300,  589,  601,
+                                           1300, 4000, 20000};
     size_t i;
     int with;
 
-    for (i = 0; i < 2 * G_N_ELEMENTS(lengths_ms); i++) {
-        int64_t length_ms = lengths_ms[i / 2];
+    for (i = 0; i < 2 * G_N_ELEMENTS(durations_ms); i++) {
+        int64_t duration_ms = durations_ms[i / 2];
         runner_fixture fix;
         Msg_Call late = {.kind = MSG_RUN};
         int starts;
@@ -550,9 +556,9 @@
         late.u.run.valid_until_ms = fix.now_ms + 99;
         late.u.run.id = RunnerFix_Run(7, 1);
         late.u.run.spec = (char *)(uintptr_t) "";
-        fix.now_ms += length_ms;
-        fix.clock_ms -= with ? length_ms : 0;
-        Runner_OnSuspended(fix.runner, fix.now_ms, length_ms);
+        fix.now_ms += duration_ms;
+        fix.clock_ms -= with ? duration_ms : 0;
+        Runner_OnSuspended(fix.runner, fix.now_ms, duration_ms);
         Runner_OnCall(fix.runner, fix.now_ms, 5, &late);
         g_assert_cmpint(fix.starts, ==, starts);
         g_assert_cmpint(fix.status, ==, LC_RUN_EXPIRED);
@@ -578,13 +584,13 @@
     g_assert_cmpint(Clock_Suspended(&suspension, Clock_Read()), ==, 0);
 }
 
-/* ---- tasks under which upstreams crash ---- */
+/* ---- tasks that crash their upstream ---- */
 
-/* The upstream crashes and is seen in its next life. */
+/* The upstream crashes and its next incarnation is seen. */
 static lc_run_status
 crash(runner_fixture *fix)
 {
-    start_again(fix);
+    restart_upstream(fix);
     RunnerFix_Beat(fix, RUNNER_UPSTREAM_READY);
     RunnerFix_AnswerLook(fix, NULL, 0, NULL, 0);
     RunnerFix_AnswerLook(fix, NULL, 0, NULL, 0);
@@ -592,7 +598,7 @@
 }
 
 static void
-test_crash_is_told(void)
+test_crash_is_reported(void)
 {
     runner_fixture fix;
 
@@ -602,7 +608,7 @@
     Runner_Free(fix.runner);
 }
 
-/* One that has run for long has not crashed it. */
+/* A task that has run for long is not blamed for a crash. */
 static void
 test_old_runs_are_not_blamed(void)
 {
@@ -622,9 +628,9 @@
     Runner_Free(fix.runner);
 }
 
-/* An upstream that drains may end without a word. */
+/* A draining upstream may exit without notice. */
 static void
-test_end_of_a_drain_blames_nobody(void)
+test_exit_while_draining_is_not_a_crash(void)
 {
     runner_fixture fix;
 
@@ -635,9 +641,9 @@
     Runner_Free(fix.runner);
 }
 
-/* Nothing listens there any more, and its hold is over. */
+/* Nothing listens at the address any more, and the hold has expired. */
 static void
-test_crash_without_a_later_life(void)
+test_crash_without_restart(void)
 {
     runner_fixture fix;
     Runner_Listing none = {.end = RUNNER_ORDER_UNSENT};
@@ -652,10 +658,10 @@
     Runner_Free(fix.runner);
 }
 
-/* Two tasks under which upstreams have crashed run apart; others beside them.
- */
+/* Two tasks under which upstreams have crashed do not run at the same time;
+ * other tasks run beside them. */
 static void
-test_suspects_run_apart(void)
+test_crashing_tasks_run_separately(void)
 {
     runner_fixture fix;
 
@@ -672,7 +678,7 @@
 /* ---- capacity ---- */
 
 static u_int
-room_told(const runner_fixture *fix)
+reported_cpu_milli(const runner_fixture *fix)
 {
     lc_host_state state;
 
@@ -680,7 +686,7 @@
     return state.room.cpu_milli;
 }
 
-/* What runs, and what is being stopped, still counts. */
+/* Runs that are active or being stopped still use capacity. */
 static void
 test_capacity_that_shrinks(void)
 {
@@ -689,17 +695,17 @@
 
     begin_task(&fix);
     RunnerFix_CallRun(&fix, 2, 1, 1000, 500);
-    g_assert_cmpuint(room_told(&fix), ==, 2000);
+    g_assert_cmpuint(reported_cpu_milli(&fix), ==, 2000);
     version = Runner_Version(fix.runner);
     fix.cpu_milli = 2100;
     RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
     g_assert_cmpuint(Runner_Version(fix.runner), >, version);
-    g_assert_cmpuint(room_told(&fix), ==, 100);
+    g_assert_cmpuint(reported_cpu_milli(&fix), ==, 100);
     RunnerFix_CallHalt(&fix, 1, 1);
-    g_assert_cmpuint(room_told(&fix), ==, 100);
+    g_assert_cmpuint(reported_cpu_milli(&fix), ==, 100);
     fix.cpu_milli = 1500;
     RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
-    g_assert_cmpuint(room_told(&fix), ==, 0);
+    g_assert_cmpuint(reported_cpu_milli(&fix), ==, 0);
     g_assert_false(RunnerFix_TakesTask(&fix, 3));
     g_assert_cmpint(fix.status, ==, LC_RUN_NO_ROOM);
     Runner_Free(fix.runner);
@@ -713,26 +719,28 @@
     begin_task(&fix);
     fix.cpu_milli = 500;
     RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
-    g_assert_cmpuint(room_told(&fix), ==, 0);
+    g_assert_cmpuint(reported_cpu_milli(&fix), ==, 0);
     RunnerFix_AnswerRunning(&fix, 1);
     g_assert_cmpint(fix.stops, ==, 0);
     fix.cpu_milli = 4000;
     RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
-    g_assert_cmpuint(room_told(&fix), ==, 3000);
+    g_assert_cmpuint(reported_cpu_milli(&fix), ==, 3000);
     g_assert_true(RunnerFix_TakesTask(&fix, 2));
     Runner_Free(fix.runner);
 }
 
 static const RuleTable_Row rules[] = {
-    {"/rebirth/a heartbeat of a later life", test_heartbeat_of_a_later_life},
-    {"/rebirth/a list of runs is the first sign", test_list_of_a_later_life},
+    {"/rebirth/a heartbeat of a later life",
+     test_heartbeat_of_next_incarnation},
+    {"/rebirth/a list of runs is the first sign",
+     test_list_of_next_incarnation},
     {"/rebirth/ends of a later life are read",
-     test_ends_of_a_later_life_are_read},
+     test_ends_of_next_incarnation_are_read},
     {"/rebirth/ends are acknowledged once", test_ends_are_acknowledged_once},
     {"/rebirth/a start taken by the later life is stopped first",
-     test_start_taken_by_the_later_life},
+     test_start_taken_by_next_incarnation},
     {"/rebirth/a start is not sent again to a later life",
-     test_start_is_not_sent_again_to_a_later_life},
+     test_start_is_not_resent_to_next_incarnation},
     {"/rebirth/an unanswered start holds the end",
      test_unanswered_start_holds_the_end},
     {"/rebirth/an answered start does not hold the end",
@@ -747,12 +755,13 @@
      test_held_ends_do_not_hide_newer_ones},
     {"/rebirth/a clock that goes back", test_clock_that_goes_back},
     {"/rebirth/a late heartbeat of the earlier life",
-     test_late_heartbeat_of_the_earlier_life},
+     test_late_heartbeat_of_previous_incarnation},
     {"/rebirth/the upstream tells which life is in force",
-     test_unknown_life_is_asked_about},
+     test_unknown_incarnation_is_queried},
     {"/rebirth/a heartbeat that tells no start",
      test_heartbeat_without_a_start},
-    {"/rebirth/a leave of an earlier life", test_leave_of_an_earlier_life},
+    {"/rebirth/a leave of an earlier life",
+     test_departure_of_previous_incarnation},
     {"/rebirth/a heartbeat of another service", test_another_service},
     {"/suspension/a deadline reaches no further",
      test_deadline_after_a_suspension},
@@ -762,12 +771,12 @@
     {"/suspension/of any length, with the upstream or without",
      test_any_suspension},
     {"/suspension/the clock counts it", test_clock_counts_suspensions},
-    {"/crashes/are told", test_crash_is_told},
+    {"/crashes/are told", test_crash_is_reported},
     {"/crashes/old runs are not blamed", test_old_runs_are_not_blamed},
     {"/crashes/the end of a drain blames nobody",
-     test_end_of_a_drain_blames_nobody},
-    {"/crashes/without a later life", test_crash_without_a_later_life},
-    {"/crashes/suspects run apart", test_suspects_run_apart},
+     test_exit_while_draining_is_not_a_crash},
+    {"/crashes/without a later life", test_crash_without_restart},
+    {"/crashes/suspects run apart", test_crashing_tasks_run_separately},
     {"/capacity/shrinks while tasks run", test_capacity_that_shrinks},
     {"/capacity/grows again", test_capacity_that_grows_again},
 };
