--- a/lease/keeper.c
+++ b/lease/keeper.c
@@ -15,36 +15,35 @@
 Keeper_New(const Keeper_Config *config, const Keeper_Ports *ports,
            void *context, Dispatcher *dispatcher, int64_t now_ms)
 {
-    Keeper *keeper = g_new0(Keeper, 1);
+    Keeper *self = g_new0(Keeper, 1);
 
-    keeper->config = *config;
-    keeper->ports = ports;
-    keeper->context = context;
-    keeper->dispatcher = dispatcher;
-    keeper->log = Kept_New();
+    self->config = *config;
+    self->ports = ports;
+    self->context = context;
+    self->dispatcher = dispatcher;
+    self->log = Kept_New();
     /* Differs from the identity under which other jobs are run, because this
      * one can be revoked by a claim. */
-    keeper->node = config->node;
-    keeper->node.incarnation++;
-    keeper->started_ms = now_ms;
-    keeper->waiters = g_array_new(FALSE, TRUE, sizeof(DurableJobs_Waiter));
-    keeper->state_queries = g_array_new(FALSE, TRUE,
-                                        sizeof(DurableJobs_StateQuery));
-    keeper->jobs = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
-                                         DurableOwned_Free);
-    keeper->changed = g_hash_table_new(g_int64_hash, g_int64_equal);
-    keeper->unknown_ends = g_array_new(FALSE, TRUE,
-                                       sizeof(DurableJobs_UnknownEnd));
-    keeper->ends = g_array_new(FALSE, TRUE, sizeof(DurableJobs_RunEnd));
-    keeper->recoveries = g_array_new(FALSE, TRUE,
-                                     sizeof(DurableJobs_Recovery));
-    keeper->peers = g_array_new(FALSE, TRUE, sizeof(DurableJobs_Peer));
-    keeper->seen_owners = g_array_new(FALSE, TRUE,
-                                      sizeof(DurableJobs_SeenOwner));
-    keeper->claims = g_array_new(FALSE, TRUE, sizeof(lc_node));
-    keeper->calls = Handle_NewTable();
-    Dispatcher_OwnKept(dispatcher, keeper->node.incarnation);
-    return keeper;
+    self->node = config->node;
+    self->node.incarnation++;
+    self->started_ms = now_ms;
+    self->waiters = g_array_new(FALSE, TRUE, sizeof(DurableJobs_Waiter));
+    self->state_queries = g_array_new(FALSE, TRUE,
+                                      sizeof(DurableJobs_StateQuery));
+    self->jobs = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
+                                       DurableOwned_Free);
+    self->changed = g_hash_table_new(g_int64_hash, g_int64_equal);
+    self->unknown_ends = g_array_new(FALSE, TRUE,
+                                     sizeof(DurableJobs_UnknownEnd));
+    self->ends = g_array_new(FALSE, TRUE, sizeof(DurableJobs_RunEnd));
+    self->recoveries = g_array_new(FALSE, TRUE, sizeof(DurableJobs_Recovery));
+    self->peers = g_array_new(FALSE, TRUE, sizeof(DurableJobs_Peer));
+    self->seen_owners = g_array_new(FALSE, TRUE,
+                                    sizeof(DurableJobs_SeenOwner));
+    self->claims = g_array_new(FALSE, TRUE, sizeof(lc_node));
+    self->calls = Handle_NewTable();
+    Dispatcher_OwnKept(dispatcher, self->node.incarnation);
+    return self;
 }
 
 static void
@@ -57,99 +56,100 @@
 }
 
 void
-Keeper_Free(Keeper *keeper)
+Keeper_Free(Keeper *self)
 {
     guint i;
 
-    for (i = 0; i < Handle_Size(keeper->calls); i++) {
-        DurableJobs_Call *call = Handle_At(keeper->calls, i);
+    for (i = 0; i < Handle_Size(self->calls); i++) {
+        DurableJobs_Call *call = Handle_At(self->calls, i);
         if (call != NULL) {
             free_call(call);
         }
     }
-    for (i = 0; i < keeper->waiters->len; i++) {
-        g_free(g_array_index(keeper->waiters, DurableJobs_Waiter, i).queue);
+    for (i = 0; i < self->waiters->len; i++) {
+        g_free(g_array_index(self->waiters, DurableJobs_Waiter, i).queue);
     }
-    for (i = 0; i < keeper->state_queries->len; i++) {
-        g_free(g_array_index(keeper->state_queries, DurableJobs_StateQuery, i)
+    for (i = 0; i < self->state_queries->len; i++) {
+        g_free(g_array_index(self->state_queries, DurableJobs_StateQuery, i)
                    .queue);
     }
-    for (i = 0; i < keeper->recoveries->len; i++) {
+    for (i = 0; i < self->recoveries->len; i++) {
         DurableTakeover_ClearRecovery(
-            &g_array_index(keeper->recoveries, DurableJobs_Recovery, i));
+            &g_array_index(self->recoveries, DurableJobs_Recovery, i));
     }
-    Handle_FreeTable(keeper->calls);
-    g_hash_table_unref(keeper->changed);
-    g_hash_table_unref(keeper->jobs);
-    g_array_unref(keeper->waiters);
-    g_array_unref(keeper->state_queries);
-    g_array_unref(keeper->unknown_ends);
-    g_array_unref(keeper->ends);
-    g_array_unref(keeper->recoveries);
-    g_array_unref(keeper->peers);
-    g_array_unref(keeper->seen_owners);
-    g_array_unref(keeper->claims);
-    Kept_Free(keeper->log);
-    g_free(keeper);
+    Handle_FreeTable(self->calls);
+    g_hash_table_unref(self->changed);
+    g_hash_table_unref(self->jobs);
+    g_array_unref(self->waiters);
+    g_array_unref(self->state_queries);
+    g_array_unref(self->unknown_ends);
+    g_array_unref(self->ends);
+    g_array_unref(self->recoveries);
+    g_array_unref(self->peers);
+    g_array_unref(self->seen_owners);
+    g_array_unref(self->claims);
+    Kept_Free(self->log);
+    g_free(self);
 }
 
 uint64_t
-DurableJobs_Put(Keeper *keeper, const char *key, const lc_kept_record *record)
+DurableJobs_Put(Keeper *self, const char *key, const lc_kept_record *record)
 {
     GByteArray *bytes = g_byte_array_new();
     uint64_t number;
 
     Msg_EncodeKept(record, bytes);
-    number = keeper->ports->put(keeper->context, key, bytes->data, bytes->len);
+    number = self->ports->put(self->context, key, bytes->data, bytes->len);
     g_byte_array_unref(bytes);
     return number;
 }
 
 /* The owner stops a cancelled job, even if its start is not accepted yet. */
 static void
-cancel_own_job(Keeper *keeper, int64_t now_ms, const DurableLog_Job *job)
+cancel_own_job(Keeper *self, int64_t now_ms, const DurableLog_Job *job)
 {
-    if (g_hash_table_contains(keeper->jobs, &job->id)) {
-        Dispatcher_OnCancel(keeper->dispatcher, now_ms, job->id, job->queue);
+    if (g_hash_table_contains(self->jobs, &job->id)) {
+        Dispatcher_OnCancel(self->dispatcher, now_ms, job->id, job->queue);
     }
 }
 
 /* Once an outcome is in the log, whoever wrote it, the job is not run any
  * more. */
 static void
-end_own_job(Keeper *keeper, int64_t now_ms, const DurableLog_Job *job)
+end_own_job(Keeper *self, int64_t now_ms, const DurableLog_Job *job)
 {
-    DurableJobs_OwnJob *row = g_hash_table_lookup(keeper->jobs, &job->id);
+    DurableJobs_OwnJob *row = g_hash_table_lookup(self->jobs, &job->id);
 
     if (job->outcome == LC_KEPT_OPEN || row == NULL) {
         return;
     }
     row->written = true;
-    Dispatcher_OnCancel(keeper->dispatcher, now_ms, job->id, job->queue);
-    DurableOwned_Remove(keeper, row);
+    Dispatcher_OnCancel(self->dispatcher, now_ms, job->id, job->queue);
+    DurableOwned_Remove(self, row);
 }
 
 void
-Keeper_OnRecord(Keeper *keeper, int64_t now_ms, const Kept_Record *record)
+Keeper_OnRecord(Keeper *self, int64_t now_ms, const Kept_Record *record)
 {
-    Kept_Change change = Kept_Take(keeper->log, now_ms, record);
+    Kept_Change change = Kept_Take(self->log, now_ms, record);
 
-    DurableTakeover_OnOwnerRecord(keeper, now_ms, DurableLog_Writer(record));
+    DurableTakeover_OnOwnerRecord(self, now_ms, DurableLog_Writer(record));
     switch (change.kind) {
     case DURABLE_LOG_SUBMITTED:
-        keeper->has_unstarted = true;
+        self->has_unstarted = true;
         break;
     case DURABLE_LOG_PROGRESSED:
-        end_own_job(keeper, now_ms, change.job);
+        end_own_job(self, now_ms, change.job);
         break;
     case DURABLE_LOG_CANCELLED:
-        cancel_own_job(keeper, now_ms, change.job);
+        cancel_own_job(self, now_ms, change.job);
         break;
     case DURABLE_LOG_OWNER_ALIVE:
-        DurableTakeover_OnOwnerRecord(keeper, now_ms, change.gone);
+        DurableTakeover_OnOwnerRecord(self, now_ms, change.claimed_owner);
         break;
     case DURABLE_LOG_CLAIMED:
-        DurableTakeover_OnClaim(keeper, now_ms, change.gone, change.successor);
+        DurableTakeover_OnClaim(self, now_ms, change.claimed_owner,
+                                change.successor);
         break;
     default:
         break;
@@ -157,70 +157,69 @@
 }
 
 void
-Keeper_OnRead(Keeper *keeper, int64_t now_ms, int64_t asked_ms)
+Keeper_OnRead(Keeper *self, int64_t now_ms, int64_t asked_ms)
 {
-    keeper->log_read_ms = MAX(keeper->log_read_ms, asked_ms);
-    Dispatcher_HoldKept(keeper->dispatcher, now_ms - keeper->log_read_ms <
-                                                DURABLE_JOBS_LOG_TIMEOUT_MS);
-    DurableTakeover_OnLogRead(keeper);
-    DurableTakeover_AdvanceRecoveries(keeper, now_ms);
-    DurableOwned_StartAll(keeper, now_ms);
-    DurableCaller_OnLogRead(keeper, now_ms);
-    DurableCaller_AnswerStateQueries(keeper, now_ms);
+    self->log_read_ms = MAX(self->log_read_ms, asked_ms);
+    Dispatcher_HoldKept(self->dispatcher, now_ms - self->log_read_ms <
+                                              DURABLE_JOBS_LOG_TIMEOUT_MS);
+    DurableTakeover_OnLogRead(self);
+    DurableTakeover_AdvanceRecoveries(self, now_ms);
+    DurableOwned_StartAll(self, now_ms);
+    DurableCaller_OnLogRead(self, now_ms);
+    DurableCaller_AnswerStateQueries(self, now_ms);
 }
 
 /* Deletes the records of jobs that ended more than `keep_ms` ago; done only by
  * the live entry with the lowest address. */
 static void
-drop_expired_jobs(Keeper *keeper, int64_t now_ms)
+drop_expired_jobs(Keeper *self, int64_t now_ms)
 {
     GPtrArray *over;
     char key[DURABLE_LOG_KEY_SIZE];
     guint i;
     guint j;
 
-    for (i = 0; i < keeper->peers->len; i++) {
-        const DurableJobs_Peer *peer = &g_array_index(keeper->peers,
+    for (i = 0; i < self->peers->len; i++) {
+        const DurableJobs_Peer *peer = &g_array_index(self->peers,
                                                       DurableJobs_Peer, i);
-        if (peer->address < keeper->node.address &&
+        if (peer->address < self->node.address &&
             now_ms - peer->heard_ms < OWNER_LOG_TIMEOUT_MS) {
             return;
         }
     }
-    over = DurableLog_EndedJobs(keeper->log, now_ms - keeper->config.keep_ms);
+    over = DurableLog_EndedJobs(self->log, now_ms - self->config.keep_ms);
     for (i = 0; i < over->len; i++) {
         const DurableLog_Job *job = g_ptr_array_index(over, i);
         for (j = 0; j < job->submitters->len; j++) {
             DurableLog_SubmitKey(
                 job->id, g_array_index(job->submitters, lc_node, j), key);
-            keeper->ports->put(keeper->context, key, NULL, 0);
+            self->ports->put(self->context, key, NULL, 0);
         }
         DurableLog_CancelKey(job->id, key);
         if (job->cancelled) {
-            keeper->ports->put(keeper->context, key, NULL, 0);
+            self->ports->put(self->context, key, NULL, 0);
         }
         for (j = 0; j < job->writers->len; j++) {
             DurableLog_ProgressKey(
                 job->id, g_array_index(job->writers, lc_node, j), key);
-            keeper->ports->put(keeper->context, key, NULL, 0);
+            self->ports->put(self->context, key, NULL, 0);
         }
     }
     g_ptr_array_unref(over);
 }
 
 void
-Keeper_Settle(Keeper *keeper, int64_t now_ms)
+Keeper_Settle(Keeper *self, int64_t now_ms)
 {
     GHashTableIter iter;
     gpointer id;
 
     (void)now_ms;
-    g_hash_table_iter_init(&iter, keeper->changed);
+    g_hash_table_iter_init(&iter, self->changed);
     while (g_hash_table_iter_next(&iter, &id, NULL)) {
-        DurableOwned_PutProgress(keeper,
-                                 g_hash_table_lookup(keeper->jobs, id));
+        DurableOwned_PutProgress(self, g_hash_table_lookup(self->jobs, id));
     }
-    g_hash_table_remove_all(keeper->changed);
+    g_hash_table_remove_all(self->changed);
 }
 
 /* All companions are asked to report until this long after the last job has
@@ -229,106 +228,105 @@
 #define ALL_REPORTS_AFTER_END_MS 30000
 
 static void
-update_last_open(Keeper *keeper, int64_t now_ms)
+update_last_open(Keeper *self, int64_t now_ms)
 {
-    if (DurableLog_OpenCount(keeper->log) == 0) {
-        if (now_ms - keeper->last_open_ms >= ALL_REPORTS_AFTER_END_MS) {
-            keeper->last_open_ms = 0;
+    if (DurableLog_OpenCount(self->log) == 0) {
+        if (now_ms - self->last_open_ms >= ALL_REPORTS_AFTER_END_MS) {
+            self->last_open_ms = 0;
         }
         return;
     }
-    if (keeper->last_open_ms == 0) {
-        keeper->all_reports_since_ms = now_ms;
+    if (self->last_open_ms == 0) {
+        self->all_reports_since_ms = now_ms;
     }
-    keeper->last_open_ms = now_ms;
+    self->last_open_ms = now_ms;
 }
 
 bool
-Keeper_NeedsAll(const Keeper *keeper)
+Keeper_NeedsAll(const Keeper *self)
 {
-    return keeper->last_open_ms != 0 || DurableLog_OpenCount(keeper->log) > 0;
+    return self->last_open_ms != 0 || DurableLog_OpenCount(self->log) > 0;
 }
 
 bool
-Keeper_IsQuiet(const Keeper *keeper)
+Keeper_IsQuiet(const Keeper *self)
 {
-    return DurableLog_OpenCount(keeper->log) == 0 &&
-           keeper->waiters->len == 0 && keeper->state_queries->len == 0;
+    return DurableLog_OpenCount(self->log) == 0 && self->waiters->len == 0 &&
+           self->state_queries->len == 0;
 }
 
 void
-Keeper_Tick(Keeper *keeper, int64_t now_ms)
+Keeper_Tick(Keeper *self, int64_t now_ms)
 {
-    update_last_open(keeper, now_ms);
-    if (Keeper_IsQuiet(keeper)) {
-        keeper->last_quiet_ms = now_ms;
+    update_last_open(self, now_ms);
+    if (Keeper_IsQuiet(self)) {
+        self->last_quiet_ms = now_ms;
     }
-    Dispatcher_HoldKept(keeper->dispatcher,
-                        keeper->log_read_ms != 0 &&
-                            now_ms - keeper->log_read_ms <
-                                DURABLE_JOBS_LOG_TIMEOUT_MS);
-    DurableCaller_ExpireWaiters(keeper, now_ms);
-    DurableCaller_AnswerStateQueries(keeper, now_ms);
-    DurableOwned_SendReleases(keeper);
-    DurableTakeover_PutHeartbeat(keeper, now_ms);
-    DurableTakeover_ClaimSilentOwners(keeper, now_ms);
-    DurableTakeover_AdvanceRecoveries(keeper, now_ms);
-    DurableTakeover_FetchHeldEnds(keeper, now_ms);
-    DurableOwned_StartAll(keeper, now_ms);
-    if (now_ms - keeper->expiry_checked_ms >= EXPIRY_INTERVAL_MS &&
-        !DurableCaller_IsLogDown(keeper, now_ms)) {
-        keeper->expiry_checked_ms = now_ms;
-        drop_expired_jobs(keeper, now_ms);
+    Dispatcher_HoldKept(self->dispatcher, self->log_read_ms != 0 &&
+                                              now_ms - self->log_read_ms <
+                                                  DURABLE_JOBS_LOG_TIMEOUT_MS);
+    DurableCaller_ExpireWaiters(self, now_ms);
+    DurableCaller_AnswerStateQueries(self, now_ms);
+    DurableOwned_SendReleases(self);
+    DurableTakeover_PutHeartbeat(self, now_ms);
+    DurableTakeover_ClaimSilentOwners(self, now_ms);
+    DurableTakeover_AdvanceRecoveries(self, now_ms);
+    DurableTakeover_FetchHeldEnds(self, now_ms);
+    DurableOwned_StartAll(self, now_ms);
+    if (now_ms - self->expiry_checked_ms >= EXPIRY_INTERVAL_MS &&
+        !DurableCaller_IsLogDown(self, now_ms)) {
+        self->expiry_checked_ms = now_ms;
+        drop_expired_jobs(self, now_ms);
     }
 }
 
 void
-Keeper_OnReply(Keeper *keeper, int64_t now_ms, uint64_t call_id,
+Keeper_OnReply(Keeper *self, int64_t now_ms, uint64_t call_id,
                const Msg_Reply *reply)
 {
-    DurableJobs_Call *call = Handle_Remove(keeper->calls, call_id);
+    DurableJobs_Call *call = Handle_Remove(self->calls, call_id);
 
     if (call == NULL) {
         return;
     }
     if (call->kind == MSG_FENCE && reply != NULL && reply->u.fence.taken) {
-        DurableTakeover_OnFenceReply(keeper, now_ms, call, &reply->u.fence);
+        DurableTakeover_OnFenceReply(self, now_ms, call, &reply->u.fence);
     }
     else if (call->kind == MSG_RELEASE) {
-        DurableOwned_OnReleaseReply(keeper, call, reply != NULL);
+        DurableOwned_OnReleaseReply(self, call, reply != NULL);
     }
     free_call(call);
 }
 
 void
-Keeper_Leave(Keeper *keeper, int64_t now_ms)
+Keeper_Leave(Keeper *self, int64_t now_ms)
 {
-    lc_node successor = DurableTakeover_PickSuccessor(keeper, now_ms);
+    lc_node successor = DurableTakeover_PickSuccessor(self, now_ms);
 
-    keeper->leaving = true;
+    self->leaving = true;
     if (successor.incarnation != 0) {
-        DurableTakeover_PutClaim(keeper, now_ms, &keeper->node, &successor);
+        DurableTakeover_PutClaim(self, now_ms, &self->node, &successor);
     }
 }
 
 uint64_t
-Keeper_Identity(const Keeper *keeper, int64_t now_ms)
+Keeper_Identity(const Keeper *self, int64_t now_ms)
 {
-    bool reliable = keeper->log_read_ms != 0 &&
-                    now_ms - keeper->log_read_ms < OWNER_LOG_TIMEOUT_MS;
+    bool reliable = self->log_read_ms != 0 &&
+                    now_ms - self->log_read_ms < OWNER_LOG_TIMEOUT_MS;
 
-    return reliable && !keeper->leaving ? keeper->node.incarnation : 0;
+    return reliable && !self->leaving ? self->node.incarnation : 0;
 }
 
 bool
-Keeper_IsIdle(const Keeper *keeper)
+Keeper_IsIdle(const Keeper *self)
 {
-    return keeper->waiters->len == 0 && keeper->state_queries->len == 0 &&
-           g_hash_table_size(keeper->jobs) == 0;
+    return self->waiters->len == 0 && self->state_queries->len == 0 &&
+           g_hash_table_size(self->jobs) == 0;
 }
 
 void
-Keeper_Metrics(const Keeper *keeper, int64_t now_ms, GString *out)
+Keeper_Metrics(const Keeper *self, int64_t now_ms, GString *out)
 {
     g_string_append_printf(out,
                            "levercove_kept_jobs_open %u\n"
@@ -336,20 +334,19 @@
                            "levercove_kept_log_age_seconds %" PRId64 "\n"
                            "levercove_kept_recoveries %u\n"
                            "levercove_kept_ends_unwritten %u\n",
-                           DurableLog_OpenCount(keeper->log),
-                           g_hash_table_size(keeper->jobs),
-                           (now_ms - keeper->log_read_ms) / 1000,
-                           keeper->recoveries->len, keeper->ends->len);
+                           DurableLog_OpenCount(self->log),
+                           g_hash_table_size(self->jobs),
+                           (now_ms - self->log_read_ms) / 1000,
+                           self->recoveries->len, self->ends->len);
 }
 
 json_t *
-Keeper_Dump(const Keeper *keeper, int64_t now_ms)
+Keeper_Dump(const Keeper *self, int64_t now_ms)
 {
-    return json_pack("{s:i, s:i, s:i, s:i, s:I, s:b}", "open",
-                     (int)DurableLog_OpenCount(keeper->log), "owned",
-                     (int)g_hash_table_size(keeper->jobs), "waiters",
-                     (int)keeper->waiters->len, "recoveries",
-                     (int)keeper->recoveries->len, "log_age_ms",
-                     (json_int_t)(now_ms - keeper->log_read_ms), "leaving",
-                     keeper->leaving);
+    return json_pack(
+        "{s:i, s:i, s:i, s:i, s:I, s:b}", "open",
+        (int)DurableLog_OpenCount(self->log), "owned",
+        (int)g_hash_table_size(self->jobs), "waiters", (int)self->waiters->len,
+        "recoveries", (int)self->recoveries->len, "log_age_ms",
+        (json_int_t)(now_ms - self->log_read_ms), "leaving", self->leaving);
 }
--- a/lease/keeper.h
+++ b/lease/keeper.h
@@ -79,109 +79,107 @@
  * The caller frees the result with Keeper_Free. */
 Keeper *Keeper_New(const Keeper_Config *config, const Keeper_Ports *ports,
                    void *context, Dispatcher *dispatcher, int64_t now_ms);
-void Keeper_Free(Keeper *keeper);
+void Keeper_Free(Keeper *self);
 
 /** Handles a submission: answers it once its record is written, or rejects
  * it. */
-void Keeper_OnSubmit(Keeper *keeper, int64_t now_ms,
+void Keeper_OnSubmit(Keeper *self, int64_t now_ms,
                      const Keeper_Submit *submit);
 
 /** Cancels a job; returns false if it is not a durable job known here. */
-bool Keeper_OnCancel(Keeper *keeper, int64_t now_ms, uint64_t request_id,
+bool Keeper_OnCancel(Keeper *self, int64_t now_ms, uint64_t request_id,
                      uint64_t job, const char *queue);
 
 /** Cancels a job that is not known here. The log is read again first, because
  * another entry may have accepted the job a moment ago. */
-void Keeper_CancelUnknown(Keeper *keeper, int64_t now_ms, uint64_t request,
+void Keeper_CancelUnknown(Keeper *self, int64_t now_ms, uint64_t request,
                           uint64_t id, const char *queue);
 
 /** A caller has disconnected: it gets no answer, but its job remains. */
-void Keeper_OnCallerGone(Keeper *keeper, uint64_t request_id);
+void Keeper_OnCallerGone(Keeper *self, uint64_t request_id);
 
 /** A caller queries a job's state. The answer is immediate unless the job is
  * open: then it is delayed briefly to wait for the outcome, because callers
  * mostly ask when they expect the job to have ended. */
-void Keeper_OnLook(Keeper *keeper, int64_t now_ms, uint64_t request,
-                   uint64_t id, const char *queue);
+void Keeper_OnLook(Keeper *self, int64_t now_ms, uint64_t request, uint64_t id,
+                   const char *queue);
 
 /** Returns the current state of a job. */
-Keeper_State Keeper_Look(const Keeper *keeper, int64_t now_ms, uint64_t id,
+Keeper_State Keeper_Look(const Keeper *self, int64_t now_ms, uint64_t id,
                          const char *queue);
 
 /** Adds this owner's jobs of which no task was started to @p counts, by
  * queue. Queue names are borrowed. */
-void Keeper_AddWaiting(const Keeper *keeper, QueueCounts *counts);
+void Keeper_AddWaiting(const Keeper *self, QueueCounts *counts);
 
 /** Applies a record read from the log. */
-void Keeper_OnRecord(Keeper *keeper, int64_t now_ms,
-                     const Kept_Record *record);
+void Keeper_OnRecord(Keeper *self, int64_t now_ms, const Kept_Record *record);
 
 /** All records that the log held at @p asked_ms have been read. */
-void Keeper_OnRead(Keeper *keeper, int64_t now_ms, int64_t asked_ms);
+void Keeper_OnRead(Keeper *self, int64_t now_ms, int64_t asked_ms);
 
 /** All records up to @p number are written. */
-void Keeper_OnWritten(Keeper *keeper, int64_t now_ms, uint64_t number);
+void Keeper_OnWritten(Keeper *self, int64_t now_ms, uint64_t number);
 
 /** Task number of a run end that is not to be recorded. */
 #define DURABLE_JOBS_NO_TASK UINT32_MAX
 
 /** The dispatcher reports that a run has ended; @p done on success. */
-void Keeper_OnRunEnd(Keeper *keeper, const lc_run_id *id, uint32_t task,
+void Keeper_OnRunEnd(Keeper *self, const lc_run_id *id, uint32_t task,
                      lc_node host, bool done);
 
 /** The dispatcher reports that an upstream crashed while executing a run. */
-void Keeper_OnCrash(Keeper *keeper, const lc_run_id *id, uint32_t task);
+void Keeper_OnCrash(Keeper *self, const lc_run_id *id, uint32_t task);
 
 /** The dispatcher reports that a job has ended. */
-void Keeper_OnJobOver(Keeper *keeper, uint64_t job,
-                      Dispatcher_Outcome outcome);
+void Keeper_OnJobOver(Keeper *self, uint64_t job, Dispatcher_Outcome outcome);
 
 /** A message of another entry has arrived; @p owner_incarnation is the
  * incarnation of its owner identity, 0 if it cannot manage its jobs. */
-void Keeper_OnPeer(Keeper *keeper, int64_t now_ms, Address address,
+void Keeper_OnPeer(Keeper *self, int64_t now_ms, Address address,
                    uint64_t owner_incarnation);
 
 /** Address of an entry that reads the log and was heard from recently, or
  * 0. */
-Address Keeper_SomePeer(const Keeper *keeper, int64_t now_ms);
+Address Keeper_SomePeer(const Keeper *self, int64_t now_ms);
 
 /** A call sent through the port has ended; @p reply is NULL if it failed. */
-void Keeper_OnReply(Keeper *keeper, int64_t now_ms, uint64_t call_id,
+void Keeper_OnReply(Keeper *self, int64_t now_ms, uint64_t call_id,
                     const Msg_Reply *reply);
 
 /** A companion has reported, or has restarted. */
-void Keeper_OnHost(Keeper *keeper, int64_t now_ms);
+void Keeper_OnHost(Keeper *self, int64_t now_ms);
 
 /** Writes the records of changed jobs; to be called once all pending input
  * has been processed. */
-void Keeper_Settle(Keeper *keeper, int64_t now_ms);
+void Keeper_Settle(Keeper *self, int64_t now_ms);
 
 /** Handles timeouts; to be called at least every `term.tick_ms`. */
-void Keeper_Tick(Keeper *keeper, int64_t now_ms);
+void Keeper_Tick(Keeper *self, int64_t now_ms);
 
 /** Hands all jobs over to another entry, including those submitted later. */
-void Keeper_Leave(Keeper *keeper, int64_t now_ms);
+void Keeper_Leave(Keeper *self, int64_t now_ms);
 
 /** Incarnation of the owner identity to announce to other entries; 0 if this
  * entry is leaving or has not read the log recently. */
-uint64_t Keeper_Identity(const Keeper *keeper, int64_t now_ms);
+uint64_t Keeper_Identity(const Keeper *self, int64_t now_ms);
 
 /** Whether no durable job is open and no caller waits for one, so that nothing
  * depends on reading the log soon. */
-bool Keeper_IsQuiet(const Keeper *keeper);
+bool Keeper_IsQuiet(const Keeper *self);
 
 /** Whether this entry needs reports from every companion, and frequent
  * messages from every entry: durable jobs of some entry are open, or were
  * until recently. A successor asks all companions for the runs they hold. */
-bool Keeper_NeedsAll(const Keeper *keeper);
+bool Keeper_NeedsAll(const Keeper *self);
 
 /** Whether no caller waits and this entry owns no open job. */
-bool Keeper_IsIdle(const Keeper *keeper);
+bool Keeper_IsIdle(const Keeper *self);
 
 /** Appends metrics in the text exposition format. */
-void Keeper_Metrics(const Keeper *keeper, int64_t now_ms, GString *out);
+void Keeper_Metrics(const Keeper *self, int64_t now_ms, GString *out);
 
 /** Returns the state as JSON for operators; the caller owns the result. */
-json_t *Keeper_Dump(const Keeper *keeper, int64_t now_ms);
+json_t *Keeper_Dump(const Keeper *self, int64_t now_ms);
 
 #endif
--- a/lease/keeper_callers.c
+++ b/lease/keeper_callers.c
@@ -13,7 +13,7 @@
 #define QUIET_POLL_EXTRA_MS 1500
 
 static void
-answer(Keeper *keeper, uint64_t request, Dispatcher_Outcome outcome,
+answer(Keeper *self, uint64_t request, Dispatcher_Outcome outcome,
        Err_Kind kind, const char *message)
 {
     Dispatcher_Answer answer = {
@@ -22,26 +22,26 @@
     if (outcome == DISPATCHER_NOT_RUN) {
         answer.retry_ms = DISPATCHER_RETRY_MS;
     }
-    keeper->ports->answer(keeper->context, request, &answer);
+    self->ports->answer(self->context, request, &answer);
 }
 
 bool
-DurableCaller_IsLogDown(const Keeper *keeper, int64_t now_ms)
+DurableCaller_IsLogDown(const Keeper *self, int64_t now_ms)
 {
-    bool quiet = keeper->last_quiet_ms != 0 &&
-                 now_ms - keeper->last_quiet_ms <= LOG_TIMEOUT_MS;
+    bool quiet = self->last_quiet_ms != 0 &&
+                 now_ms - self->last_quiet_ms <= LOG_TIMEOUT_MS;
     int64_t limit_ms = LOG_TIMEOUT_MS + (quiet ? QUIET_POLL_EXTRA_MS : 0);
 
-    return keeper->log_read_ms == 0 || now_ms - keeper->log_read_ms > limit_ms;
+    return self->log_read_ms == 0 || now_ms - self->log_read_ms > limit_ms;
 }
 
 static DurableJobs_Waiter *
-find_submit_waiter(const Keeper *keeper, uint64_t job)
+find_submit_waiter(const Keeper *self, uint64_t job)
 {
     guint i;
 
-    for (i = 0; i < keeper->waiters->len; i++) {
-        DurableJobs_Waiter *waiter = &g_array_index(keeper->waiters,
+    for (i = 0; i < self->waiters->len; i++) {
+        DurableJobs_Waiter *waiter = &g_array_index(self->waiters,
                                                     DurableJobs_Waiter, i);
         if (waiter->job == job && !waiter->cancels) {
             return waiter;
@@ -51,7 +51,7 @@
 }
 
 static void
-add_waiter(Keeper *keeper, int64_t now_ms, uint64_t number, uint64_t request,
+add_waiter(Keeper *self, int64_t now_ms, uint64_t number, uint64_t request,
            uint64_t job, const char *queue, bool cancels)
 {
     DurableJobs_Waiter waiter = {.number = number,
@@ -62,31 +62,30 @@
                                  .until_ms = now_ms + WRITE_TIMEOUT_MS,
                                  .cancels = cancels};
 
-    g_array_append_val(keeper->waiters, waiter);
+    g_array_append_val(self->waiters, waiter);
 }
 
 /* An ID denotes one job, whoever submits it and however often. */
 static bool
-answer_if_known(Keeper *keeper, int64_t now_ms, const Keeper_Submit *submit)
+answer_if_known(Keeper *self, int64_t now_ms, const Keeper_Submit *submit)
 {
-    const DurableLog_Job *known = DurableLog_Find(keeper->log,
-                                                  submit->job->id);
-    const DurableJobs_Waiter *waiter = find_submit_waiter(keeper,
+    const DurableLog_Job *known = DurableLog_Find(self->log, submit->job->id);
+    const DurableJobs_Waiter *waiter = find_submit_waiter(self,
                                                           submit->job->id);
 
     if (known != NULL && known->submitted) {
         if (strcmp(known->queue, submit->route->name) == 0) {
-            answer(keeper, submit->request_id, DISPATCHER_KEPT, ERR_OK, "");
+            answer(self, submit->request_id, DISPATCHER_KEPT, ERR_OK, "");
         }
         else {
-            answer(keeper, submit->request_id, DISPATCHER_NOT_RUN,
+            answer(self, submit->request_id, DISPATCHER_NOT_RUN,
                    ERR_KEY_REUSED,
                    "this job ID is already in use in another queue");
         }
         return true;
     }
     if (waiter != NULL) {
-        add_waiter(keeper, now_ms, waiter->number, submit->request_id,
+        add_waiter(self, now_ms, waiter->number, submit->request_id,
                    submit->job->id, submit->route->name, false);
         return true;
     }
@@ -96,18 +95,18 @@
 /* An entry that is shutting down assigns new jobs to another entry, if one can
  * take them. */
 static lc_node
-choose_owner(const Keeper *keeper, int64_t now_ms)
+choose_owner(const Keeper *self, int64_t now_ms)
 {
     lc_node other = {0, 0};
 
-    if (keeper->leaving) {
-        other = DurableTakeover_PickSuccessor(keeper, now_ms);
+    if (self->leaving) {
+        other = DurableTakeover_PickSuccessor(self, now_ms);
     }
-    return other.incarnation != 0 ? other : keeper->node;
+    return other.incarnation != 0 ? other : self->node;
 }
 
 static uint64_t
-put_submit(Keeper *keeper, const Keeper_Submit *submit, lc_node owner)
+put_submit(Keeper *self, const Keeper_Submit *submit, lc_node owner)
 {
     lc_kept_record record = {.job = submit->job->id};
     lc_kept_submit *body = &record.body.lc_kept_body_u.submit;
@@ -117,42 +116,42 @@
     body->owner = owner;
     body->queue = submit->route->name;
     body->body = (char *)(uintptr_t)submit->body;
-    DurableLog_SubmitKey(submit->job->id, keeper->node, key);
-    return DurableJobs_Put(keeper, key, &record);
+    DurableLog_SubmitKey(submit->job->id, self->node, key);
+    return DurableJobs_Put(self, key, &record);
 }
 
 void
-Keeper_OnSubmit(Keeper *keeper, int64_t now_ms, const Keeper_Submit *submit)
+Keeper_OnSubmit(Keeper *self, int64_t now_ms, const Keeper_Submit *submit)
 {
     Status status = {ERR_OK, ""};
     uint64_t number;
 
-    if (answer_if_known(keeper, now_ms, submit)) {
+    if (answer_if_known(self, now_ms, submit)) {
         return;
     }
-    if (DurableCaller_IsLogDown(keeper, now_ms)) {
+    if (DurableCaller_IsLogDown(self, now_ms)) {
         Err_Set(&status, ERR_LOG_DOWN, "the store does not answer");
     }
-    else if (DurableLog_OpenCount(keeper->log) + keeper->waiters->len >=
-             keeper->config.max_jobs) {
+    else if (DurableLog_OpenCount(self->log) + self->waiters->len >=
+             self->config.max_jobs) {
         Err_Set(&status, ERR_QUEUE_FULL, "%u kept jobs are open",
-                DurableLog_OpenCount(keeper->log));
+                DurableLog_OpenCount(self->log));
     }
     else {
         Route_Check(submit->route, submit->job, &status);
     }
     if (status.kind != ERR_OK) {
-        answer(keeper, submit->request_id, DISPATCHER_NOT_RUN, status.kind,
+        answer(self, submit->request_id, DISPATCHER_NOT_RUN, status.kind,
                status.message);
         return;
     }
-    number = put_submit(keeper, submit, choose_owner(keeper, now_ms));
-    add_waiter(keeper, now_ms, number, submit->request_id, submit->job->id,
+    number = put_submit(self, submit, choose_owner(self, now_ms));
+    add_waiter(self, now_ms, number, submit->request_id, submit->job->id,
                submit->route->name, false);
 }
 
 static uint64_t
-put_cancel(Keeper *keeper, uint64_t job, const char *queue)
+put_cancel(Keeper *self, uint64_t job, const char *queue)
 {
     lc_kept_record record = {.job = job};
     char key[DURABLE_LOG_KEY_SIZE];
@@ -160,59 +159,59 @@
     record.body.kind = LC_KEPT_CANCEL;
     record.body.lc_kept_body_u.queue = (char *)(uintptr_t)queue;
     DurableLog_CancelKey(job, key);
-    return DurableJobs_Put(keeper, key, &record);
+    return DurableJobs_Put(self, key, &record);
 }
 
 bool
-Keeper_OnCancel(Keeper *keeper, int64_t now_ms, uint64_t request, uint64_t id,
+Keeper_OnCancel(Keeper *self, int64_t now_ms, uint64_t request, uint64_t id,
                 const char *queue)
 {
-    const DurableLog_Job *job = DurableLog_Find(keeper->log, id);
+    const DurableLog_Job *job = DurableLog_Find(self->log, id);
 
     if ((job == NULL || strcmp(job->queue, queue) != 0) &&
-        find_submit_waiter(keeper, id) == NULL) {
+        find_submit_waiter(self, id) == NULL) {
         return false;
     }
     if (job != NULL && (job->outcome != LC_KEPT_OPEN || job->cancelled)) {
-        answer(keeper, request, DISPATCHER_CANCELLED, ERR_OK, "");
+        answer(self, request, DISPATCHER_CANCELLED, ERR_OK, "");
         return true;
     }
-    add_waiter(keeper, now_ms, put_cancel(keeper, id, queue), request, id,
-               queue, true);
+    add_waiter(self, now_ms, put_cancel(self, id, queue), request, id, queue,
+               true);
     return true;
 }
 
 void
-Keeper_CancelUnknown(Keeper *keeper, int64_t now_ms, uint64_t request,
+Keeper_CancelUnknown(Keeper *self, int64_t now_ms, uint64_t request,
                      uint64_t id, const char *queue)
 {
-    add_waiter(keeper, now_ms, UINT64_MAX, request, id, queue, true);
+    add_waiter(self, now_ms, UINT64_MAX, request, id, queue, true);
 }
 
 static void
-remove_state_query(Keeper *keeper, guint index)
+remove_state_query(Keeper *self, guint index)
 {
-    g_free(g_array_index(keeper->state_queries, DurableJobs_StateQuery, index)
+    g_free(g_array_index(self->state_queries, DurableJobs_StateQuery, index)
                .queue);
-    g_array_remove_index_fast(keeper->state_queries, index);
+    g_array_remove_index_fast(self->state_queries, index);
 }
 
 void
-Keeper_OnCallerGone(Keeper *keeper, uint64_t request)
+Keeper_OnCallerGone(Keeper *self, uint64_t request)
 {
     guint i;
 
-    for (i = 0; i < keeper->waiters->len; i++) {
-        DurableJobs_Waiter *waiter = &g_array_index(keeper->waiters,
+    for (i = 0; i < self->waiters->len; i++) {
+        DurableJobs_Waiter *waiter = &g_array_index(self->waiters,
                                                     DurableJobs_Waiter, i);
         if (waiter->request == request) {
             waiter->request = 0;
         }
     }
-    for (i = 0; i < keeper->state_queries->len; i++) {
-        if (g_array_index(keeper->state_queries, DurableJobs_StateQuery, i)
+    for (i = 0; i < self->state_queries->len; i++) {
+        if (g_array_index(self->state_queries, DurableJobs_StateQuery, i)
                 .request == request) {
-            remove_state_query(keeper, i);
+            remove_state_query(self, i);
             return;
         }
     }
@@ -220,22 +219,22 @@
 
 /* Judged by progress records and by the local dispatcher. */
 static bool
-has_started(const Keeper *keeper, const DurableLog_Job *job)
+has_started(const Keeper *self, const DurableLog_Job *job)
 {
     bool started = true; /* for an owned job that the dispatcher has ended */
 
     if (job->writers->len > 0) {
         return true;
     }
-    if (!g_hash_table_contains(keeper->jobs, &job->id)) {
+    if (!g_hash_table_contains(self->jobs, &job->id)) {
         return false;
     }
-    Dispatcher_Look(keeper->dispatcher, job->id, job->queue, &started);
+    Dispatcher_Look(self->dispatcher, job->id, job->queue, &started);
     return started;
 }
 
 static Keeper_State
-state_of(const Keeper *keeper, const DurableLog_Job *job)
+state_of(const Keeper *self, const DurableLog_Job *job)
 {
     static const Keeper_State states[] = {
         [LC_KEPT_OPEN] = KEEPER_PENDING,
@@ -246,88 +245,87 @@
     if (job->outcome == LC_KEPT_OPEN && job->cancelled) {
         return KEEPER_CANCELLED;
     }
-    if (job->outcome == LC_KEPT_OPEN && has_started(keeper, job)) {
+    if (job->outcome == LC_KEPT_OPEN && has_started(self, job)) {
         return KEEPER_RUNNING;
     }
     return states[job->outcome];
 }
 
 Keeper_State
-Keeper_Look(const Keeper *keeper, int64_t now_ms, uint64_t id,
-            const char *queue)
+Keeper_Look(const Keeper *self, int64_t now_ms, uint64_t id, const char *queue)
 {
-    const DurableLog_Job *job = DurableLog_Find(keeper->log, id);
+    const DurableLog_Job *job = DurableLog_Find(self->log, id);
 
     if (job != NULL && strcmp(job->queue, queue) == 0 &&
         (job->submitted || job->outcome != LC_KEPT_OPEN)) {
-        return state_of(keeper, job);
+        return state_of(self, job);
     }
-    if (find_submit_waiter(keeper, id) != NULL) {
+    if (find_submit_waiter(self, id) != NULL) {
         return KEEPER_PENDING;
     }
-    return DurableCaller_IsLogDown(keeper, now_ms) ? KEEPER_STALE
-                                                   : KEEPER_UNKNOWN;
+    return DurableCaller_IsLogDown(self, now_ms) ? KEEPER_STALE
+                                                 : KEEPER_UNKNOWN;
 }
 
 void
-Keeper_OnLook(Keeper *keeper, int64_t now_ms, uint64_t request, uint64_t id,
+Keeper_OnLook(Keeper *self, int64_t now_ms, uint64_t request, uint64_t id,
               const char *queue)
 {
-    Keeper_State state = Keeper_Look(keeper, now_ms, id, queue);
+    Keeper_State state = Keeper_Look(self, now_ms, id, queue);
     DurableJobs_StateQuery query = {.request = request,
                                     .job = id,
                                     .until_ms = now_ms + STATE_QUERY_WAIT_MS};
 
     if (state != KEEPER_PENDING && state != KEEPER_RUNNING) {
-        keeper->ports->answer_state(keeper->context, request, state);
+        self->ports->answer_state(self->context, request, state);
         return;
     }
     query.queue = g_strdup(queue);
-    g_array_append_val(keeper->state_queries, query);
+    g_array_append_val(self->state_queries, query);
 }
 
 void
-DurableCaller_AnswerStateQueries(Keeper *keeper, int64_t now_ms)
+DurableCaller_AnswerStateQueries(Keeper *self, int64_t now_ms)
 {
     guint i = 0;
 
-    while (i < keeper->state_queries->len) {
+    while (i < self->state_queries->len) {
         const DurableJobs_StateQuery *query = &g_array_index(
-            keeper->state_queries, DurableJobs_StateQuery, i);
-        Keeper_State state = Keeper_Look(keeper, now_ms, query->job,
+            self->state_queries, DurableJobs_StateQuery, i);
+        Keeper_State state = Keeper_Look(self, now_ms, query->job,
                                          query->queue);
         if ((state == KEEPER_PENDING || state == KEEPER_RUNNING) &&
             now_ms < query->until_ms) {
             i++;
             continue;
         }
-        keeper->ports->answer_state(keeper->context, query->request, state);
-        remove_state_query(keeper, i);
+        self->ports->answer_state(self->context, query->request, state);
+        remove_state_query(self, i);
     }
 }
 
 static bool
-is_waiting(const Keeper *keeper, const DurableLog_Job *job)
+is_waiting(const Keeper *self, const DurableLog_Job *job)
 {
-    lc_node owner = Kept_OwnerOf(keeper->log, job);
+    lc_node owner = Kept_OwnerOf(self->log, job);
 
-    return Msg_SameNode(&owner, &keeper->node) && job->writers->len == 0 &&
-           !g_hash_table_contains(keeper->jobs, &job->id);
+    return Msg_SameNode(&owner, &self->node) && job->writers->len == 0 &&
+           !g_hash_table_contains(self->jobs, &job->id);
 }
 
 void
-Keeper_AddWaiting(const Keeper *keeper, QueueCounts *counts)
+Keeper_AddWaiting(const Keeper *self, QueueCounts *counts)
 {
     GPtrArray *open;
     guint i;
 
-    if (!keeper->has_unstarted && keeper->recoveries->len == 0) {
+    if (!self->has_unstarted && self->recoveries->len == 0) {
         return;
     }
-    open = DurableLog_OpenJobs(keeper->log);
+    open = DurableLog_OpenJobs(self->log);
     for (i = 0; i < open->len; i++) {
         const DurableLog_Job *job = g_ptr_array_index(open, i);
-        if (is_waiting(keeper, job)) {
+        if (is_waiting(self, job)) {
             QueueCounts_Add(counts, job->queue);
         }
     }
@@ -335,72 +333,72 @@
 }
 
 static void
-remove_waiter(Keeper *keeper, guint index)
+remove_waiter(Keeper *self, guint index)
 {
-    g_free(g_array_index(keeper->waiters, DurableJobs_Waiter, index).queue);
-    g_array_remove_index(keeper->waiters, index);
+    g_free(g_array_index(self->waiters, DurableJobs_Waiter, index).queue);
+    g_array_remove_index(self->waiters, index);
 }
 
 void
-DurableCaller_OnLogRead(Keeper *keeper, int64_t now_ms)
+DurableCaller_OnLogRead(Keeper *self, int64_t now_ms)
 {
     guint i = 0;
 
-    while (i < keeper->waiters->len) {
-        DurableJobs_Waiter waiter = g_array_index(keeper->waiters,
+    while (i < self->waiters->len) {
+        DurableJobs_Waiter waiter = g_array_index(self->waiters,
                                                   DurableJobs_Waiter, i);
         if (waiter.number != UINT64_MAX ||
-            keeper->log_read_ms <= waiter.asked_ms) {
+            self->log_read_ms <= waiter.asked_ms) {
             i++;
             continue;
         }
-        g_array_remove_index(keeper->waiters, i);
+        g_array_remove_index(self->waiters, i);
         if (waiter.request != 0 &&
-            !Keeper_OnCancel(keeper, now_ms, waiter.request, waiter.job,
+            !Keeper_OnCancel(self, now_ms, waiter.request, waiter.job,
                              waiter.queue)) {
-            keeper->ports->answer_state(keeper->context, waiter.request,
-                                        KEEPER_UNKNOWN);
+            self->ports->answer_state(self->context, waiter.request,
+                                      KEEPER_UNKNOWN);
         }
         g_free(waiter.queue);
     }
 }
 
 void
-Keeper_OnWritten(Keeper *keeper, int64_t now_ms, uint64_t number)
+Keeper_OnWritten(Keeper *self, int64_t now_ms, uint64_t number)
 {
     guint i = 0;
 
     (void)now_ms;
-    keeper->written = MAX(keeper->written, number);
-    while (i < keeper->waiters->len) {
-        DurableJobs_Waiter *waiter = &g_array_index(keeper->waiters,
+    self->written = MAX(self->written, number);
+    while (i < self->waiters->len) {
+        DurableJobs_Waiter *waiter = &g_array_index(self->waiters,
                                                     DurableJobs_Waiter, i);
         if (waiter->number > number) {
             i++;
             continue;
         }
         if (waiter->request != 0) {
-            answer(keeper, waiter->request,
+            answer(self, waiter->request,
                    waiter->cancels ? DISPATCHER_CANCELLED : DISPATCHER_KEPT,
                    ERR_OK, "");
         }
-        remove_waiter(keeper, i);
+        remove_waiter(self, i);
     }
-    DurableOwned_SendReleases(keeper);
+    DurableOwned_SendReleases(self);
 }
 
 /* The record may still be written, so the caller gets an indefinite answer.
  * The waiter stays, and the job is known here as pending, until then. */
 void
-DurableCaller_ExpireWaiters(Keeper *keeper, int64_t now_ms)
+DurableCaller_ExpireWaiters(Keeper *self, int64_t now_ms)
 {
     guint i;
 
-    for (i = 0; i < keeper->waiters->len; i++) {
-        DurableJobs_Waiter *waiter = &g_array_index(keeper->waiters,
+    for (i = 0; i < self->waiters->len; i++) {
+        DurableJobs_Waiter *waiter = &g_array_index(self->waiters,
                                                     DurableJobs_Waiter, i);
         if (waiter->request != 0 && now_ms >= waiter->until_ms) {
-            answer(keeper, waiter->request, DISPATCHER_GIVEN_UP, ERR_LOG_DOWN,
+            answer(self, waiter->request, DISPATCHER_GIVEN_UP, ERR_LOG_DOWN,
                    "the store did not confirm the write in time");
             waiter->request = 0;
         }
--- a/lease/keeper_jobs.c
+++ b/lease/keeper_jobs.c
@@ -15,7 +15,7 @@
 }
 
 static DurableJobs_OwnJob *
-add_own_job(Keeper *keeper, const DurableLog_Job *job)
+add_own_job(Keeper *self, const DurableLog_Job *job)
 {
     DurableJobs_OwnJob *row = g_new0(DurableJobs_OwnJob, 1);
 
@@ -24,33 +24,33 @@
     g_byte_array_append(row->done, job->done->data, job->done->len);
     row->failures = g_array_copy(job->failures);
     row->ends = g_array_new(FALSE, TRUE, sizeof(DurableJobs_RunEnd));
-    g_hash_table_insert(keeper->jobs, &row->id, row);
+    g_hash_table_insert(self->jobs, &row->id, row);
     return row;
 }
 
 static void
-mark_changed(Keeper *keeper, DurableJobs_OwnJob *row)
+mark_changed(Keeper *self, DurableJobs_OwnJob *row)
 {
-    g_hash_table_add(keeper->changed, &row->id);
+    g_hash_table_add(self->changed, &row->id);
 }
 
 void
-DurableOwned_Remove(Keeper *keeper, DurableJobs_OwnJob *row)
+DurableOwned_Remove(Keeper *self, DurableJobs_OwnJob *row)
 {
     guint i;
 
     for (i = 0; i < row->ends->len; i++) {
         DurableOwned_QueueRelease(
-            keeper, &g_array_index(row->ends, DurableJobs_RunEnd, i));
+            self, &g_array_index(row->ends, DurableJobs_RunEnd, i));
     }
-    g_hash_table_remove(keeper->changed, &row->id);
-    g_hash_table_remove(keeper->jobs, &row->id);
+    g_hash_table_remove(self->changed, &row->id);
+    g_hash_table_remove(self->jobs, &row->id);
 }
 
 void
-DurableOwned_PutProgress(Keeper *keeper, const DurableJobs_OwnJob *row)
+DurableOwned_PutProgress(Keeper *self, const DurableJobs_OwnJob *row)
 {
-    const DurableLog_Job *job = DurableLog_Find(keeper->log, row->id);
+    const DurableLog_Job *job = DurableLog_Find(self->log, row->id);
     lc_kept_record record = {.job = row->id};
     lc_kept_progress *progress = &record.body.lc_kept_body_u.progress;
     char key[DURABLE_LOG_KEY_SIZE];
@@ -65,13 +65,13 @@
     progress->failures.failures_val =
         (lc_kept_failures *)(void *)row->failures->data;
     progress->failures.failures_len = row->failures->len;
-    DurableLog_ProgressKey(row->id, keeper->node, key);
-    number = DurableJobs_Put(keeper, key, &record);
+    DurableLog_ProgressKey(row->id, self->node, key);
+    number = DurableJobs_Put(self, key, &record);
     for (i = 0; i < row->ends->len; i++) {
         DurableJobs_RunEnd end = g_array_index(row->ends, DurableJobs_RunEnd,
                                                i);
         end.number = number;
-        g_array_append_val(keeper->ends, end);
+        g_array_append_val(self->ends, end);
     }
     g_array_set_size(row->ends, 0);
 }
@@ -95,14 +95,14 @@
 }
 
 void
-Keeper_OnRunEnd(Keeper *keeper, const lc_run_id *id, uint32_t task,
-                lc_node host, bool done)
+Keeper_OnRunEnd(Keeper *self, const lc_run_id *id, uint32_t task, lc_node host,
+                bool done)
 {
-    DurableJobs_OwnJob *row = g_hash_table_lookup(keeper->jobs, &id->job);
+    DurableJobs_OwnJob *row = g_hash_table_lookup(self->jobs, &id->job);
     DurableJobs_RunEnd end = {.host = host, .run = *id};
 
     if (task == DURABLE_JOBS_NO_TASK) {
-        DurableOwned_QueueRelease(keeper, &end);
+        DurableOwned_QueueRelease(self, &end);
         return;
     }
     if (row == NULL) {
@@ -115,24 +115,24 @@
         add_failure(row, task, id->run);
     }
     g_array_append_val(row->ends, end);
-    mark_changed(keeper, row);
+    mark_changed(self, row);
 }
 
 void
-Keeper_OnCrash(Keeper *keeper, const lc_run_id *id, uint32_t task)
+Keeper_OnCrash(Keeper *self, const lc_run_id *id, uint32_t task)
 {
-    DurableJobs_OwnJob *row = g_hash_table_lookup(keeper->jobs, &id->job);
+    DurableJobs_OwnJob *row = g_hash_table_lookup(self->jobs, &id->job);
 
     if (row != NULL) {
         add_failure(row, task | KEPT_CRASHES, id->run);
-        mark_changed(keeper, row);
+        mark_changed(self, row);
     }
 }
 
 void
-Keeper_OnJobOver(Keeper *keeper, uint64_t job, Dispatcher_Outcome outcome)
+Keeper_OnJobOver(Keeper *self, uint64_t job, Dispatcher_Outcome outcome)
 {
-    DurableJobs_OwnJob *row = g_hash_table_lookup(keeper->jobs, &job);
+    DurableJobs_OwnJob *row = g_hash_table_lookup(self->jobs, &job);
 
     if (row == NULL || row->written) {
         return;
@@ -148,11 +148,11 @@
         row->outcome = LC_KEPT_FAILED;
         break;
     }
-    mark_changed(keeper, row);
+    mark_changed(self, row);
 }
 
 static void
-send_release(Keeper *keeper, lc_node host, GArray *ends)
+send_release(Keeper *self, lc_node host, GArray *ends)
 {
     DurableJobs_Call *pending = g_new0(DurableJobs_Call, 1);
     Msg_Call call = {.kind = MSG_RELEASE};
@@ -168,35 +168,35 @@
     pending->kind = MSG_RELEASE;
     pending->host = host;
     pending->ends = g_array_ref(ends);
-    keeper->ports->call(keeper->context, host.address,
-                        Handle_Add(keeper->calls, pending), &call);
+    self->ports->call(self->context, host.address,
+                      Handle_Add(self->calls, pending), &call);
     g_free(runs);
 }
 
 void
-DurableOwned_QueueRelease(Keeper *keeper, const DurableJobs_RunEnd *end)
+DurableOwned_QueueRelease(Keeper *self, const DurableJobs_RunEnd *end)
 {
     DurableJobs_RunEnd written = *end;
 
     written.number = 0;
-    g_array_append_val(keeper->ends, written);
+    g_array_append_val(self->ends, written);
 }
 
 /* Removes the written ends at one companion from the list, one page at most.
  */
 static GArray *
-take_written_ends_at(Keeper *keeper, lc_node host)
+take_written_ends_at(Keeper *self, lc_node host)
 {
     GArray *taken = g_array_new(FALSE, TRUE, sizeof(DurableJobs_RunEnd));
     guint i = 0;
 
-    while (i < keeper->ends->len) {
-        DurableJobs_RunEnd *end = &g_array_index(keeper->ends,
+    while (i < self->ends->len) {
+        DurableJobs_RunEnd *end = &g_array_index(self->ends,
                                                  DurableJobs_RunEnd, i);
-        if (end->number <= keeper->written &&
-            Msg_SameNode(&end->host, &host) && taken->len < LC_MAX_PAGE) {
+        if (end->number <= self->written && Msg_SameNode(&end->host, &host) &&
+            taken->len < LC_MAX_PAGE) {
             g_array_append_val(taken, *end);
-            g_array_remove_index_fast(keeper->ends, i);
+            g_array_remove_index_fast(self->ends, i);
         }
         else {
             i++;
@@ -206,20 +206,20 @@
 }
 
 void
-DurableOwned_SendReleases(Keeper *keeper)
+DurableOwned_SendReleases(Keeper *self)
 {
     guint i = 0;
 
-    while (i < keeper->ends->len) {
-        DurableJobs_RunEnd end = g_array_index(keeper->ends,
-                                               DurableJobs_RunEnd, i);
+    while (i < self->ends->len) {
+        DurableJobs_RunEnd end = g_array_index(self->ends, DurableJobs_RunEnd,
+                                               i);
         GArray *ends;
-        if (end.number > keeper->written) {
+        if (end.number > self->written) {
             i++;
             continue;
         }
-        ends = take_written_ends_at(keeper, end.host);
-        send_release(keeper, end.host, ends);
+        ends = take_written_ends_at(self, end.host);
+        send_release(self, end.host, ends);
         g_array_unref(ends);
         i = 0;
     }
@@ -228,23 +228,23 @@
 /* If the companion was not reached, its ends are queued again, unless it has
  * restarted: the next incarnation reports the ends that it finds. */
 void
-DurableOwned_OnReleaseReply(Keeper *keeper, const DurableJobs_Call *call,
+DurableOwned_OnReleaseReply(Keeper *self, const DurableJobs_Call *call,
                             bool taken)
 {
-    const Fleet_Host *host = Dispatcher_Host(keeper->dispatcher,
+    const Fleet_Host *host = Dispatcher_Host(self->dispatcher,
                                              call->host.address);
 
     if (taken || host == NULL ||
         host->node.incarnation != call->host.incarnation) {
         return;
     }
-    g_array_append_vals(keeper->ends, call->ends->data, call->ends->len);
+    g_array_append_vals(self->ends, call->ends->data, call->ends->len);
 }
 
 /* Adopts the runs of a job that companions hold: ends are recorded, active
  * runs are passed to the dispatcher. */
 static void
-adopt_found_runs(Keeper *keeper, DurableJobs_OwnJob *row, const LeasedJob *job,
+adopt_found_runs(Keeper *self, DurableJobs_OwnJob *row, const LeasedJob *job,
                  const DurableJobs_Recovery *recovery, GArray *runs)
 {
     guint i;
@@ -261,27 +261,26 @@
             g_array_append_val(runs, place);
             continue;
         }
-        Keeper_OnRunEnd(keeper, id, LeasedJob_EndNumber(job, id), found->host,
+        Keeper_OnRunEnd(self, id, LeasedJob_EndNumber(job, id), found->host,
                         found->run.status == LC_RUN_DONE);
     }
 }
 
 static void
-write_outcome(Keeper *keeper, const DurableLog_Job *job,
-              lc_kept_outcome outcome)
+write_outcome(Keeper *self, const DurableLog_Job *job, lc_kept_outcome outcome)
 {
-    DurableJobs_OwnJob *row = add_own_job(keeper, job);
+    DurableJobs_OwnJob *row = add_own_job(self, job);
 
     row->outcome = outcome;
-    mark_changed(keeper, row);
+    mark_changed(self, row);
 }
 
 void
-DurableOwned_Start(Keeper *keeper, int64_t now_ms, DurableLog_Job *job,
+DurableOwned_Start(Keeper *self, int64_t now_ms, DurableLog_Job *job,
                    const DurableJobs_Recovery *recovery)
 {
-    const Route *route = keeper->ports->route(keeper->context, job->queue);
-    uint32_t generation = DurableLog_TakeoverCount(keeper->log, job);
+    const Route *route = self->ports->route(self->context, job->queue);
+    uint32_t generation = DurableLog_TakeoverCount(self->log, job);
     Dispatcher_Kept start = {.route = route,
                              .run_base = RUN_ID_KEPT_BASE +
                                          generation * RUN_ID_OWNER_STEP};
@@ -290,53 +289,53 @@
     GArray *runs;
 
     if (job->cancelled && (recovery == NULL || route == NULL)) {
-        write_outcome(keeper, job, LC_KEPT_CANCELLED);
+        write_outcome(self, job, LC_KEPT_CANCELLED);
         return;
     }
     if (route == NULL) {
-        keeper->has_unstarted = true; /* until the queue exists again */
+        self->has_unstarted = true; /* until the queue exists again */
         return;
     }
-    if (keeper->ports->parse(keeper->context, job->id, job->body, &start.job,
-                             &status) != ERR_OK) {
-        keeper->ports->event(keeper->context, EVENT_KEPT_BAD, status.message);
-        write_outcome(keeper, job, LC_KEPT_FAILED);
+    if (self->ports->parse(self->context, job->id, job->body, &start.job,
+                           &status) != ERR_OK) {
+        self->ports->event(self->context, EVENT_KEPT_BAD, status.message);
+        write_outcome(self, job, LC_KEPT_FAILED);
         return;
     }
     runs = g_array_new(FALSE, TRUE, sizeof(Dispatcher_Placement));
-    row = add_own_job(keeper, job);
-    adopt_found_runs(keeper, row, &start.job, recovery, runs);
+    row = add_own_job(self, job);
+    adopt_found_runs(self, row, &start.job, recovery, runs);
     start.runs = runs;
     start.done = row->done;
     start.failures = row->failures;
-    Dispatcher_AddKept(keeper->dispatcher, now_ms, &start);
+    Dispatcher_AddKept(self->dispatcher, now_ms, &start);
     g_array_unref(runs);
     if (job->cancelled) {
         /* Its active runs have to be stopped. */
-        Dispatcher_OnCancel(keeper->dispatcher, now_ms, job->id, job->queue);
+        Dispatcher_OnCancel(self->dispatcher, now_ms, job->id, job->queue);
     }
 }
 
 void
-DurableOwned_StartAll(Keeper *keeper, int64_t now_ms)
+DurableOwned_StartAll(Keeper *self, int64_t now_ms)
 {
     GPtrArray *open;
     guint i;
 
-    if (!keeper->has_unstarted) {
+    if (!self->has_unstarted) {
         return;
     }
-    keeper->has_unstarted = false;
-    open = DurableLog_OpenJobs(keeper->log);
+    self->has_unstarted = false;
+    open = DurableLog_OpenJobs(self->log);
     for (i = 0; i < open->len; i++) {
         DurableLog_Job *job = g_ptr_array_index(open, i);
-        lc_node owner = Kept_OwnerOf(keeper->log, job);
-        if (!Msg_SameNode(&owner, &keeper->node) ||
-            g_hash_table_contains(keeper->jobs, &job->id)) {
+        lc_node owner = Kept_OwnerOf(self->log, job);
+        if (!Msg_SameNode(&owner, &self->node) ||
+            g_hash_table_contains(self->jobs, &job->id)) {
             continue;
         }
-        if (DurableTakeover_RecoveryOf(keeper, job) == NULL) {
-            DurableOwned_Start(keeper, now_ms, job, NULL);
+        if (DurableTakeover_RecoveryOf(self, job) == NULL) {
+            DurableOwned_Start(self, now_ms, job, NULL);
         }
     }
     g_ptr_array_unref(open);
--- a/lease/keeper_owners.c
+++ b/lease/keeper_owners.c
@@ -27,13 +27,13 @@
 #define COMPANION_DEAD_MS 30000
 
 static DurableJobs_Peer *
-find_peer(const Keeper *keeper, Address address)
+find_peer(const Keeper *self, Address address)
 {
     guint i;
 
-    for (i = 0; i < keeper->peers->len; i++) {
-        DurableJobs_Peer *peer = &g_array_index(keeper->peers,
-                                                DurableJobs_Peer, i);
+    for (i = 0; i < self->peers->len; i++) {
+        DurableJobs_Peer *peer = &g_array_index(self->peers, DurableJobs_Peer,
+                                                i);
         if (peer->address == address) {
             return peer;
         }
@@ -43,16 +43,16 @@
 
 /* An entry that reports it cannot manage its jobs counts as silent at once. */
 void
-Keeper_OnPeer(Keeper *keeper, int64_t now_ms, Address address,
+Keeper_OnPeer(Keeper *self, int64_t now_ms, Address address,
               uint64_t owner_incarnation)
 {
-    DurableJobs_Peer *peer = find_peer(keeper, address);
+    DurableJobs_Peer *peer = find_peer(self, address);
     DurableJobs_Peer fresh = {.address = address};
 
     if (peer == NULL) {
-        g_array_append_val(keeper->peers, fresh);
-        peer = &g_array_index(keeper->peers, DurableJobs_Peer,
-                              keeper->peers->len - 1);
+        g_array_append_val(self->peers, fresh);
+        peer = &g_array_index(self->peers, DurableJobs_Peer,
+                              self->peers->len - 1);
     }
     peer->heard_ms = owner_incarnation == 0 ? now_ms - OWNER_TIMEOUT_MS
                                             : now_ms;
@@ -62,16 +62,15 @@
 }
 
 Address
-Keeper_SomePeer(const Keeper *keeper, int64_t now_ms)
+Keeper_SomePeer(const Keeper *self, int64_t now_ms)
 {
-    guint start = keeper->peers->len == 0
-                      ? 0
-                      : (guint)(now_ms % keeper->peers->len);
+    guint start = self->peers->len == 0 ? 0
+                                        : (guint)(now_ms % self->peers->len);
     guint i;
 
-    for (i = 0; i < keeper->peers->len; i++) {
+    for (i = 0; i < self->peers->len; i++) {
         const DurableJobs_Peer *peer = &g_array_index(
-            keeper->peers, DurableJobs_Peer, (start + i) % keeper->peers->len);
+            self->peers, DurableJobs_Peer, (start + i) % self->peers->len);
         if (now_ms - peer->heard_ms < OWNER_TIMEOUT_MS) {
             return peer->address;
         }
@@ -80,10 +79,10 @@
 }
 
 lc_node
-DurableTakeover_PickSuccessor(const Keeper *keeper, int64_t now_ms)
+DurableTakeover_PickSuccessor(const Keeper *self, int64_t now_ms)
 {
-    Address address = Keeper_SomePeer(keeper, now_ms);
-    const DurableJobs_Peer *peer = find_peer(keeper, address);
+    Address address = Keeper_SomePeer(self, now_ms);
+    const DurableJobs_Peer *peer = find_peer(self, address);
     lc_node other = {0, 0};
 
     if (peer != NULL) {
@@ -96,16 +95,16 @@
 /* Number of live entries whose turn to claim an owner comes before this one's.
  */
 static uint32_t
-claim_rank(const Keeper *keeper, int64_t now_ms)
+claim_rank(const Keeper *self, int64_t now_ms)
 {
     uint32_t before = 0;
     guint i;
 
-    for (i = 0; i < keeper->peers->len; i++) {
-        const DurableJobs_Peer *peer = &g_array_index(keeper->peers,
+    for (i = 0; i < self->peers->len; i++) {
+        const DurableJobs_Peer *peer = &g_array_index(self->peers,
                                                       DurableJobs_Peer, i);
         before += now_ms - peer->heard_ms < OWNER_TIMEOUT_MS &&
-                  peer->address < keeper->node.address;
+                  peer->address < self->node.address;
     }
     return before;
 }
@@ -113,22 +112,22 @@
 /* When an owner of open jobs was first seen in the log, or last wrote to it:
  * it may have changed its identity and not yet announced the new one. */
 static int64_t
-owner_seen_ms(Keeper *keeper, int64_t now_ms, const lc_node *owner)
+owner_seen_ms(Keeper *self, int64_t now_ms, const lc_node *owner)
 {
     DurableJobs_SeenOwner fresh = {*owner, now_ms};
     guint i;
 
-    for (i = 0; i < keeper->seen_owners->len; i++) {
+    for (i = 0; i < self->seen_owners->len; i++) {
         const DurableJobs_SeenOwner *row = &g_array_index(
-            keeper->seen_owners, DurableJobs_SeenOwner, i);
+            self->seen_owners, DurableJobs_SeenOwner, i);
         if (Msg_SameNode(&row->owner, owner)) {
             return row->since_ms;
         }
     }
-    if (keeper->seen_owners->len >= MAX_SEEN_OWNERS) {
-        g_array_remove_index(keeper->seen_owners, 0);
+    if (self->seen_owners->len >= MAX_SEEN_OWNERS) {
+        g_array_remove_index(self->seen_owners, 0);
     }
-    g_array_append_val(keeper->seen_owners, fresh);
+    g_array_append_val(self->seen_owners, fresh);
     return now_ms;
 }
 
@@ -142,16 +141,16 @@
 }
 
 void
-DurableTakeover_OnOwnerRecord(Keeper *keeper, int64_t now_ms, lc_node writer)
+DurableTakeover_OnOwnerRecord(Keeper *self, int64_t now_ms, lc_node writer)
 {
     guint i;
 
-    if (is_writer(&keeper->node, &writer)) {
-        keeper->own_record_ms = now_ms;
+    if (is_writer(&self->node, &writer)) {
+        self->own_record_ms = now_ms;
         return;
     }
-    for (i = 0; i < keeper->seen_owners->len; i++) {
-        DurableJobs_SeenOwner *row = &g_array_index(keeper->seen_owners,
+    for (i = 0; i < self->seen_owners->len; i++) {
+        DurableJobs_SeenOwner *row = &g_array_index(self->seen_owners,
                                                     DurableJobs_SeenOwner, i);
         if (is_writer(&row->owner, &writer)) {
             row->since_ms = now_ms;
@@ -160,30 +159,30 @@
 }
 
 void
-DurableTakeover_PutHeartbeat(Keeper *keeper, int64_t now_ms)
+DurableTakeover_PutHeartbeat(Keeper *self, int64_t now_ms)
 {
     lc_kept_record record = {.job = 0};
     char key[DURABLE_LOG_KEY_SIZE];
 
-    if (g_hash_table_size(keeper->jobs) == 0 ||
-        now_ms - MAX(keeper->own_record_ms, keeper->heartbeat_ms) <
+    if (g_hash_table_size(self->jobs) == 0 ||
+        now_ms - MAX(self->own_record_ms, self->heartbeat_ms) <
             OWNER_HEARTBEAT_MS) {
         return;
     }
-    keeper->heartbeat_ms = now_ms;
+    self->heartbeat_ms = now_ms;
     record.body.kind = LC_KEPT_ALIVE;
-    record.body.lc_kept_body_u.alive = keeper->node;
-    DurableLog_HeartbeatKey(&keeper->node, key);
-    DurableJobs_Put(keeper, key, &record);
+    record.body.lc_kept_body_u.alive = self->node;
+    DurableLog_HeartbeatKey(&self->node, key);
+    DurableJobs_Put(self, key, &record);
 }
 
 static bool
-may_be_claimed(Keeper *keeper, int64_t now_ms, const lc_node *owner)
+may_be_claimed(Keeper *self, int64_t now_ms, const lc_node *owner)
 {
-    const DurableJobs_Peer *peer = find_peer(keeper, owner->address);
-    int64_t heard_ms = owner_seen_ms(keeper, now_ms, owner);
+    const DurableJobs_Peer *peer = find_peer(self, owner->address);
+    int64_t heard_ms = owner_seen_ms(self, now_ms, owner);
 
-    if (owner->address == keeper->node.address) {
+    if (owner->address == self->node.address) {
         return true; /* an earlier identity at this address */
     }
     if (peer != NULL && peer->owner_incarnation == owner->incarnation) {
@@ -191,11 +190,12 @@
     }
     return now_ms - heard_ms >=
            OWNER_TIMEOUT_MS +
-               (int64_t)claim_rank(keeper, now_ms) * CLAIM_STAGGER_MS;
+               (int64_t)claim_rank(self, now_ms) * CLAIM_STAGGER_MS;
 }
 
 void
-DurableTakeover_PutClaim(Keeper *keeper, int64_t now_ms, const lc_node *gone,
+DurableTakeover_PutClaim(Keeper *self, int64_t now_ms,
+                         const lc_node *claimed_owner,
                          const lc_node *successor)
 {
     lc_kept_record record = {.job = 0};
@@ -203,34 +203,34 @@
     char key[DURABLE_LOG_KEY_SIZE];
 
     record.body.kind = LC_KEPT_CLAIM;
-    claim->gone = *gone;
+    claim->gone = *claimed_owner;
     claim->successor = *successor;
-    DurableLog_ClaimKey(gone, keeper->node, key);
-    DurableJobs_Put(keeper, key, &record);
-    g_array_append_val(keeper->claims, *gone);
-    keeper->claimed_ms = now_ms;
+    DurableLog_ClaimKey(claimed_owner, self->node, key);
+    DurableJobs_Put(self, key, &record);
+    g_array_append_val(self->claims, *claimed_owner);
+    self->claimed_ms = now_ms;
 }
 
 void
-DurableTakeover_ClaimSilentOwners(Keeper *keeper, int64_t now_ms)
+DurableTakeover_ClaimSilentOwners(Keeper *self, int64_t now_ms)
 {
     GPtrArray *open;
     guint i;
 
-    if (now_ms - keeper->claimed_ms >= CLAIM_RETRY_MS) {
-        g_array_set_size(keeper->claims, 0);
+    if (now_ms - self->claimed_ms >= CLAIM_RETRY_MS) {
+        g_array_set_size(self->claims, 0);
     }
-    if (Keeper_Identity(keeper, now_ms) == 0 ||
-        now_ms - keeper->log_read_ms > CLAIM_MAX_LOG_AGE_MS) {
+    if (Keeper_Identity(self, now_ms) == 0 ||
+        now_ms - self->log_read_ms > CLAIM_MAX_LOG_AGE_MS) {
         return; /* this entry itself may have been claimed */
     }
-    open = DurableLog_OpenJobs(keeper->log);
+    open = DurableLog_OpenJobs(self->log);
     for (i = 0; i < open->len; i++) {
-        lc_node owner = Kept_OwnerOf(keeper->log, g_ptr_array_index(open, i));
-        if (!Msg_SameNode(&owner, &keeper->node) &&
-            !Msg_HasNode(keeper->claims, &owner) &&
-            may_be_claimed(keeper, now_ms, &owner)) {
-            DurableTakeover_PutClaim(keeper, now_ms, &owner, &keeper->node);
+        lc_node owner = Kept_OwnerOf(self->log, g_ptr_array_index(open, i));
+        if (!Msg_SameNode(&owner, &self->node) &&
+            !Msg_HasNode(self->claims, &owner) &&
+            may_be_claimed(self, now_ms, &owner)) {
+            DurableTakeover_PutClaim(self, now_ms, &owner, &self->node);
         }
     }
     g_ptr_array_unref(open);
@@ -246,51 +246,52 @@
 /* Another entry has claimed the jobs of this one. Their active runs continue
  * under the new owner; this entry continues under a new identity. */
 static void
-reset_identity(Keeper *keeper)
+reset_identity(Keeper *self)
 {
-    keeper->ports->event(keeper->context, EVENT_KEPT_LOST,
-                         "another entry has claimed the kept jobs of this "
-                         "one");
-    g_hash_table_remove_all(keeper->changed);
-    g_hash_table_remove_all(keeper->jobs);
-    keeper->node.incarnation++;
-    Dispatcher_OwnKept(keeper->dispatcher, keeper->node.incarnation);
+    self->ports->event(self->context, EVENT_KEPT_LOST,
+                       "another entry has claimed the kept jobs of this "
+                       "one");
+    g_hash_table_remove_all(self->changed);
+    g_hash_table_remove_all(self->jobs);
+    self->node.incarnation++;
+    Dispatcher_OwnKept(self->dispatcher, self->node.incarnation);
 }
 
 void
-DurableTakeover_OnClaim(Keeper *keeper, int64_t now_ms, lc_node gone,
+DurableTakeover_OnClaim(Keeper *self, int64_t now_ms, lc_node claimed_owner,
                         lc_node successor)
 {
-    DurableJobs_Recovery recovery = {.gone = gone, .claimed_ms = now_ms};
+    DurableJobs_Recovery recovery = {.claimed_owner = claimed_owner,
+                                     .claimed_ms = now_ms};
 
-    if (Msg_SameNode(&gone, &keeper->node)) {
-        reset_identity(keeper);
+    if (Msg_SameNode(&claimed_owner, &self->node)) {
+        reset_identity(self);
         return;
     }
-    if (!Msg_SameNode(&successor, &keeper->node)) {
+    if (!Msg_SameNode(&successor, &self->node)) {
         return;
     }
-    keeper->ports->event(keeper->context, EVENT_KEPT_CLAIMED,
-                         Address_Text(gone.address));
+    self->ports->event(self->context, EVENT_KEPT_CLAIMED,
+                       Address_Text(claimed_owner.address));
     recovery.fenced = g_array_new(FALSE, TRUE, sizeof(lc_node));
     recovery.runs = g_array_new(FALSE, TRUE, sizeof(DurableJobs_FoundRun));
-    g_array_append_val(keeper->recoveries, recovery);
-    keeper->has_unstarted = true;
-    DurableTakeover_AdvanceRecoveries(keeper, now_ms);
+    g_array_append_val(self->recoveries, recovery);
+    self->has_unstarted = true;
+    DurableTakeover_AdvanceRecoveries(self, now_ms);
 }
 
 const DurableJobs_Recovery *
-DurableTakeover_RecoveryOf(const Keeper *keeper, const DurableLog_Job *job)
+DurableTakeover_RecoveryOf(const Keeper *self, const DurableLog_Job *job)
 {
     guint i;
 
-    if (Msg_SameNode(&job->owner, &keeper->node)) {
+    if (Msg_SameNode(&job->owner, &self->node)) {
         return NULL;
     }
-    for (i = keeper->recoveries->len; i > 0; i--) {
+    for (i = self->recoveries->len; i > 0; i--) {
         const DurableJobs_Recovery *recovery = &g_array_index(
-            keeper->recoveries, DurableJobs_Recovery, i - 1);
-        if (DurableLog_HasOwned(keeper->log, job, &recovery->gone)) {
+            self->recoveries, DurableJobs_Recovery, i - 1);
+        if (DurableLog_HasOwned(self->log, job, &recovery->claimed_owner)) {
             return recovery;
         }
     }
@@ -298,7 +299,7 @@
 }
 
 void
-DurableTakeover_SendFence(Keeper *keeper, lc_node host, lc_node gone)
+DurableTakeover_SendFence(Keeper *self, lc_node host, lc_node claimed_owner)
 {
     DurableJobs_Call *pending = g_new0(DurableJobs_Call, 1);
     Msg_Call call = {.kind = MSG_FENCE};
@@ -306,30 +307,30 @@
 
     pending->kind = MSG_FENCE;
     pending->host = host;
-    pending->gone = gone;
-    predecessors = gone.incarnation == 0
+    pending->claimed_owner = claimed_owner;
+    predecessors = claimed_owner.incarnation == 0
                        ? g_array_new(FALSE, TRUE, sizeof(lc_node))
-                       : DurableLog_Predecessors(keeper->log, &gone);
+                       : DurableLog_Predecessors(self->log, &claimed_owner);
     call.u.fence.target = host.incarnation;
     call.u.fence.gone.gone_len = predecessors->len;
     call.u.fence.gone.gone_val = (lc_node *)(void *)predecessors->data;
-    call.u.fence.successor = keeper->node;
-    keeper->ports->call(keeper->context, host.address,
-                        Handle_Add(keeper->calls, pending), &call);
+    call.u.fence.successor = self->node;
+    self->ports->call(self->context, host.address,
+                      Handle_Add(self->calls, pending), &call);
     g_array_unref(predecessors);
 }
 
 static bool
-is_fence_pending(const Keeper *keeper, const lc_node *host,
-                 const lc_node *gone)
+is_fence_pending(const Keeper *self, const lc_node *host,
+                 const lc_node *claimed_owner)
 {
     uint32_t i;
 
-    for (i = 0; i < Handle_Size(keeper->calls); i++) {
-        const DurableJobs_Call *call = Handle_At(keeper->calls, i);
+    for (i = 0; i < Handle_Size(self->calls); i++) {
+        const DurableJobs_Call *call = Handle_At(self->calls, i);
         if (call != NULL && call->kind == MSG_FENCE &&
             Msg_SameNode(&call->host, host) &&
-            Msg_SameNode(&call->gone, gone)) {
+            Msg_SameNode(&call->claimed_owner, claimed_owner)) {
             return true;
         }
     }
@@ -339,11 +340,11 @@
 /* Sends a FENCE to companions that have not answered; returns whether all
  * have. */
 static bool
-fence_companions(Keeper *keeper, int64_t now_ms,
+fence_companions(Keeper *self, int64_t now_ms,
                  const DurableJobs_Recovery *recovery)
 {
-    const Fleet *fleet = Dispatcher_Fleet(keeper->dispatcher);
-    int64_t since_ms = MAX(keeper->started_ms, keeper->all_reports_since_ms);
+    const Fleet *fleet = Dispatcher_Fleet(self->dispatcher);
+    int64_t since_ms = MAX(self->started_ms, self->all_reports_since_ms);
     bool all = now_ms - since_ms >= COMPANIONS_REPORTED_MS;
     guint i;
 
@@ -355,62 +356,63 @@
         }
         all = false;
         if (Choice_IsHeard(host, now_ms) &&
-            !is_fence_pending(keeper, &host->node, &recovery->gone)) {
-            DurableTakeover_SendFence(keeper, host->node, recovery->gone);
+            !is_fence_pending(self, &host->node, &recovery->claimed_owner)) {
+            DurableTakeover_SendFence(self, host->node,
+                                      recovery->claimed_owner);
         }
     }
     return all;
 }
 
 static void
-start_recovered(Keeper *keeper, int64_t now_ms,
+start_recovered(Keeper *self, int64_t now_ms,
                 const DurableJobs_Recovery *recovery)
 {
-    GPtrArray *open = DurableLog_OpenJobs(keeper->log);
+    GPtrArray *open = DurableLog_OpenJobs(self->log);
     guint i;
 
     for (i = 0; i < open->len; i++) {
         DurableLog_Job *job = g_ptr_array_index(open, i);
-        lc_node owner = Kept_OwnerOf(keeper->log, job);
-        if (Msg_SameNode(&owner, &keeper->node) &&
-            !g_hash_table_contains(keeper->jobs, &job->id) &&
-            DurableTakeover_RecoveryOf(keeper, job) == recovery) {
-            DurableOwned_Start(keeper, now_ms, job, recovery);
+        lc_node owner = Kept_OwnerOf(self->log, job);
+        if (Msg_SameNode(&owner, &self->node) &&
+            !g_hash_table_contains(self->jobs, &job->id) &&
+            DurableTakeover_RecoveryOf(self, job) == recovery) {
+            DurableOwned_Start(self, now_ms, job, recovery);
         }
     }
     g_ptr_array_unref(open);
 }
 
 void
-DurableTakeover_AdvanceRecoveries(Keeper *keeper, int64_t now_ms)
+DurableTakeover_AdvanceRecoveries(Keeper *self, int64_t now_ms)
 {
     int64_t certain_ms = DURABLE_JOBS_LOG_TIMEOUT_MS +
-                         keeper->config.resubmit_ms + TERM_KEPT_MS;
+                         self->config.resubmit_ms + TERM_KEPT_MS;
     guint i = 0;
 
-    while (i < keeper->recoveries->len) {
+    while (i < self->recoveries->len) {
         DurableJobs_Recovery *recovery = &g_array_index(
-            keeper->recoveries, DurableJobs_Recovery, i);
-        bool all_answered = fence_companions(keeper, now_ms, recovery) ||
+            self->recoveries, DurableJobs_Recovery, i);
+        bool all_answered = fence_companions(self, now_ms, recovery) ||
                             now_ms - recovery->claimed_ms >= certain_ms;
         if (all_answered && recovery->answered_ms == 0) {
             recovery->answered_ms = now_ms;
         }
         /* The old owner released ends only once they were recorded, so a log
          * read after the answers has them. */
-        if (!all_answered || keeper->log_read_ms <= recovery->answered_ms) {
+        if (!all_answered || self->log_read_ms <= recovery->answered_ms) {
             i++;
             continue;
         }
-        start_recovered(keeper, now_ms, recovery);
+        start_recovered(self, now_ms, recovery);
         DurableTakeover_ClearRecovery(recovery);
-        g_array_remove_index(keeper->recoveries, i);
-        keeper->has_unstarted = true;
+        g_array_remove_index(self->recoveries, i);
+        self->has_unstarted = true;
     }
 }
 
 static bool
-is_end_recorded(const Keeper *keeper, const DurableLog_Job *kept,
+is_end_recorded(const Keeper *self, const DurableLog_Job *durable,
                 const lc_run_id *id)
 {
     Status status = {ERR_OK, ""};
@@ -418,97 +420,97 @@
     uint32_t number;
     bool done;
 
-    if (kept->outcome != LC_KEPT_OPEN) {
+    if (durable->outcome != LC_KEPT_OPEN) {
         return true;
     }
-    if (kept->body == NULL ||
-        keeper->ports->parse(keeper->context, kept->id, kept->body, &job,
-                             &status) != ERR_OK) {
+    if (durable->body == NULL ||
+        self->ports->parse(self->context, durable->id, durable->body, &job,
+                           &status) != ERR_OK) {
         return false;
     }
     number = LeasedJob_EndNumber(&job, id);
-    done = number == DURABLE_JOBS_NO_TASK || Kept_IsDone(kept->done, number);
+    done = number == DURABLE_JOBS_NO_TASK ||
+           Kept_IsDone(durable->done, number);
     LeasedJob_Clear(&job);
     return done;
 }
 
 static void
-add_unknown_end(Keeper *keeper, int64_t now_ms, const DurableJobs_RunEnd *end)
+add_unknown_end(Keeper *self, int64_t now_ms, const DurableJobs_RunEnd *end)
 {
     DurableJobs_UnknownEnd unknown = {.end = *end, .heard_ms = now_ms};
     guint i;
 
-    for (i = 0; i < keeper->unknown_ends->len; i++) {
+    for (i = 0; i < self->unknown_ends->len; i++) {
         const DurableJobs_RunEnd *known =
-            &g_array_index(keeper->unknown_ends, DurableJobs_UnknownEnd, i)
-                 .end;
+            &g_array_index(self->unknown_ends, DurableJobs_UnknownEnd, i).end;
         if (Msg_SameNode(&known->host, &end->host) &&
             RunId_Equal(&known->run, &end->run)) {
             return;
         }
     }
-    if (keeper->unknown_ends->len < MAX_UNKNOWN_ENDS) {
-        g_array_append_val(keeper->unknown_ends, unknown);
+    if (self->unknown_ends->len < MAX_UNKNOWN_ENDS) {
+        g_array_append_val(self->unknown_ends, unknown);
     }
 }
 
 void
-DurableTakeover_OnLogRead(Keeper *keeper)
+DurableTakeover_OnLogRead(Keeper *self)
 {
     guint i = 0;
 
-    while (i < keeper->unknown_ends->len) {
+    while (i < self->unknown_ends->len) {
         const DurableJobs_UnknownEnd *unknown = &g_array_index(
-            keeper->unknown_ends, DurableJobs_UnknownEnd, i);
-        if (unknown->heard_ms >= keeper->log_read_ms) {
+            self->unknown_ends, DurableJobs_UnknownEnd, i);
+        if (unknown->heard_ms >= self->log_read_ms) {
             i++;
             continue;
         }
-        if (DurableLog_Find(keeper->log, unknown->end.run.job) == NULL) {
-            DurableOwned_QueueRelease(keeper, &unknown->end);
+        if (DurableLog_Find(self->log, unknown->end.run.job) == NULL) {
+            DurableOwned_QueueRelease(self, &unknown->end);
         }
-        g_array_remove_index_fast(keeper->unknown_ends, i);
+        g_array_remove_index_fast(self->unknown_ends, i);
     }
-    DurableOwned_SendReleases(keeper);
+    DurableOwned_SendReleases(self);
 }
 
 /* Releases ends that are no longer needed. A run starts only after its job was
  * written, so a log that is read after the end was reported has the job. */
 static void
-release_unneeded(Keeper *keeper, int64_t now_ms, lc_node host,
+release_unneeded(Keeper *self, int64_t now_ms, lc_node host,
                  const lc_fence_res *result)
 {
     u_int i;
 
     for (i = 0; i < result->runs.runs_len; i++) {
         const lc_held_run *run = &result->runs.runs_val[i];
-        const DurableLog_Job *job = DurableLog_Find(keeper->log, run->id.job);
+        const DurableLog_Job *job = DurableLog_Find(self->log, run->id.job);
         DurableJobs_RunEnd end = {.host = host, .run = run->id};
         if (run->running) {
             continue;
         }
         if (job == NULL) {
-            add_unknown_end(keeper, now_ms, &end);
+            add_unknown_end(self, now_ms, &end);
         }
-        else if (is_end_recorded(keeper, job, &run->id)) {
-            DurableOwned_QueueRelease(keeper, &end);
+        else if (is_end_recorded(self, job, &run->id)) {
+            DurableOwned_QueueRelease(self, &end);
         }
     }
 }
 
 void
-DurableTakeover_OnFenceReply(Keeper *keeper, int64_t now_ms,
+DurableTakeover_OnFenceReply(Keeper *self, int64_t now_ms,
                              const DurableJobs_Call *call,
                              const lc_fence_res *result)
 {
     guint i;
     u_int j;
 
-    release_unneeded(keeper, now_ms, call->host, result);
-    for (i = 0; i < keeper->recoveries->len; i++) {
+    release_unneeded(self, now_ms, call->host, result);
+    for (i = 0; i < self->recoveries->len; i++) {
         DurableJobs_Recovery *recovery = &g_array_index(
-            keeper->recoveries, DurableJobs_Recovery, i);
-        if (!Msg_SameNode(&recovery->gone, &call->gone) ||
+            self->recoveries, DurableJobs_Recovery, i);
+        if (!Msg_SameNode(&recovery->claimed_owner, &call->claimed_owner) ||
             Msg_HasNode(recovery->fenced, &call->host)) {
             continue;
         }
@@ -519,16 +521,16 @@
             g_array_append_val(recovery->runs, found);
         }
     }
-    DurableTakeover_AdvanceRecoveries(keeper, now_ms);
-    DurableOwned_SendReleases(keeper);
+    DurableTakeover_AdvanceRecoveries(self, now_ms);
+    DurableOwned_SendReleases(self);
 }
 
 /* The entry that should have released such ends has died, or its call was
  * lost. */
 void
-DurableTakeover_FetchHeldEnds(Keeper *keeper, int64_t now_ms)
+DurableTakeover_FetchHeldEnds(Keeper *self, int64_t now_ms)
 {
-    const Fleet *fleet = Dispatcher_Fleet(keeper->dispatcher);
+    const Fleet *fleet = Dispatcher_Fleet(self->dispatcher);
     lc_node nobody = {0, 0};
     guint i;
 
@@ -538,13 +540,13 @@
             now_ms - host->held_asked_ms > FETCH_HELD_INTERVAL_MS &&
             Choice_IsHeard(host, now_ms)) {
             host->held_asked_ms = now_ms;
-            DurableTakeover_SendFence(keeper, host->node, nobody);
+            DurableTakeover_SendFence(self, host->node, nobody);
         }
     }
 }
 
 void
-Keeper_OnHost(Keeper *keeper, int64_t now_ms)
+Keeper_OnHost(Keeper *self, int64_t now_ms)
 {
-    DurableTakeover_AdvanceRecoveries(keeper, now_ms);
+    DurableTakeover_AdvanceRecoveries(self, now_ms);
 }
--- a/lease/keeper_state.h
+++ b/lease/keeper_state.h
@@ -60,13 +60,13 @@
     int64_t heard_ms;
 } DurableJobs_UnknownEnd;
 
-/* Takeover of a failed owner: the runs its companions have reported. */
+/* Takeover from a claimed owner: what companions report of its runs. */
 typedef struct {
-    lc_node gone;
+    lc_node claimed_owner;
     int64_t claimed_ms;
     int64_t answered_ms; /* when all companions had answered, or waiting for
-                        them ended; from then on only the log can tell more of
-                        these runs; 0 before */
+                            them ended; from then on only the log can tell
+                            more of these runs; 0 before */
     GArray *fenced;      /* lc_node, companions that have answered the FENCE */
     GArray *runs;        /* DurableJobs_FoundRun */
 } DurableJobs_Recovery;
@@ -94,7 +94,7 @@
 typedef struct {
     Msg_Kind kind;
     lc_node host;
-    lc_node gone;
+    lc_node claimed_owner;
     GArray *ends; /* DurableJobs_RunEnd, of a RELEASE */
 } DurableJobs_Call;
 
@@ -106,8 +106,7 @@
     Kept *log;
     lc_node node; /* current owner identity */
     int64_t started_ms;
-    int64_t log_read_ms;   /* the log was read at least up to its state at this
-  time; 0   for never */
+    int64_t log_read_ms;   /* the log was read as it stood then; 0 for never */
     uint64_t written;      /* all writes up to this number are confirmed */
     GArray *waiters;       /* DurableJobs_Waiter */
     GArray *state_queries; /* DurableJobs_StateQuery */
@@ -126,30 +125,30 @@
     int64_t expiry_checked_ms;
     int64_t last_open_ms;         /* when a job was last open; 0 for never */
     int64_t last_quiet_ms;        /* when nothing last depended on the log */
-    int64_t all_reports_since_ms; /* when all companions were first asked to
+    int64_t all_reports_since_ms; /* since when all companions are asked to
                                      report */
     bool leaving;
     bool has_unstarted; /* owned jobs may be waiting to be started */
 };
 
 /** Puts a record; returns the number of the write. */
-uint64_t DurableJobs_Put(Keeper *keeper, const char *key,
+uint64_t DurableJobs_Put(Keeper *self, const char *key,
                          const lc_kept_record *record);
 
 /* Callers: keeper_callers.c. */
 
 /** Whether the log has not answered within its timeout. */
-bool DurableCaller_IsLogDown(const Keeper *keeper, int64_t now_ms);
+bool DurableCaller_IsLogDown(const Keeper *self, int64_t now_ms);
 
 /** Answers queries whose job has ended or whose wait is over. */
-void DurableCaller_AnswerStateQueries(Keeper *keeper, int64_t now_ms);
+void DurableCaller_AnswerStateQueries(Keeper *self, int64_t now_ms);
 
 /** Carries out cancellations of jobs that were unknown before the last read;
  * reports those that still are as unknown. */
-void DurableCaller_OnLogRead(Keeper *keeper, int64_t now_ms);
+void DurableCaller_OnLogRead(Keeper *self, int64_t now_ms);
 
 /** Answers callers whose record was not written in time. */
-void DurableCaller_ExpireWaiters(Keeper *keeper, int64_t now_ms);
+void DurableCaller_ExpireWaiters(Keeper *self, int64_t now_ms);
 
 /* Owned jobs: keeper_jobs.c. */
 
@@ -157,77 +156,79 @@
 
 /** Hands a job to the dispatcher; @p recovery has the runs of it that were
  * found at companions, or is NULL. */
-void DurableOwned_Start(Keeper *keeper, int64_t now_ms, DurableLog_Job *job,
+void DurableOwned_Start(Keeper *self, int64_t now_ms, DurableLog_Job *job,
                         const DurableJobs_Recovery *recovery);
 
 /** Starts owned jobs that are not waiting for a recovery. */
-void DurableOwned_StartAll(Keeper *keeper, int64_t now_ms);
+void DurableOwned_StartAll(Keeper *self, int64_t now_ms);
 
 /** Queues an end for release at its companion. */
-void DurableOwned_QueueRelease(Keeper *keeper, const DurableJobs_RunEnd *end);
+void DurableOwned_QueueRelease(Keeper *self, const DurableJobs_RunEnd *end);
 
 /** Sends RELEASE calls for all ends whose records are written. */
-void DurableOwned_SendReleases(Keeper *keeper);
+void DurableOwned_SendReleases(Keeper *self);
 
 /** A RELEASE call has ended; @p taken if the companion answered it. */
-void DurableOwned_OnReleaseReply(Keeper *keeper, const DurableJobs_Call *call,
+void DurableOwned_OnReleaseReply(Keeper *self, const DurableJobs_Call *call,
                                  bool taken);
 
 /** Puts the progress record of a job. */
-void DurableOwned_PutProgress(Keeper *keeper, const DurableJobs_OwnJob *row);
+void DurableOwned_PutProgress(Keeper *self, const DurableJobs_OwnJob *row);
 
 /** Removes a job whose outcome is in the log; queues its ends for release. */
-void DurableOwned_Remove(Keeper *keeper, DurableJobs_OwnJob *row);
+void DurableOwned_Remove(Keeper *self, DurableJobs_OwnJob *row);
 
 /* Takeover of failed owners: keeper_owners.c. */
 
 /** Claims the jobs of owners that have been silent for too long. */
-void DurableTakeover_ClaimSilentOwners(Keeper *keeper, int64_t now_ms);
+void DurableTakeover_ClaimSilentOwners(Keeper *self, int64_t now_ms);
 
-/** Puts a claim that hands the jobs of @p gone to @p successor. */
-void DurableTakeover_PutClaim(Keeper *keeper, int64_t now_ms,
-                              const lc_node *gone, const lc_node *successor);
+/** Puts a claim that hands the jobs of @p claimed_owner to @p successor. */
+void DurableTakeover_PutClaim(Keeper *self, int64_t now_ms,
+                              const lc_node *claimed_owner,
+                              const lc_node *successor);
 
 /** Another entry that can take over jobs; zeros if there is none. */
-lc_node DurableTakeover_PickSuccessor(const Keeper *keeper, int64_t now_ms);
+lc_node DurableTakeover_PickSuccessor(const Keeper *self, int64_t now_ms);
 
 /** An owner has written a record, so it is alive even if its messages do not
  * arrive. */
-void DurableTakeover_OnOwnerRecord(Keeper *keeper, int64_t now_ms,
+void DurableTakeover_OnOwnerRecord(Keeper *self, int64_t now_ms,
                                    lc_node writer);
 
 /** Puts a heartbeat record if this owner has jobs and has written nothing
  * recently. */
-void DurableTakeover_PutHeartbeat(Keeper *keeper, int64_t now_ms);
+void DurableTakeover_PutHeartbeat(Keeper *self, int64_t now_ms);
 
 /** A claim that takes effect was read. */
-void DurableTakeover_OnClaim(Keeper *keeper, int64_t now_ms, lc_node gone,
-                             lc_node successor);
+void DurableTakeover_OnClaim(Keeper *self, int64_t now_ms,
+                             lc_node claimed_owner, lc_node successor);
 
 /** Sends FENCE calls to companions; starts the jobs of a recovery once all
  * companions have answered. */
-void DurableTakeover_AdvanceRecoveries(Keeper *keeper, int64_t now_ms);
+void DurableTakeover_AdvanceRecoveries(Keeper *self, int64_t now_ms);
 
 /** Releases ends whose job is unknown to a log that was read after the end was
  * reported. */
-void DurableTakeover_OnLogRead(Keeper *keeper);
+void DurableTakeover_OnLogRead(Keeper *self);
 
 /** Fetches ends that companions have held for long. */
-void DurableTakeover_FetchHeldEnds(Keeper *keeper, int64_t now_ms);
+void DurableTakeover_FetchHeldEnds(Keeper *self, int64_t now_ms);
 
 /** A companion has answered a FENCE with the runs it holds. */
-void DurableTakeover_OnFenceReply(Keeper *keeper, int64_t now_ms,
+void DurableTakeover_OnFenceReply(Keeper *self, int64_t now_ms,
                                   const DurableJobs_Call *call,
                                   const lc_fence_res *result);
 
 /** The recovery of the last claim that gave @p job to this entry; NULL if none
  * is pending. Borrowed. */
 const DurableJobs_Recovery *
-DurableTakeover_RecoveryOf(const Keeper *keeper, const DurableLog_Job *job);
+DurableTakeover_RecoveryOf(const Keeper *self, const DurableLog_Job *job);
 
-/** Sends a FENCE call for the runs of an owner; zeros in @p gone ask for all
- * held ends. */
-void DurableTakeover_SendFence(Keeper *keeper, lc_node host, lc_node gone);
+/** Sends a FENCE call for the runs of an owner; zeros in @p claimed_owner ask
+ * for all held ends. */
+void DurableTakeover_SendFence(Keeper *self, lc_node host,
+                               lc_node claimed_owner);
 
 /** Frees the members of a recovery. */
 void DurableTakeover_ClearRecovery(DurableJobs_Recovery *recovery);
--- a/lease/kept.c
+++ b/lease/kept.c
@@ -12,7 +12,7 @@
 
 typedef struct {
     uint64_t offset;
-    lc_node gone;
+    lc_node claimed_owner;
     lc_node successor;
     bool effective;
 } kept_claim;
@@ -40,22 +40,22 @@
 Kept *
 Kept_New(void)
 {
-    Kept *kept = g_new0(Kept, 1);
+    Kept *log = g_new0(Kept, 1);
 
-    kept->jobs = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
-                                       free_job);
-    kept->open = g_hash_table_new(g_int64_hash, g_int64_equal);
-    kept->claims = g_array_new(FALSE, TRUE, sizeof(kept_claim));
-    return kept;
+    log->jobs = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
+                                      free_job);
+    log->open = g_hash_table_new(g_int64_hash, g_int64_equal);
+    log->claims = g_array_new(FALSE, TRUE, sizeof(kept_claim));
+    return log;
 }
 
 void
-Kept_Free(Kept *kept)
+Kept_Free(Kept *log)
 {
-    g_hash_table_unref(kept->open);
-    g_hash_table_unref(kept->jobs);
-    g_array_unref(kept->claims);
-    g_free(kept);
+    g_hash_table_unref(log->open);
+    g_hash_table_unref(log->jobs);
+    g_array_unref(log->claims);
+    g_free(log);
 }
 
 static void
@@ -93,15 +93,15 @@
 }
 
 void
-DurableLog_ClaimKey(const lc_node *gone, lc_node writer,
+DurableLog_ClaimKey(const lc_node *claimed_owner, lc_node writer,
                     char key[DURABLE_LOG_KEY_SIZE])
 {
     gsize length;
 
-    format_key('c', gone->incarnation, writer, key);
+    format_key('c', claimed_owner->incarnation, writer, key);
     length = strlen(key);
     g_snprintf(key + length, DURABLE_LOG_KEY_SIZE - length, ".%" PRIx64,
-               (uint64_t)gone->address);
+               (uint64_t)claimed_owner->address);
 }
 
 /* One key for each address, whatever the incarnation. */
@@ -131,15 +131,15 @@
 }
 
 DurableLog_Job *
-DurableLog_Find(const Kept *kept, uint64_t id)
+DurableLog_Find(const Kept *log, uint64_t id)
 {
-    return g_hash_table_lookup(kept->jobs, &id);
+    return g_hash_table_lookup(log->jobs, &id);
 }
 
 static DurableLog_Job *
-find_or_add(Kept *kept, uint64_t id, const char *queue)
+find_or_add(Kept *log, uint64_t id, const char *queue)
 {
-    DurableLog_Job *job = DurableLog_Find(kept, id);
+    DurableLog_Job *job = DurableLog_Find(log, id);
 
     if (job != NULL) {
         return job;
@@ -151,7 +151,7 @@
     job->failures = g_array_new(FALSE, TRUE, sizeof(lc_kept_failures));
     job->submitters = g_array_new(FALSE, TRUE, sizeof(lc_node));
     job->writers = g_array_new(FALSE, TRUE, sizeof(lc_node));
-    g_hash_table_insert(kept->jobs, &job->id, job);
+    g_hash_table_insert(log->jobs, &job->id, job);
     return job;
 }
 
@@ -184,10 +184,10 @@
 }
 
 static Kept_Change
-apply_submit(Kept *kept, const Kept_Record *record, uint64_t id,
+apply_submit(Kept *log, const Kept_Record *record, uint64_t id,
              const lc_kept_submit *submit)
 {
-    DurableLog_Job *job = find_or_add(kept, id, submit->queue);
+    DurableLog_Job *job = find_or_add(log, id, submit->queue);
     Kept_Change change = {.kind = DURABLE_LOG_UNCHANGED, .job = job};
 
     note_writer(job->submitters, DurableLog_Writer(record));
@@ -201,7 +201,7 @@
     if (job->outcome == LC_KEPT_OPEN) {
         g_free(job->body);
         job->body = g_strdup(submit->body);
-        g_hash_table_add(kept->open, &job->id);
+        g_hash_table_add(log->open, &job->id);
     }
     return change;
 }
@@ -243,10 +243,10 @@
 }
 
 static Kept_Change
-apply_progress(Kept *kept, int64_t now_ms, const Kept_Record *record,
+apply_progress(Kept *log, int64_t now_ms, const Kept_Record *record,
                uint64_t id, const lc_kept_progress *progress)
 {
-    DurableLog_Job *job = find_or_add(kept, id, progress->queue);
+    DurableLog_Job *job = find_or_add(log, id, progress->queue);
     Kept_Change change = {.kind = DURABLE_LOG_PROGRESSED, .job = job};
 
     note_writer(job->writers, DurableLog_Writer(record));
@@ -261,18 +261,19 @@
     job->outcome = progress->outcome;
     job->over_offset = record->offset;
     g_clear_pointer(&job->body, g_free);
-    g_hash_table_remove(kept->open, &job->id);
+    g_hash_table_remove(log->open, &job->id);
     return change;
 }
 
 static kept_claim *
-find_claim(const Kept *kept, const lc_node *gone)
+find_claim(const Kept *log, const lc_node *claimed_owner)
 {
     guint i;
 
-    for (i = 0; i < kept->claims->len; i++) {
-        kept_claim *claim = &g_array_index(kept->claims, kept_claim, i);
-        if (claim->effective && Msg_SameNode(&claim->gone, gone)) {
+    for (i = 0; i < log->claims->len; i++) {
+        kept_claim *claim = &g_array_index(log->claims, kept_claim, i);
+        if (claim->effective &&
+            Msg_SameNode(&claim->claimed_owner, claimed_owner)) {
             return claim;
         }
     }
@@ -291,28 +292,28 @@
 /* The first claim of an owner is effective, unless its successor was claimed
  * earlier, so that of two owners that claim each other one remains. */
 static void
-select_effective_claims(Kept *kept)
+select_effective_claims(Kept *log)
 {
     guint i;
 
-    g_array_sort(kept->claims, compare_claims);
-    for (i = 0; i < kept->claims->len; i++) {
-        g_array_index(kept->claims, kept_claim, i).effective = false;
+    g_array_sort(log->claims, compare_claims);
+    for (i = 0; i < log->claims->len; i++) {
+        g_array_index(log->claims, kept_claim, i).effective = false;
     }
-    for (i = 0; i < kept->claims->len; i++) {
-        kept_claim *claim = &g_array_index(kept->claims, kept_claim, i);
-        claim->effective = find_claim(kept, &claim->gone) == NULL &&
-                           find_claim(kept, &claim->successor) == NULL;
+    for (i = 0; i < log->claims->len; i++) {
+        kept_claim *claim = &g_array_index(log->claims, kept_claim, i);
+        claim->effective = find_claim(log, &claim->claimed_owner) == NULL &&
+                           find_claim(log, &claim->successor) == NULL;
     }
 }
 
 static bool
-is_claim_known(const Kept *kept, uint64_t offset)
+is_claim_known(const Kept *log, uint64_t offset)
 {
     guint i;
 
-    for (i = 0; i < kept->claims->len; i++) {
-        if (g_array_index(kept->claims, kept_claim, i).offset == offset) {
+    for (i = 0; i < log->claims->len; i++) {
+        if (g_array_index(log->claims, kept_claim, i).offset == offset) {
             return true;
         }
     }
@@ -320,21 +321,21 @@
 }
 
 static Kept_Change
-apply_claim(Kept *kept, uint64_t offset, const lc_kept_claim *taken)
+apply_claim(Kept *log, uint64_t offset, const lc_kept_claim *taken)
 {
     Kept_Change change = {.kind = DURABLE_LOG_UNCHANGED};
     kept_claim fresh = {offset, taken->gone, taken->successor, false};
     const kept_claim *effective;
 
-    if (is_claim_known(kept, offset)) {
+    if (is_claim_known(log, offset)) {
         return change;
     }
-    g_array_append_val(kept->claims, fresh);
-    select_effective_claims(kept);
-    effective = find_claim(kept, &taken->gone);
+    g_array_append_val(log->claims, fresh);
+    select_effective_claims(log);
+    effective = find_claim(log, &taken->gone);
     if (effective != NULL && effective->offset == offset) {
         change.kind = DURABLE_LOG_CLAIMED;
-        change.gone = taken->gone;
+        change.claimed_owner = taken->gone;
         change.successor = taken->successor;
     }
     return change;
@@ -342,7 +343,7 @@
 
 /* The progress records of a job are deleted last, after its retention time. */
 static Kept_Change
-apply_drop(Kept *kept, const Kept_Record *record)
+apply_drop(Kept *log, const Kept_Record *record)
 {
     Kept_Change change = {.kind = DURABLE_LOG_UNCHANGED};
     char digits[HEX_DIGITS + 1] = "";
@@ -353,47 +354,47 @@
         return change;
     }
     memcpy(digits, record->key + 1, HEX_DIGITS);
-    job = DurableLog_Find(kept, g_ascii_strtoull(digits, NULL, HEX_DIGITS));
+    job = DurableLog_Find(log, g_ascii_strtoull(digits, NULL, HEX_DIGITS));
     if (job != NULL && job->outcome != LC_KEPT_OPEN) {
-        g_hash_table_remove(kept->jobs, &job->id);
+        g_hash_table_remove(log->jobs, &job->id);
         change.kind = DURABLE_LOG_DROPPED;
     }
     return change;
 }
 
 Kept_Change
-Kept_Take(Kept *kept, int64_t now_ms, const Kept_Record *record)
+Kept_Take(Kept *log, int64_t now_ms, const Kept_Record *record)
 {
     Kept_Change change = {.kind = DURABLE_LOG_UNCHANGED};
     lc_kept_record read;
 
     if (record->length == 0) {
-        return apply_drop(kept, record);
+        return apply_drop(log, record);
     }
     if (!Msg_DecodeKept(record->value, record->length, &read)) {
         return change;
     }
     switch (read.body.kind) {
     case LC_KEPT_SUBMIT:
-        change = apply_submit(kept, record, read.job,
+        change = apply_submit(log, record, read.job,
                               &read.body.lc_kept_body_u.submit);
         break;
     case LC_KEPT_PROGRESS:
-        change = apply_progress(kept, now_ms, record, read.job,
+        change = apply_progress(log, now_ms, record, read.job,
                                 &read.body.lc_kept_body_u.progress);
         break;
     case LC_KEPT_CANCEL:
         change.kind = DURABLE_LOG_CANCELLED;
-        change.job = find_or_add(kept, read.job,
+        change.job = find_or_add(log, read.job,
                                  read.body.lc_kept_body_u.queue);
         change.job->cancelled = true;
         break;
     case LC_KEPT_ALIVE:
         change.kind = DURABLE_LOG_OWNER_ALIVE;
-        change.gone = read.body.lc_kept_body_u.alive;
+        change.claimed_owner = read.body.lc_kept_body_u.alive;
         break;
     case LC_KEPT_CLAIM:
-        change = apply_claim(kept, record->offset,
+        change = apply_claim(log, record->offset,
                              &read.body.lc_kept_body_u.claim);
         break;
     }
@@ -403,43 +404,43 @@
 
 /* Advances @p node along effective claims; returns their number. */
 static uint32_t
-follow_claims(const Kept *kept, lc_node *node)
+follow_claims(const Kept *log, lc_node *node)
 {
     uint32_t count = 0;
-    const kept_claim *claim = find_claim(kept, node);
+    const kept_claim *claim = find_claim(log, node);
 
     while (claim != NULL && count < MAX_CLAIM_CHAIN) {
         *node = claim->successor;
         count++;
-        claim = find_claim(kept, node);
+        claim = find_claim(log, node);
     }
     return count;
 }
 
 lc_node
-Kept_OwnerOf(const Kept *kept, const DurableLog_Job *job)
+Kept_OwnerOf(const Kept *log, const DurableLog_Job *job)
 {
     lc_node node = job->owner;
 
-    follow_claims(kept, &node);
+    follow_claims(log, &node);
     return node;
 }
 
 uint32_t
-DurableLog_TakeoverCount(const Kept *kept, const DurableLog_Job *job)
+DurableLog_TakeoverCount(const Kept *log, const DurableLog_Job *job)
 {
     lc_node node = job->owner;
 
-    return follow_claims(kept, &node);
+    return follow_claims(log, &node);
 }
 
 static bool
-claims_lead_to(const Kept *kept, lc_node from, const lc_node *node)
+claims_lead_to(const Kept *log, lc_node from, const lc_node *node)
 {
     uint32_t count;
 
     for (count = 0; count < MAX_CLAIM_CHAIN; count++) {
-        const kept_claim *claim = find_claim(kept, &from);
+        const kept_claim *claim = find_claim(log, &from);
         if (Msg_SameNode(&from, node)) {
             return true;
         }
@@ -452,51 +453,53 @@
 }
 
 bool
-DurableLog_HasOwned(const Kept *kept, const DurableLog_Job *job,
+DurableLog_HasOwned(const Kept *log, const DurableLog_Job *job,
                     const lc_node *node)
 {
-    return claims_lead_to(kept, job->owner, node);
+    return claims_lead_to(log, job->owner, node);
 }
 
 GArray *
-DurableLog_Predecessors(const Kept *kept, const lc_node *node)
+DurableLog_Predecessors(const Kept *log, const lc_node *node)
 {
     GArray *predecessors = g_array_new(FALSE, TRUE, sizeof(lc_node));
     guint i;
 
     g_array_append_val(predecessors, *node);
-    for (i = 0; i < kept->claims->len && predecessors->len < LC_MAX_PEERS;
+    for (i = 0; i < log->claims->len && predecessors->len < LC_MAX_PEERS;
          i++) {
-        lc_node gone = g_array_index(kept->claims, kept_claim, i).gone;
-        if (!Msg_SameNode(&gone, node) && claims_lead_to(kept, gone, node)) {
-            g_array_append_val(predecessors, gone);
+        lc_node claimed_owner =
+            g_array_index(log->claims, kept_claim, i).claimed_owner;
+        if (!Msg_SameNode(&claimed_owner, node) &&
+            claims_lead_to(log, claimed_owner, node)) {
+            g_array_append_val(predecessors, claimed_owner);
         }
     }
     return predecessors;
 }
 
 GPtrArray *
-DurableLog_OpenJobs(const Kept *kept)
+DurableLog_OpenJobs(const Kept *log)
 {
     GPtrArray *list = g_ptr_array_new();
     GHashTableIter iter;
     gpointer id;
 
-    g_hash_table_iter_init(&iter, kept->open);
+    g_hash_table_iter_init(&iter, log->open);
     while (g_hash_table_iter_next(&iter, &id, NULL)) {
-        g_ptr_array_add(list, g_hash_table_lookup(kept->jobs, id));
+        g_ptr_array_add(list, g_hash_table_lookup(log->jobs, id));
     }
     return list;
 }
 
 GPtrArray *
-DurableLog_EndedJobs(const Kept *kept, int64_t until_ms)
+DurableLog_EndedJobs(const Kept *log, int64_t until_ms)
 {
     GPtrArray *list = g_ptr_array_new();
     GHashTableIter iter;
     gpointer item;
 
-    g_hash_table_iter_init(&iter, kept->jobs);
+    g_hash_table_iter_init(&iter, log->jobs);
     while (g_hash_table_iter_next(&iter, NULL, &item)) {
         const DurableLog_Job *job = item;
         if (job->outcome != LC_KEPT_OPEN && job->over_ms <= until_ms) {
@@ -507,7 +510,7 @@
 }
 
 uint32_t
-DurableLog_OpenCount(const Kept *kept)
+DurableLog_OpenCount(const Kept *log)
 {
-    return g_hash_table_size(kept->open);
+    return g_hash_table_size(log->open);
 }
--- a/lease/kept.h
+++ b/lease/kept.h
@@ -59,8 +59,8 @@
 /** Change made by a record. */
 typedef struct {
     DurableLog_ChangeKind kind;
-    DurableLog_Job *job; /**< or NULL */
-    lc_node gone;        /**< claimed owner; of a heartbeat, its sender */
+    DurableLog_Job *job;   /**< or NULL */
+    lc_node claimed_owner; /**< of a claim; sender of a heartbeat */
     lc_node successor;
 } Kept_Change;
 
@@ -77,37 +77,37 @@
 typedef struct Kept Kept;
 
 Kept *Kept_New(void);
-void Kept_Free(Kept *kept);
+void Kept_Free(Kept *log);
 
 /** Applies a record; one that cannot be decoded changes nothing. */
-Kept_Change Kept_Take(Kept *kept, int64_t now_ms, const Kept_Record *record);
+Kept_Change Kept_Take(Kept *log, int64_t now_ms, const Kept_Record *record);
 
 /** Finds a job by its ID; NULL if there is none. */
-DurableLog_Job *DurableLog_Find(const Kept *kept, uint64_t id);
+DurableLog_Job *DurableLog_Find(const Kept *log, uint64_t id);
 
 /** Current owner of a job: its first owner or the last successor. */
-lc_node Kept_OwnerOf(const Kept *kept, const DurableLog_Job *job);
+lc_node Kept_OwnerOf(const Kept *log, const DurableLog_Job *job);
 
 /** How many takeovers a job has been through. */
-uint32_t DurableLog_TakeoverCount(const Kept *kept, const DurableLog_Job *job);
+uint32_t DurableLog_TakeoverCount(const Kept *log, const DurableLog_Job *job);
 
 /** Whether a node is the first owner of a job or among its successors. */
-bool DurableLog_HasOwned(const Kept *kept, const DurableLog_Job *job,
+bool DurableLog_HasOwned(const Kept *log, const DurableLog_Job *job,
                          const lc_node *node);
 
 /** An owner and all owners whose jobs it had taken over, LC_MAX_PEERS at most,
  * as an array of lc_node; the caller frees it. */
-GArray *DurableLog_Predecessors(const Kept *kept, const lc_node *node);
+GArray *DurableLog_Predecessors(const Kept *log, const lc_node *node);
 
 /** Jobs that have not ended, as DurableLog_Job pointers owned by the table;
  * the caller frees the array. */
-GPtrArray *DurableLog_OpenJobs(const Kept *kept);
+GPtrArray *DurableLog_OpenJobs(const Kept *log);
 
 /** Jobs that ended at or before @p until_ms; the caller frees the array. */
-GPtrArray *DurableLog_EndedJobs(const Kept *kept, int64_t until_ms);
+GPtrArray *DurableLog_EndedJobs(const Kept *log, int64_t until_ms);
 
 /** Number of jobs that have not ended. */
-uint32_t DurableLog_OpenCount(const Kept *kept);
+uint32_t DurableLog_OpenCount(const Kept *log);
 
 /** Writer of a record, parsed from its key. The incarnation is 0 if the key
  * names no writer; the address is 0 in keys of versions that omitted it. */
@@ -123,7 +123,7 @@
 void DurableLog_CancelKey(uint64_t job, char key[DURABLE_LOG_KEY_SIZE]);
 void DurableLog_HeartbeatKey(const lc_node *owner,
                              char key[DURABLE_LOG_KEY_SIZE]);
-void DurableLog_ClaimKey(const lc_node *gone, lc_node writer,
+void DurableLog_ClaimKey(const lc_node *claimed_owner, lc_node writer,
                          char key[DURABLE_LOG_KEY_SIZE]);
 
 /** Whether a task is marked in a bitmap of completed tasks. */
--- a/tests/kept_rules.c
+++ b/tests/kept_rules.c
@@ -38,7 +38,7 @@
 
 typedef struct {
     Dispatcher *dispatcher;
-    Keeper *keeper;
+    Keeper *durable_jobs;
     Route_Table *routes;
     Route *route;
     int64_t now_ms;
@@ -169,19 +169,19 @@
 port_end(void *context, const lc_run_id *id, uint32_t task, lc_node host,
          bool done)
 {
-    Keeper_OnRunEnd(((fixture *)context)->keeper, id, task, host, done);
+    Keeper_OnRunEnd(((fixture *)context)->durable_jobs, id, task, host, done);
 }
 
 static void
 port_crash(void *context, const lc_run_id *id, uint32_t task)
 {
-    Keeper_OnCrash(((fixture *)context)->keeper, id, task);
+    Keeper_OnCrash(((fixture *)context)->durable_jobs, id, task);
 }
 
 static void
 port_over(void *context, uint64_t job, Dispatcher_Outcome outcome)
 {
-    Keeper_OnJobOver(((fixture *)context)->keeper, job, outcome);
+    Keeper_OnJobOver(((fixture *)context)->durable_jobs, job, outcome);
 }
 
 static const Keeper_Ports keeper_ports = {
@@ -219,13 +219,13 @@
 flush(fixture *fix)
 {
     Dispatcher_Settle(fix->dispatcher, fix->now_ms);
-    Keeper_Settle(fix->keeper, fix->now_ms);
+    Keeper_Settle(fix->durable_jobs, fix->now_ms);
 }
 
 static void
 read_log(fixture *fix)
 {
-    Keeper_OnRead(fix->keeper, fix->now_ms, fix->now_ms);
+    Keeper_OnRead(fix->durable_jobs, fix->now_ms, fix->now_ms);
     flush(fix);
 }
 
@@ -239,7 +239,7 @@
         fix->now_ms += 50;
         report_host(fix);
         read_log(fix);
-        Keeper_Tick(fix->keeper, fix->now_ms);
+        Keeper_Tick(fix->durable_jobs, fix->now_ms);
         Dispatcher_Tick(fix->dispatcher, fix->now_ms);
         flush(fix);
     }
@@ -265,8 +265,8 @@
                                      fix->now_ms);
     fix->routes = Route_NewTable(1);
     fix->route = LeaseFix_AddRoute(fix->routes);
-    fix->keeper = Keeper_New(&durable, &keeper_ports, fix, fix->dispatcher,
-                             fix->now_ms);
+    fix->durable_jobs = Keeper_New(&durable, &keeper_ports, fix,
+                                   fix->dispatcher, fix->now_ms);
     report_host(fix);
     read_log(fix);
 }
@@ -274,7 +274,7 @@
 static void
 free_fixture(fixture *fix)
 {
-    Keeper_Free(fix->keeper);
+    Keeper_Free(fix->durable_jobs);
     Dispatcher_Free(fix->dispatcher);
     Route_FreeTable(fix->routes);
     g_ptr_array_unref(fix->puts);
@@ -289,7 +289,7 @@
         .request_id = id, .route = fix->route, .body = "{}", .job = &job};
 
     port_parse(fix, id, "", &job, NULL);
-    Keeper_OnSubmit(fix->keeper, fix->now_ms, &submit);
+    Keeper_OnSubmit(fix->durable_jobs, fix->now_ms, &submit);
     LeasedJob_Clear(&job);
 }
 
@@ -298,7 +298,7 @@
 {
     Kept_Record record = {fix->offset++, key, strlen(key), value, length};
 
-    Keeper_OnRecord(fix->keeper, fix->now_ms, &record);
+    Keeper_OnRecord(fix->durable_jobs, fix->now_ms, &record);
 }
 
 /* Reads back the record of a put, numbered from 1. */
@@ -406,8 +406,8 @@
         reply.u.fence.runs.runs_val = &copy;
         reply.u.fence.runs.runs_len = 1;
     }
-    Keeper_OnReply(fix->keeper, fix->now_ms, last_call(fix, MSG_FENCE)->id,
-                   &reply);
+    Keeper_OnReply(fix->durable_jobs, fix->now_ms,
+                   last_call(fix, MSG_FENCE)->id, &reply);
     flush(fix);
 }
 
@@ -416,7 +416,7 @@
 {
     lc_node node = own_node;
 
-    node.incarnation = Keeper_Identity(fix->keeper, fix->now_ms);
+    node.incarnation = Keeper_Identity(fix->durable_jobs, fix->now_ms);
     return node;
 }
 
@@ -431,7 +431,7 @@
     submit(&fix, 7);
     submit(&fix, 8);
     g_assert_cmpint(fix.answers, ==, 0);
-    Keeper_OnWritten(fix.keeper, fix.now_ms, 1);
+    Keeper_OnWritten(fix.durable_jobs, fix.now_ms, 1);
     g_assert_cmpint(fix.answers, ==, 1);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_KEPT);
     free_fixture(&fix);
@@ -444,7 +444,7 @@
 
     new_fixture(&fix);
     submit(&fix, 7);
-    Keeper_OnWritten(fix.keeper, fix.now_ms, 1);
+    Keeper_OnWritten(fix.durable_jobs, fix.now_ms, 1);
     flush(&fix);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
     read_put(&fix, 1);
@@ -463,7 +463,7 @@
     submit(&fix, 7);
     submit(&fix, 7);
     g_assert_cmpuint(fix.puts->len, ==, 1);
-    Keeper_OnWritten(fix.keeper, fix.now_ms, 1);
+    Keeper_OnWritten(fix.durable_jobs, fix.now_ms, 1);
     g_assert_cmpint(fix.answers, ==, 2);
     read_put(&fix, 1);
     read_log(&fix);
@@ -514,7 +514,7 @@
     advance(&fix, 2100);
     g_assert_cmpint(fix.answers, ==, 1);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_GIVEN_UP);
-    g_assert_cmpint(Keeper_Look(fix.keeper, fix.now_ms, 7, "queue"), ==,
+    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
                     KEEPER_PENDING);
     free_fixture(&fix);
 }
@@ -525,10 +525,10 @@
     fixture fix;
 
     new_fixture(&fix);
-    g_assert_cmpint(Keeper_Look(fix.keeper, fix.now_ms, 7, "queue"), ==,
+    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
                     KEEPER_UNKNOWN);
     fix.now_ms += 2000;
-    g_assert_cmpint(Keeper_Look(fix.keeper, fix.now_ms, 7, "queue"), ==,
+    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
                     KEEPER_STALE);
     free_fixture(&fix);
 }
@@ -541,8 +541,8 @@
     fixture fix;
 
     new_fixture(&fix);
-    Keeper_CancelUnknown(fix.keeper, fix.now_ms, 5, 7, "queue");
-    Keeper_CancelUnknown(fix.keeper, fix.now_ms, 6, 8, "queue");
+    Keeper_CancelUnknown(fix.durable_jobs, fix.now_ms, 5, 7, "queue");
+    Keeper_CancelUnknown(fix.durable_jobs, fix.now_ms, 6, 8, "queue");
     read_log(&fix);
     g_assert_cmpint(fix.states_answered, ==, 0);
     read_submit(&fix, 7, &other_owner);
@@ -551,7 +551,7 @@
     g_assert_cmpint(fix.states_answered, ==, 1);
     g_assert_cmpint(fix.last_state, ==, KEEPER_UNKNOWN);
     g_assert_cmpuint(fix.puts->len, ==, 1);
-    Keeper_OnWritten(fix.keeper, fix.now_ms, 1);
+    Keeper_OnWritten(fix.durable_jobs, fix.now_ms, 1);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_CANCELLED);
     free_fixture(&fix);
 }
@@ -563,7 +563,7 @@
 {
     new_fixture(fix);
     submit(fix, 7);
-    Keeper_OnWritten(fix->keeper, fix->now_ms, 1);
+    Keeper_OnWritten(fix->durable_jobs, fix->now_ms, 1);
     read_put(fix, 1);
     read_log(fix);
 }
@@ -578,12 +578,12 @@
     g_assert_cmpuint(fix.puts->len, ==, 2);
     advance(&fix, 200);
     g_assert_cmpint(count_calls(&fix, MSG_RELEASE), ==, 0);
-    g_assert_cmpint(Keeper_Look(fix.keeper, fix.now_ms, 7, "queue"), ==,
+    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
                     KEEPER_RUNNING);
-    Keeper_OnWritten(fix.keeper, fix.now_ms, 2);
+    Keeper_OnWritten(fix.durable_jobs, fix.now_ms, 2);
     g_assert_cmpint(count_calls(&fix, MSG_RELEASE), ==, 1);
     read_put(&fix, 2);
-    g_assert_cmpint(Keeper_Look(fix.keeper, fix.now_ms, 7, "queue"), ==,
+    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
                     KEEPER_SUCCEEDED);
     free_fixture(&fix);
 }
@@ -599,7 +599,7 @@
     end_run(&fix, LC_RUN_FAILED);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 2);
     read_put(&fix, fix.puts->len);
-    g_assert_cmpint(Keeper_Look(fix.keeper, fix.now_ms, 7, "queue"), ==,
+    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
                     KEEPER_FAILED);
     free_fixture(&fix);
 }
@@ -632,12 +632,12 @@
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 2);
     check_crash_record(&fix);
     read_put(&fix, fix.puts->len);
-    g_assert_cmpint(Keeper_Look(fix.keeper, fix.now_ms, 7, "queue"), ==,
+    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
                     KEEPER_RUNNING);
     end_run(&fix, LC_RUN_CRASHED);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 2);
     read_put(&fix, fix.puts->len);
-    g_assert_cmpint(Keeper_Look(fix.keeper, fix.now_ms, 7, "queue"), ==,
+    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
                     KEEPER_FAILED);
     free_fixture(&fix);
 }
@@ -690,7 +690,7 @@
     g_assert_cmpint(last_call(&fix, MSG_RUN)->valid_until_ms, ==,
                     LC_HOLD_NONE);
     end_run(&fix, LC_RUN_DONE);
-    Keeper_OnWritten(fix.keeper, fix.now_ms, fix.puts->len);
+    Keeper_OnWritten(fix.durable_jobs, fix.now_ms, fix.puts->len);
     g_assert_cmpint(count_calls(&fix, MSG_RELEASE), ==, 1);
     free_fixture(&fix);
 }
@@ -727,7 +727,7 @@
     end_run(&fix, LC_RUN_FAILED);
     end_run(&fix, LC_RUN_FAILED);
     read_put(&fix, fix.puts->len);
-    g_assert_cmpint(Keeper_Look(fix.keeper, fix.now_ms, 7, "queue"), ==,
+    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
                     KEEPER_FAILED);
     free_fixture(&fix);
 }
@@ -756,7 +756,7 @@
     }
     g_assert_cmpuint(fix.puts->len, ==, puts);
     g_assert_cmpint(count_calls(&fix, MSG_RELEASE), ==, 3);
-    g_assert_cmpint(Keeper_Look(fix.keeper, fix.now_ms, 7, "queue"), ==,
+    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
                     KEEPER_RUNNING);
     free_fixture(&fix);
 }
@@ -784,7 +784,7 @@
     g_assert_cmpuint(last_call(&fix, MSG_RUN)->run.occurrence, ==, 1);
     end_run(&fix, LC_RUN_DONE);
     read_put(&fix, fix.puts->len);
-    g_assert_cmpint(Keeper_Look(fix.keeper, fix.now_ms, 7, "queue"), ==,
+    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
                     KEEPER_RUNNING);
     free_fixture(&fix);
 }
@@ -796,7 +796,7 @@
 
     start_own(&fix);
     fix.now_ms += HOLD_MS + 100;
-    Keeper_Tick(fix.keeper, fix.now_ms);
+    Keeper_Tick(fix.durable_jobs, fix.now_ms);
     report_host(&fix);
     end_run(&fix, LC_RUN_STOPPED);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
@@ -815,7 +815,7 @@
 
     new_fixture(&fix);
     read_submit(&fix, 7, &other_owner);
-    Keeper_OnPeer(fix.keeper, fix.now_ms, other_owner.address,
+    Keeper_OnPeer(fix.durable_jobs, fix.now_ms, other_owner.address,
                   other_owner.incarnation);
     advance(&fix, 1900);
     puts = fix.puts->len;
@@ -919,7 +919,7 @@
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
     end_run(&fix, LC_RUN_CRASHED);
     read_put(&fix, fix.puts->len);
-    g_assert_cmpint(Keeper_Look(fix.keeper, fix.now_ms, 7, "queue"), ==,
+    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
                     KEEPER_FAILED);
     free_fixture(&fix);
 }
@@ -937,7 +937,7 @@
     advance(&fix, 100);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
     read_put(&fix, fix.puts->len);
-    g_assert_cmpint(Keeper_Look(fix.keeper, fix.now_ms, 7, "queue"), ==,
+    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
                     KEEPER_SUCCEEDED);
     free_fixture(&fix);
 }
@@ -983,7 +983,8 @@
     g_assert_cmpint(count_calls(&fix, MSG_HALT), ==, 0);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
     g_assert_true(Dispatcher_IsIdle(fix.dispatcher));
-    g_assert_cmpuint(Keeper_Identity(fix.keeper, fix.now_ms), !=, before);
+    g_assert_cmpuint(Keeper_Identity(fix.durable_jobs, fix.now_ms), !=,
+                     before);
     free_fixture(&fix);
 }
 
@@ -1018,10 +1019,10 @@
 
     new_fixture(&fix);
     advance(&fix, 5000);
-    g_assert_false(Keeper_NeedsAll(fix.keeper));
+    g_assert_false(Keeper_NeedsAll(fix.durable_jobs));
     own = own_identity(&fix);
     read_submit(&fix, 7, &other_owner);
-    g_assert_true(Keeper_NeedsAll(fix.keeper));
+    g_assert_true(Keeper_NeedsAll(fix.durable_jobs));
     advance(&fix, 100);
     read_claim(&fix, &other_owner, &own);
     advance(&fix, 100);
@@ -1033,9 +1034,9 @@
     end_run(&fix, LC_RUN_DONE);
     read_put(&fix, fix.puts->len);
     advance(&fix, 20000);
-    g_assert_true(Keeper_NeedsAll(fix.keeper));
+    g_assert_true(Keeper_NeedsAll(fix.durable_jobs));
     advance(&fix, 11000);
-    g_assert_false(Keeper_NeedsAll(fix.keeper));
+    g_assert_false(Keeper_NeedsAll(fix.durable_jobs));
     free_fixture(&fix);
 }
 
@@ -1076,10 +1077,10 @@
     fixture fix;
 
     new_fixture(&fix);
-    Keeper_OnPeer(fix.keeper, fix.now_ms, other_owner.address,
+    Keeper_OnPeer(fix.durable_jobs, fix.now_ms, other_owner.address,
                   other_owner.incarnation);
-    Keeper_Leave(fix.keeper, fix.now_ms);
-    g_assert_cmpuint(Keeper_Identity(fix.keeper, fix.now_ms), ==, 0);
+    Keeper_Leave(fix.durable_jobs, fix.now_ms);
+    g_assert_cmpuint(Keeper_Identity(fix.durable_jobs, fix.now_ms), ==, 0);
     submit(&fix, 7);
     put = g_ptr_array_index(fix.puts, 1);
     g_assert_true(Msg_DecodeKept(put->value->data, put->value->len, &record));
@@ -1099,7 +1100,7 @@
     new_fixture(fix);
     fix->held_long = 1;
     report_host(fix);
-    Keeper_Tick(fix->keeper, fix->now_ms);
+    Keeper_Tick(fix->durable_jobs, fix->now_ms);
     answer_fence(fix, &held);
     fix->held_long = 0;
     report_host(fix);
@@ -1114,7 +1115,7 @@
     fixture fix;
 
     report_unknown_held_end(&fix);
-    Keeper_OnRead(fix.keeper, fix.now_ms + 5, fix.now_ms - 5);
+    Keeper_OnRead(fix.durable_jobs, fix.now_ms + 5, fix.now_ms - 5);
     flush(&fix);
     g_assert_cmpint(count_calls(&fix, MSG_RELEASE), ==, 0);
     fix.now_ms += 10;
