--- a/lease/closures.c
+++ b/lease/closures.c
@@ -25,13 +25,13 @@
 }
 
 static GPtrArray *
-names_of(const lc_closures *told)
+sorted_names(const lc_closures *message)
 {
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     u_int i;
 
-    for (i = 0; i < told->halls.halls_len; i++) {
-        g_ptr_array_add(names, g_strdup(told->halls.halls_val[i]));
+    for (i = 0; i < message->halls.halls_len; i++) {
+        g_ptr_array_add(names, g_strdup(message->halls.halls_val[i]));
     }
     g_ptr_array_sort(names, compare_names);
     return names;
@@ -54,29 +54,29 @@
 }
 
 static void
-confirm(Closures *closures, int64_t asked_ms, uint32_t age_ms)
+update_confirmed(Closures *closures, int64_t requested_ms, uint32_t age_ms)
 {
-    if (asked_ms != CLOSURES_UNASKED) {
+    if (requested_ms != CLOSURES_UNASKED) {
         closures->confirmed_ms = MAX(closures->confirmed_ms,
-                                     asked_ms - (int64_t)age_ms);
+                                     requested_ms - (int64_t)age_ms);
     }
 }
 
 Closures_Change
-Closures_Take(Closures *closures, int64_t now_ms, int64_t asked_ms,
-              const lc_closures *told)
+Closures_Take(Closures *closures, int64_t now_ms, int64_t requested_ms,
+              const lc_closures *message)
 {
     GPtrArray *names;
 
-    if (told->as_of < closures->as_of || told->as_of < 0) {
+    if (message->as_of < closures->as_of || message->as_of < 0) {
         return CLOSURES_OLDER;
     }
-    confirm(closures, asked_ms, told->age_ms);
-    if (told->as_of == closures->as_of) {
+    update_confirmed(closures, requested_ms, message->age_ms);
+    if (message->as_of == closures->as_of) {
         return CLOSURES_SAME;
     }
-    closures->as_of = told->as_of;
-    names = names_of(told);
+    closures->as_of = message->as_of;
+    names = sorted_names(message);
     if (same_names(names, closures->halls)) {
         g_ptr_array_unref(names);
         return CLOSURES_SAME;
--- a/lease/closures.h
+++ b/lease/closures.h
@@ -1,12 +1,13 @@
 /**
  * @file closures.h
- * @brief The halls that operators have closed, as far as this process knows:
- * no task is started in a closed hall, and what runs there ends by itself.
+ * @brief The set of halls that operators have closed, as known to this
+ * process. No task is started in a closed hall; tasks that already run there
+ * finish normally.
  *
- * The operators' records lie in one log, so that their number orders all that
- * is known of them: what was read up to a later record takes the place of what
- * was read up to an earlier one, whoever tells it, and never the other way.
- * Times are monotonic, in ms.
+ * Operators' changes are records in one log, so the number of records read
+ * orders all knowledge of it: a set read up to a later record replaces one
+ * read up to an earlier record, whichever process sent it, and never the
+ * reverse. Times are monotonic, in ms.
  */
 #ifndef LC_LEASE_CLOSURES_H
 #define LC_LEASE_CLOSURES_H
@@ -18,57 +19,61 @@
 
 #include "wire/msg.h"
 
-/** What is known. Set up by Closures_Init. */
+/** The closed halls. Set up by Closures_Init. */
 typedef struct {
-    int64_t as_of;        /**< records that were read; -1: none */
-    int64_t confirmed_ms; /**< it was in force then, and is perhaps since */
-    int64_t changed_ms;   /**< when the halls below became known */
-    GPtrArray *halls;     /**< names, in order */
+    int64_t as_of;        /**< number of records read; -1: none */
+    int64_t confirmed_ms; /**< latest time the set is known to be in force */
+    int64_t changed_ms;   /**< when the set below last changed */
+    GPtrArray *halls;     /**< names of the closed halls, sorted */
 } Closures;
 
-/** What a message changed. */
+/** Effect of a message. */
 typedef enum {
-    CLOSURES_OLDER,    /**< it knows less; passed over */
-    CLOSURES_SAME,     /**< the same halls, perhaps confirmed */
-    CLOSURES_DIFFERENT /**< other halls are closed from now on */
+    CLOSURES_OLDER,    /**< older than what is known; ignored */
+    CLOSURES_SAME,     /**< the same halls, possibly confirmed */
+    CLOSURES_DIFFERENT /**< the set of closed halls has changed */
 } Closures_Change;
 
-/** Nothing is known: no hall is taken as closed. */
+/** Starts with nothing known: no hall counts as closed. */
 void Closures_Init(Closures *closures, int64_t now_ms);
 void Closures_Clear(Closures *closures);
 
-/** Of a message that nobody asked for: it may have been held up for long, and
- * confirms nothing. */
+/** Request time of an unsolicited message. It may have been delayed for any
+ * time and therefore confirms nothing. */
 #define CLOSURES_UNASKED INT64_MIN
 
-/** Takes what somebody knows. @p asked_ms is when it was asked for: it was in
- * force its age before that at the latest, however long the answer was on its
- * way. Of what came unasked it is CLOSURES_UNASKED. */
+/** Merges a set that was received. @p requested_ms is when it was requested,
+ * or CLOSURES_UNASKED if it was not: the set counts as confirmed at @p
+ * requested_ms less the age given in the message, which holds however long the
+ * answer took to arrive. */
 Closures_Change Closures_Take(Closures *closures, int64_t now_ms,
-                              int64_t asked_ms, const lc_closures *told);
+                              int64_t requested_ms,
+                              const lc_closures *message);
 
-/** Whether tasks may not be started in @p hall. */
+/** Whether @p hall is closed, so that no task may be started in it. */
 bool Closures_Has(const Closures *closures, const char *hall);
 
-/** Whether a start in @p hall is to be refused that was sent by one who knew
- * the records up to @p as_of, and took the hall as open: if more is known
- * here, what is known here counts. */
+/** Whether to reject a start in @p hall from a sender that knew the records up
+ * to @p as_of and took the hall as open. A sender that knows later records
+ * than this process is trusted. */
 bool Closures_Refuses(const Closures *closures, const char *hall,
                       int64_t as_of);
 
-/** Fills a message. Its names are borrowed until the next call. */
+/** Fills a message. Its names are borrowed from @p closures and valid until
+ * the next call that changes it. */
 void Closures_Tell(const Closures *closures, int64_t now_ms, lc_closures *out);
 
-/** How old the latest confirmation is, in ms. */
+/** Time since the latest confirmation, in ms. */
 int64_t Closures_AgeMs(const Closures *closures, int64_t now_ms);
 
-/** Names of the closed halls, for log lines; free it. */
+/** Comma-separated names of the closed halls, for log lines; the caller frees
+ * the result. */
 char *Closures_Text(const Closures *closures);
 
 /** State for operators; the caller owns the result. */
 json_t *Closures_Dump(const Closures *closures, int64_t now_ms);
 
-/** Appends figures for scrapers. */
+/** Appends metrics in the text format of scrapers. */
 void Closures_Metrics(const Closures *closures, int64_t now_ms, GString *out);
 
 #endif
--- a/lease/partial_view.c
+++ b/lease/partial_view.c
@@ -25,31 +25,32 @@
     return left->rank < right->rank ? -1 : left->rank > right->rank;
 }
 
-/* Entries whose halls are not known are asked for them, by a report, a view's
- * number at once: when all processes begin together, and none is in the
- * register yet, nobody is called by every companion. */
+/* A report to an entry whose hall is not known makes it return its hall. No
+ * more such entries are chosen at once than a view holds, so that no entry is
+ * called by every companion when all processes start together and none is in
+ * the registry yet. */
 static void
-choose_unknown(const GArray *candidates)
+choose_unknown_halls(const GArray *candidates)
 {
-    uint32_t asked = 0;
+    uint32_t count = 0;
     guint i;
 
     for (i = 0; i < candidates->len; i++) {
         Peers_Row *row = g_array_index(candidates, candidate, i).row;
-        row->chosen = row->hall[0] == '\0' && asked < PARTIAL_VIEW_MOST;
-        asked += row->chosen;
+        row->chosen = row->hall[0] == '\0' && count < PARTIAL_VIEW_MAX_ENTRIES;
+        count += row->chosen;
     }
 }
 
-/* Marks the first ones of the hall, or of all halls if that is NULL, until
- * `most` are marked in all; returns how many are. */
+/* Chooses the first candidates of the hall, or of all halls if that is NULL,
+ * until `limit` are chosen in all; returns how many are. */
 static uint32_t
 choose_first(const GArray *candidates, const char *hall, uint32_t chosen,
-             uint32_t most)
+             uint32_t limit)
 {
     guint i;
 
-    for (i = 0; i < candidates->len && chosen < most; i++) {
+    for (i = 0; i < candidates->len && chosen < limit; i++) {
         Peers_Row *row = g_array_index(candidates, candidate, i).row;
         if (!row->chosen && row->hall[0] != '\0' &&
             (hall == NULL || strcmp(row->hall, hall) == 0)) {
@@ -71,15 +72,15 @@
 
     for (i = 0; i < peers->rows->len; i++) {
         Peers_Row *row = g_ptr_array_index(peers->rows, i);
-        candidate one = {rank_of(self, row->address), row};
+        candidate item = {rank_of(self, row->address), row};
         row->chosen = false;
         if (peers->list_digest == 0 || row->listed || row->seed ||
             Peers_IsLive(row, now_ms)) {
-            g_array_append_val(candidates, one);
+            g_array_append_val(candidates, item);
         }
     }
     count = candidates->len;
-    if (all || count <= PARTIAL_VIEW_MOST) {
+    if (all || count <= PARTIAL_VIEW_MAX_ENTRIES) {
         for (i = 0; i < peers->rows->len; i++) {
             ((Peers_Row *)g_ptr_array_index(peers->rows, i))->chosen = true;
         }
@@ -87,9 +88,9 @@
         return 0;
     }
     g_array_sort(candidates, compare_ranks);
-    choose_unknown(candidates);
-    chosen = choose_first(candidates, hall, 0, PARTIAL_VIEW_OWN);
-    chosen = choose_first(candidates, NULL, chosen, PARTIAL_VIEW_MOST);
+    choose_unknown_halls(candidates);
+    chosen = choose_first(candidates, hall, 0, PARTIAL_VIEW_OWN_HALL_ENTRIES);
+    chosen = choose_first(candidates, NULL, chosen, PARTIAL_VIEW_MAX_ENTRIES);
     g_array_unref(candidates);
     return count - chosen;
 }
--- a/lease/partial_view.h
+++ b/lease/partial_view.h
@@ -1,33 +1,37 @@
 /**
  * @file partial_view.h
- * @brief Which entries a companion reports to.
+ * @brief Selects the entries that a companion reports to.
  *
- * Where entries are few, to all of them. Where they are many, to a bounded
- * number, so that what a companion sends, what an entry hears and how many
- * companions it searches for room stay as they are when the fleet grows: the
- * entries of its own hall first, as these start their tasks there, and some
- * of other halls, so that every entry has somewhere to go when its own hall is
- * full, closed or lost. Which ones is drawn by rendezvous hashing, so that an
- * entry that comes or goes moves no other pair.
+ * In a small fleet a companion reports to all entries. In a large one it
+ * reports to a bounded number, so that the reports a companion sends, the
+ * reports an entry receives and the companions an entry searches for free
+ * capacity do not grow with the fleet: entries of its own hall first, as these
+ * prefer to start their tasks there, and some of other halls, so that every
+ * entry has an alternative when its own hall is full, closed or lost. The
+ * selection uses rendezvous hashing, so that an entry that joins or leaves
+ * changes no other pair.
  */
 #ifndef LC_LEASE_PARTIAL_VIEW_H
 #define LC_LEASE_PARTIAL_VIEW_H
 
 #include "lease/peers.h"
 
-/** A companion reports to so many entries at most. At 184 entries and 800
- * companions in five halls an entry hears 174 of them, in place of 800.
- * Chosen: the largest number of entries that reports to all were measured at
- * without loss was 55; 40 leaves room for the entries whose hall is not known
+/** Maximum number of entries that a companion reports to. At 184 entries and
+ * 800 companions in five halls an entry then receives reports from 174
+ * companions instead of 800. Reports to all entries were measured without
+ * loss at up to 55 entries; 40 leaves room for entries whose hall is not known
  * yet. */
-#define PARTIAL_VIEW_MOST 40
-/** Of them so many of its own hall; fewer where that has fewer. */
-#define PARTIAL_VIEW_OWN 24
+#define PARTIAL_VIEW_MAX_ENTRIES 40
+/** Of these, the number of entries of the companion's own hall; fewer if that
+ * hall has fewer. */
+#define PARTIAL_VIEW_OWN_HALL_ENTRIES 24
 
-/** Marks the entries that the companion at @p self in @p hall reports to: of
- * those in the list that was taken last (all that were ever named before the
- * first list), and of those that answered lately though no other hears them.
- * @p all: whatever their number. Returns how many are left out. */
+/** Sets `chosen` in the rows of the entries that the companion at @p self in
+ * @p hall reports to. Candidates are the entries of the last list received
+ * (before the first list, all entries that were ever named), seeds, and
+ * entries that answered lately though no other process hears them. @p all
+ * selects every entry, whatever their number. Returns the number of candidates
+ * not selected. */
 uint32_t PartialView_Choose(const Peers *peers, int64_t now_ms, Address self,
                             const char *hall, bool all);
 
--- a/lease/peers.c
+++ b/lease/peers.c
@@ -3,16 +3,19 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Who has not spoken for so long is not told of to others. */
-#define LIVE_MS 8000
-/* Who is no seed and was neither heard nor named for so long is dropped. */
-#define FORGET_MS 20000
-
-/* Calls to one that was heard or named first lately are given up soon: it may
- * be starting, and what was sent before it listened is lost. */
+/* An entry not heard for this long is no longer live and is left out of the
+ * lists sent to other processes. */
+#define LIVE_TIMEOUT_MS 8000
+/* An entry that is no seed and was neither heard nor named for this long is
+ * removed. */
+#define REMOVE_AFTER_MS 20000
+
+/* Calls to an entry that is not live, but was last heard or first named less
+ * than STARTING_MS ago, have a short timeout: it may be starting, and what was
+ * sent before it listened is lost. */
 #define STARTING_MS 8000
-#define STARTING_PATIENCE_MS 120
-#define PATIENCE_MS 1000
+#define STARTING_CALL_TIMEOUT_MS 120
+#define CALL_TIMEOUT_MS 1000
 
 static uint64_t
 digest_of(Address address)
@@ -74,7 +77,7 @@
         row->waiting = g_array_new(FALSE, TRUE, sizeof(Peers_Count));
         g_ptr_array_add(peers->rows, row);
     }
-    row->known_ms = now_ms;
+    row->last_named_ms = now_ms;
     return is_new;
 }
 
@@ -108,13 +111,13 @@
         }
     }
     peers->list_digest = digest;
-    peers->list_ms = now_ms;
+    peers->list_confirmed_ms = now_ms;
 }
 
 void
 Peers_ConfirmList(Peers *peers, int64_t now_ms)
 {
-    peers->list_ms = now_ms;
+    peers->list_confirmed_ms = now_ms;
 }
 
 bool
@@ -173,11 +176,12 @@
 
     while (i < peers->rows->len) {
         const Peers_Row *row = g_ptr_array_index(peers->rows, i);
-        int64_t last_ms = MAX(row->heard_ms, row->known_ms);
+        int64_t last_known_ms = MAX(row->heard_ms, row->last_named_ms);
         if (row->listed) {
-            last_ms = MAX(last_ms, peers->list_ms);
+            last_known_ms = MAX(last_known_ms, peers->list_confirmed_ms);
         }
-        if (!row->seed && row->call_id == 0 && now_ms - last_ms > FORGET_MS) {
+        if (!row->seed && row->call_id == 0 &&
+            now_ms - last_known_ms > REMOVE_AFTER_MS) {
             g_ptr_array_remove_index_fast(peers->rows, i);
         }
         else {
@@ -189,7 +193,7 @@
 bool
 Peers_IsLive(const Peers_Row *row, int64_t now_ms)
 {
-    return row->heard_ms > 0 && now_ms - row->heard_ms < LIVE_MS;
+    return row->heard_ms > 0 && now_ms - row->heard_ms < LIVE_TIMEOUT_MS;
 }
 
 int64_t
@@ -198,19 +202,19 @@
     int64_t silent_ms = now_ms - MAX(row->heard_ms, row->since_ms);
 
     if (Peers_IsLive(row, now_ms) || silent_ms > STARTING_MS) {
-        return PATIENCE_MS;
+        return CALL_TIMEOUT_MS;
     }
-    return STARTING_PATIENCE_MS;
+    return STARTING_CALL_TIMEOUT_MS;
 }
 
 GArray *
-Peers_Live(const Peers *peers, int64_t now_ms, Address with)
+Peers_Live(const Peers *peers, int64_t now_ms, Address extra)
 {
     GArray *live = g_array_new(FALSE, FALSE, sizeof(Address));
     guint i;
 
-    if (with != 0) {
-        g_array_append_val(live, with);
+    if (extra != 0) {
+        g_array_append_val(live, extra);
     }
     for (i = 0; i < peers->rows->len; i++) {
         const Peers_Row *row = g_ptr_array_index(peers->rows, i);
@@ -246,8 +250,8 @@
 }
 
 int64_t
-Peers_SpacedMs(const Peers *peers, int64_t each_ms, int64_t least_ms,
-               int64_t most_ms)
+Peers_SpacedMs(const Peers *peers, int64_t per_peer_ms, int64_t min_ms,
+               int64_t max_ms)
 {
-    return CLAMP(each_ms * (int64_t)peers->rows->len, least_ms, most_ms);
+    return CLAMP(per_peer_ms * (int64_t)peers->rows->len, min_ms, max_ms);
 }
--- a/lease/peers.h
+++ b/lease/peers.h
@@ -1,7 +1,7 @@
 /**
  * @file peers.h
- * @brief The entries that a process knows: from its settings, and from what
- * other processes say they have heard of lately.
+ * @brief The entries that a process knows, from its settings and from lists of
+ * live entries that other processes send.
  *
  * Times are monotonic, in ms.
  */
@@ -20,24 +20,26 @@
     Address address;
     char hall[LC_MAX_NAME]; /**< "" while it is not known */
     bool seed;              /**< named by the settings */
-    bool listed;            /**< in the list that was taken last */
+    bool listed;            /**< in the last list received */
     bool chosen;            /**< see lease/partial_view.h */
-    bool connected;   /**< it was called since its connection was closed */
-    int64_t heard_ms; /**< last word of it; 0 for never */
-    int64_t since_ms; /**< when this row was made */
-    int64_t known_ms; /**< when it was last named by anybody */
-    int64_t asked_ms; /**< when the call on its way was sent */
+    bool connected;         /**< called since its connection was closed */
+    int64_t heard_ms;       /**< last message from it; 0 for never */
+    int64_t since_ms;       /**< when this row was created */
+    int64_t last_named_ms;  /**< when any process last named it */
+    int64_t asked_ms;       /**< when the pending call was sent */
     int64_t
-        told_ms; /**< when it was last told of us, by a call or an answer */
-    uint64_t call_id;    /**< call on its way, or 0 */
-    uint64_t told;       /**< version of our state that it was told */
-    uint64_t telling;    /**< version on its way */
-    uint32_t gap_ms;     /**< it wants to be told at most so often */
-    uint64_t digest;     /**< of the entries that it knows, as it told last */
-    bool told_waiting;   /**< it was told last that jobs wait here */
-    int64_t told_routes; /**< version of ours that it was told last */
-    int64_t routes_version; /**< of its routes, as it told last; -1: none */
-    GArray *waiting;        /**< Peers_Count, as it told last */
+        told_ms; /**< when it was last sent our state, by a call or reply */
+    uint64_t call_id;  /**< pending call, or 0 */
+    uint64_t told;     /**< version of our state that it has confirmed */
+    uint64_t telling;  /**< version of our state in the pending call */
+    uint32_t gap_ms;   /**< report interval that it asks for */
+    uint64_t digest;   /**< of the entries that it knows, from its last
+                          message */
+    bool told_waiting; /**< the last message to it said that jobs wait here */
+    int64_t told_routes;    /**< our route version in the last message to it */
+    int64_t routes_version; /**< its route version, from its last message; -1:
+                               none */
+    GArray *waiting;        /**< Peers_Count, from its last message */
 } Peers_Row;
 
 /** Waiting jobs of one queue at a peer. */
@@ -46,18 +48,18 @@
     uint32_t waiting;
 } Peers_Count;
 
-/** An entry as the register names it. */
+/** An entry as recorded in the registry. */
 typedef struct {
     Address address;
-    char hall[LC_MAX_NAME]; /**< "" if that is not told */
+    char hall[LC_MAX_NAME]; /**< "" if the record has none */
 } Peers_Named;
 
-/** All entries known but ourselves. */
+/** All known entries except this process. */
 typedef struct {
     Address self;
-    GPtrArray *rows;      /**< Peers_Row */
-    uint64_t list_digest; /**< of the list that was taken last; 0 before */
-    int64_t list_ms;      /**< when it was last told or confirmed */
+    GPtrArray *rows;           /**< Peers_Row */
+    uint64_t list_digest;      /**< of the last list received; 0 before */
+    int64_t list_confirmed_ms; /**< when it was last received or confirmed */
 } Peers;
 
 void Peers_Init(Peers *peers, Address self);
@@ -66,54 +68,57 @@
 /** Row of an address, or NULL. */
 Peers_Row *Peers_Find(const Peers *peers, Address address);
 
-/** Notes that an entry was named; returns whether it is new. */
+/** Adds an entry that was named by any process, or updates when that last
+ * happened; returns whether it is new. */
 bool Peers_Name(Peers *peers, Address address, int64_t now_ms);
 
-/** Notes the hall of an entry that is known; NULL or "" tells nothing. */
+/** Sets the hall of a known entry; ignored if @p hall is NULL or "". */
 void Peers_SetHall(Peers *peers, Address address, const char *hall);
 
-/** Takes the list of all entries that another process hears, in place of the
- * list before. */
+/** Replaces the list of all live entries by one from another process. */
 void Peers_TakeList(Peers *peers, const u_quad_t *entries, u_int count,
                     int64_t now_ms);
 
-/** Another process has the same list. */
+/** Records that another process still has the same list. */
 void Peers_ConfirmList(Peers *peers, int64_t now_ms);
 
-/** Notes that an entry spoke; returns whether it had not lately. */
+/** Marks an entry as live, as it sent a message; returns whether it was not
+ * live before. */
 bool Peers_Hear(Peers *peers, Address address, int64_t now_ms);
 
-/** Sets the seeds of the settings. */
+/** Sets the seeds from the settings. */
 void Peers_SetSeeds(Peers *peers, const Address *seeds, uint32_t count,
                     int64_t now_ms);
 
-/** Row that waits for the answer of a call, or NULL. */
+/** Row with this pending call, or NULL. */
 Peers_Row *Peers_OfCall(const Peers *peers, uint64_t call_id);
 
-/** Drops rows that are no seeds and have been silent for long. */
+/** Removes rows of entries that are no seeds, have no pending call, and were
+ * neither heard nor named for long. */
 void Peers_Forget(Peers *peers, int64_t now_ms);
 
-/** Whether an entry spoke lately. */
+/** Whether an entry is live: it sent a message lately. */
 bool Peers_IsLive(const Peers_Row *row, int64_t now_ms);
 
-/** How long the answer of a peer is waited for, and how often one that has
- * not spoken lately is called, in ms: often at first, as it may be starting,
- * seldom after some seconds. */
+/** Timeout of a call to a peer, and interval between calls to a peer that is
+ * not live, in ms: short at first, as it may be starting, longer after some
+ * seconds. */
 int64_t Peers_PatienceMs(const Peers_Row *row, int64_t now_ms);
 
-/** Addresses that spoke lately, and @p with unless it is 0; the caller frees
+/** Addresses of the live peers, and @p extra unless it is 0; the caller frees
  * the array. */
-GArray *Peers_Live(const Peers *peers, int64_t now_ms, Address with);
+GArray *Peers_Live(const Peers *peers, int64_t now_ms, Address extra);
 
-/** Number of those that spoke lately. */
+/** Number of live peers. */
 uint32_t Peers_CountLive(const Peers *peers, int64_t now_ms);
 
-/** Digest of a set of addresses, whatever their order. */
+/** Digest of a set of addresses, independent of their order. */
 uint64_t Peers_Digest(const GArray *addresses);
 
-/** How often one that is well is called, in ms: so often that the calls of
- * all together stay few, within bounds. */
-int64_t Peers_SpacedMs(const Peers *peers, int64_t each_ms, int64_t least_ms,
-                       int64_t most_ms);
+/** Interval between calls to a healthy peer, in ms: @p per_peer_ms per known
+ * peer, so that the total call rate stays low, within @p min_ms and @p max_ms.
+ */
+int64_t Peers_SpacedMs(const Peers *peers, int64_t per_peer_ms, int64_t min_ms,
+                       int64_t max_ms);
 
 #endif
--- a/lease/registry.c
+++ b/lease/registry.c
@@ -1,41 +1,41 @@
 #include "lease/registry.h"
 
-/* After a read that failed; doubled up to the most. Chosen: some tries within
- * the second that a restart of everything should take, then a call every two
- * seconds while the store is away. */
+/* Delay after a failed call, doubled up to the maximum: several tries within
+ * the second that a restart of the whole fleet should take, then a call every
+ * two seconds while the store is unavailable. */
 #define RETRY_MS 100
-#define RETRY_MOST_MS 2000
-/* A process that hears no entry reads again so often. Chosen as long as an
- * entry that is no seed may take to answer. */
-#define ALONE_MS 1000
-/* An entry looks for its own record, and for those of entries that are gone,
- * so often: two reads a second of 60 entries. Chosen. */
+#define RETRY_MAX_MS 2000
+/* Read interval of a process without live peers: the time that an entry which
+ * is no seed may take to answer. */
+#define ISOLATED_READ_MS 1000
+/* Interval at which an entry looks for its own record and for records of
+ * entries that are gone: two reads a second by 60 entries together. */
 #define REFRESH_MS 30000
-/* The record of an entry that was silent for so long is dropped: longer than
- * a restart or a cut usually takes; who lives puts its own again at its next
- * refresh. Chosen. */
+/* The record of an entry that was silent for this long is deleted. Longer than
+ * a restart or a network partition usually takes; a live entry whose record
+ * was deleted writes it again at its next refresh. */
 #define GONE_MS 60000
 
 void
 Registry_Init(Registry *registry, Address self, int64_t now_ms)
 {
     registry->self = self;
-    registry->calling = false;
-    registry->missing = false;
-    registry->again_ms = now_ms;
-    registry->pause_ms = RETRY_MS;
-    registry->silent = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-                                             g_free, g_free);
+    registry->call_pending = false;
+    registry->record_missing = false;
+    registry->next_read_ms = now_ms;
+    registry->retry_delay_ms = RETRY_MS;
+    registry->silent_since = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+                                                   g_free, g_free);
 }
 
 void
 Registry_Clear(Registry *registry)
 {
-    g_hash_table_unref(registry->silent);
+    g_hash_table_unref(registry->silent_since);
 }
 
 static bool
-hears_any(const Peers *peers, int64_t now_ms)
+has_live_peer(const Peers *peers, int64_t now_ms)
 {
     guint i;
 
@@ -47,9 +47,10 @@
     return false;
 }
 
-/* One live entry drops a record: the one whose address follows it. */
+/* Only one live entry deletes a record: the one whose address follows next,
+ * in ring order. */
 static bool
-is_next_of(Address self, Address gone, const Peers *peers, int64_t now_ms)
+is_successor(Address self, Address gone, const Peers *peers, int64_t now_ms)
 {
     guint i;
 
@@ -70,11 +71,11 @@
     gpointer address;
     gpointer since_ms;
 
-    g_hash_table_iter_init(&iter, registry->silent);
+    g_hash_table_iter_init(&iter, registry->silent_since);
     while (g_hash_table_iter_next(&iter, &address, &since_ms)) {
         *gone = *(const Address *)address;
         if (now_ms - *(const int64_t *)since_ms >= GONE_MS &&
-            is_next_of(registry->self, *gone, peers, now_ms)) {
+            is_successor(registry->self, *gone, peers, now_ms)) {
             return true;
         }
     }
@@ -85,40 +86,40 @@
 Registry_Next(Registry *registry, int64_t now_ms, const Peers *peers,
               Address *gone)
 {
-    bool hears = hears_any(peers, now_ms);
-    int64_t due_ms = registry->again_ms;
+    bool has_live = has_live_peer(peers, now_ms);
+    int64_t due_ms = registry->next_read_ms;
 
-    if (registry->calling) {
+    if (registry->call_pending) {
         return REGISTRY_WAIT;
     }
-    registry->calling = true;
-    if (registry->missing) {
-        registry->missing = false;
+    registry->call_pending = true;
+    if (registry->record_missing) {
+        registry->record_missing = false;
         return REGISTRY_PUT;
     }
-    if (registry->self != 0 && hears &&
+    if (registry->self != 0 && has_live &&
         find_gone(registry, now_ms, peers, gone)) {
-        g_hash_table_remove(registry->silent, gone);
+        g_hash_table_remove(registry->silent_since, gone);
         return REGISTRY_DROP;
     }
-    if (now_ms >= due_ms && (registry->self != 0 || !hears)) {
+    if (now_ms >= due_ms && (registry->self != 0 || !has_live)) {
         return REGISTRY_READ;
     }
-    registry->calling = false;
+    registry->call_pending = false;
     return REGISTRY_WAIT;
 }
 
 static void
-note_silent(Registry *registry, int64_t now_ms, Address address,
-            const Peers *peers)
+update_silent(Registry *registry, int64_t now_ms, Address address,
+              const Peers *peers)
 {
     const Peers_Row *row = Peers_Find(peers, address);
 
     if (row != NULL && Peers_IsLive(row, now_ms)) {
-        g_hash_table_remove(registry->silent, &address);
+        g_hash_table_remove(registry->silent_since, &address);
     }
-    else if (!g_hash_table_contains(registry->silent, &address)) {
-        g_hash_table_insert(registry->silent,
+    else if (!g_hash_table_contains(registry->silent_since, &address)) {
+        g_hash_table_insert(registry->silent_since,
                             g_memdup2(&address, sizeof(address)),
                             g_memdup2(&now_ms, sizeof(now_ms)));
     }
@@ -131,13 +132,14 @@
     bool found = false;
     guint i;
 
-    registry->calling = false;
+    registry->call_pending = false;
     if (entries == NULL) {
-        registry->again_ms = now_ms + registry->pause_ms;
-        registry->pause_ms = MIN(2 * registry->pause_ms, RETRY_MOST_MS);
+        registry->next_read_ms = now_ms + registry->retry_delay_ms;
+        registry->retry_delay_ms = MIN(2 * registry->retry_delay_ms,
+                                       RETRY_MAX_MS);
         return;
     }
-    registry->pause_ms = RETRY_MS;
+    registry->retry_delay_ms = RETRY_MS;
     for (i = 0; i < entries->len; i++) {
         const Peers_Named *named = &g_array_index(entries, Peers_Named, i);
         Address address = named->address;
@@ -145,20 +147,22 @@
         if (address != registry->self) {
             Peers_Name(peers, address, now_ms);
             Peers_SetHall(peers, address, named->hall);
-            note_silent(registry, now_ms, address, peers);
+            update_silent(registry, now_ms, address, peers);
         }
     }
-    registry->missing = registry->self != 0 && !found;
-    registry->again_ms = now_ms +
-                         (hears_any(peers, now_ms) ? REFRESH_MS : ALONE_MS);
+    registry->record_missing = registry->self != 0 && !found;
+    registry->next_read_ms = now_ms + (has_live_peer(peers, now_ms)
+                                           ? REFRESH_MS
+                                           : ISOLATED_READ_MS);
 }
 
 void
 Registry_OnWritten(Registry *registry, int64_t now_ms, bool confirmed)
 {
-    registry->calling = false;
+    registry->call_pending = false;
     if (!confirmed) {
-        registry->again_ms = now_ms + registry->pause_ms;
-        registry->pause_ms = MIN(2 * registry->pause_ms, RETRY_MOST_MS);
+        registry->next_read_ms = now_ms + registry->retry_delay_ms;
+        registry->retry_delay_ms = MIN(2 * registry->retry_delay_ms,
+                                       RETRY_MAX_MS);
     }
 }
--- a/lease/registry.h
+++ b/lease/registry.h
@@ -1,15 +1,15 @@
 /**
  * @file registry.h
- * @brief When a process reads the register of entries in the platform's store,
- * and when an entry puts its own record there or drops one of an entry that is
- * gone.
+ * @brief Decides when a process reads the registry of entries in the
+ * platform's store, and when an entry writes its own record or deletes the
+ * record of an entry that is gone.
  *
- * Seeds may start last of all, or be replaced while a process is cut off; the
- * register names every entry at the first read: after all power was lost, 295
- * processes knew each other 0.33 s sooner (middle of all, three seeds that
- * start 0.3 s late). It is a hint: who is named is
- * called, and nobody is taken as live or gone for what stands there. Times are
- * monotonic, in ms.
+ * Seeds may start last, or be replaced while a process is cut off; the
+ * registry names every entry at the first read. After a power loss of the
+ * whole fleet, with three seeds that started 0.3 s late, 295 processes knew
+ * each other 0.33 s sooner (median) than without the registry. The registry is
+ * only a hint: an entry that it names is called, but never counts as live or
+ * gone because of it. Times are monotonic, in ms.
  */
 #ifndef LC_LEASE_REGISTRY_H
 #define LC_LEASE_REGISTRY_H
@@ -20,39 +20,41 @@
 
 #include "lease/peers.h"
 
-/** What is to be done next. */
+/** What the caller has to do next. */
 typedef enum {
-    REGISTRY_WAIT,
-    REGISTRY_READ,
-    REGISTRY_PUT, /**< our own record */
-    REGISTRY_DROP /**< that of an entry that is gone */
+    REGISTRY_WAIT, /**< nothing */
+    REGISTRY_READ, /**< read all records */
+    REGISTRY_PUT,  /**< write our own record */
+    REGISTRY_DROP  /**< delete the record of an entry that is gone */
 } Registry_Step;
 
-/** State of a process towards the register. */
+/** A process's use of the registry. */
 typedef struct {
-    Address self;       /**< entry that is registered; 0 for a reader alone */
-    bool calling;       /**< a call is on its way */
-    bool missing;       /**< our own record was not there */
-    int64_t again_ms;   /**< the next read is due */
-    int64_t pause_ms;   /**< after the next read that fails */
-    GHashTable *silent; /**< Address -> int64_t, since when it was silent */
+    Address self;           /**< entry to register; 0 for a reader only */
+    bool call_pending;      /**< a call to the store has no answer yet */
+    bool record_missing;    /**< the last read did not find our own record */
+    int64_t next_read_ms;   /**< when the next read is due */
+    int64_t retry_delay_ms; /**< delay after the next failed call */
+    GHashTable
+        *silent_since; /**< Address -> int64_t, when first seen as not live */
 } Registry;
 
-/** @p self is the entry to be registered, or 0 for a process that reads. */
+/** @p self is the entry to register, or 0 for a process that only reads. */
 void Registry_Init(Registry *registry, Address self, int64_t now_ms);
 void Registry_Clear(Registry *registry);
 
-/** The next call, which is taken to be on its way from now on; @p gone is set
- * for REGISTRY_DROP. */
+/** Returns the next call, which counts as pending from now on. For
+ * REGISTRY_DROP, @p gone is set to the entry whose record to delete. */
 Registry_Step Registry_Next(Registry *registry, int64_t now_ms,
                             const Peers *peers, Address *gone);
 
-/** The register was read; names all entries to @p peers. @p entries is an
+/** The registry was read; adds all its entries to @p peers. @p entries is an
  * array of Peers_Named, or NULL if the read failed. */
 void Registry_OnRead(Registry *registry, int64_t now_ms, const GArray *entries,
                      Peers *peers);
 
-/** A record was written, or the store did not say so. */
+/** A record was written or deleted; @p confirmed is false if the store did not
+ * confirm it. */
 void Registry_OnWritten(Registry *registry, int64_t now_ms, bool confirmed);
 
 #endif
--- a/lease/route.c
+++ b/lease/route.c
@@ -30,7 +30,7 @@
 drop_index(Route_Table *table)
 {
     g_clear_pointer(&table->by_prefix, g_hash_table_unref);
-    g_clear_pointer(&table->lengths, g_array_unref);
+    g_clear_pointer(&table->prefix_lengths, g_array_unref);
 }
 
 Route *
@@ -61,7 +61,7 @@
     if (route->advised) {
         return Err_Set(
             status, ERR_UNSUPPORTED,
-            "not served yet: queues whose starts need an adviser's ticket");
+            "not supported yet: queues whose starts need an admission ticket");
     }
     return LeasedJob_Check(job, status);
 }
@@ -76,7 +76,7 @@
 }
 
 static void
-note_length(GArray *lengths, size_t length)
+add_length(GArray *lengths, size_t length)
 {
     guint i;
 
@@ -88,26 +88,27 @@
     g_array_append_val(lengths, length);
 }
 
-/* A search looks a few texts up, as a table may hold thousands of queues. Of
- * two queues with one prefix the later is found. */
+/* Makes a search a few hash lookups, one for each distinct prefix length, as a
+ * table may hold thousands of queues. Of two queues with the same host and
+ * prefix, the later one is found. */
 static void
-make_index(Route_Table *table)
+build_index(Route_Table *table)
 {
     guint i;
 
     table->by_prefix = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                              NULL);
-    table->lengths = g_array_new(FALSE, FALSE, sizeof(size_t));
+    table->prefix_lengths = g_array_new(FALSE, FALSE, sizeof(size_t));
     for (i = 0; i < table->routes->len; i++) {
         Route *route = g_ptr_array_index(table->routes, i);
         char *host = g_ascii_strdown(route->authority, -1);
         g_hash_table_insert(table->by_prefix,
                             g_strconcat(host, route->path_prefix, NULL),
                             route);
-        note_length(table->lengths, strlen(route->path_prefix));
+        add_length(table->prefix_lengths, strlen(route->path_prefix));
         g_free(host);
     }
-    g_array_sort(table->lengths, compare_longest_first);
+    g_array_sort(table->prefix_lengths, compare_longest_first);
 }
 
 int64_t
@@ -142,11 +143,11 @@
     guint i;
 
     if (table->by_prefix == NULL) {
-        make_index(table);
+        build_index(table);
     }
     g_string_append(key, path);
-    for (i = 0; found == NULL && i < table->lengths->len; i++) {
-        size_t length = g_array_index(table->lengths, size_t, i);
+    for (i = 0; found == NULL && i < table->prefix_lengths->len; i++) {
+        size_t length = g_array_index(table->prefix_lengths, size_t, i);
         if (length <= path_length) {
             g_string_truncate(key, host_length + length);
             found = g_hash_table_lookup(table->by_prefix, key->str);
--- a/lease/route.h
+++ b/lease/route.h
@@ -1,9 +1,10 @@
 /**
  * @file route.h
- * @brief The table of queues that operators set: which requests belong to
- * which queue, the service that runs its tasks, and its policy.
+ * @brief The route table that operators configure: which requests belong to
+ * which queue, the service that runs the queue's tasks, and its policy.
  *
- * A table is never changed: a newer one takes its place. Errors: BAD_RECORD.
+ * Queues of a table in use are never changed: a newer table replaces the whole
+ * one. Errors: BAD_RECORD.
  */
 #ifndef LC_LEASE_ROUTE_H
 #define LC_LEASE_ROUTE_H
@@ -14,29 +15,29 @@
 
 #include "lease/job.h"
 
-/** One queue. Texts are owned by the table. */
+/** One queue. Strings are owned by the table. */
 typedef struct {
     char *name;
     char *authority;   /**< host name that its requests are sent to */
-    char *path_prefix; /**< with its final slash */
+    char *path_prefix; /**< including the final slash */
     char *service;
-    int32_t priority; /**< 0 comes first */
+    int32_t priority; /**< 0 is the highest */
     uint32_t max_attempts;
     uint32_t timeout_ms;
-    uint32_t target_ms;       /**< allowed beyond the stretched work */
-    uint32_t stretch_percent; /**< of the longest chain of work */
-    bool advised;             /**< starts need tickets of an adviser */
+    uint32_t target_ms;       /**< added to the stretched critical path */
+    uint32_t stretch_percent; /**< percentage of a job's critical path */
+    bool advised;             /**< starts need an admission ticket */
 } Route;
 
 /** All queues of one version. */
 typedef struct {
     int64_t version;
-    GPtrArray *routes;     /**< Route */
-    GHashTable *by_prefix; /**< host name in small letters with the prefix ->
-                              Route; made by the first search */
-    GArray *lengths;       /**< of all prefixes, the longest first */
-    uint32_t body_bytes;   /**< longest body of a request */
-    char *source;          /**< the record it was read from, for peers */
+    GPtrArray *routes;      /**< Route */
+    GHashTable *by_prefix;  /**< lower-case host name followed by the prefix ->
+                               Route; built by the first search */
+    GArray *prefix_lengths; /**< distinct lengths of prefixes, descending */
+    uint32_t body_bytes;    /**< maximum length of a request body */
+    char *source;           /**< the record it was read from, for peers */
     size_t source_length;
 } Route_Table;
 
@@ -47,19 +48,19 @@
 
 void Route_FreeTable(Route_Table *table);
 
-/** Whether jobs of this kind are served in this queue. Errors: UNSUPPORTED
- * with the part that is not. */
+/** Whether the queue can serve @p job. Errors: UNSUPPORTED, with the feature
+ * that is not supported. */
 Err_Kind Route_Check(const Route *route, const LeasedJob *job, Status *status);
 
-/** Time from handing a job in within which its answer has its whole worth, in
- * ms. */
+/** Latency objective of the job in ms, from its submission: an answer within
+ * it has its full value. */
 int64_t Route_ObjectiveMs(const Route *route, const LeasedJob *job);
 
 /** Queue of that name, or NULL. */
 const Route *Route_Named(const Route_Table *table, const char *name);
 
-/** Queue with the longest prefix of @p path at @p authority (a port behind
- * it is passed over), or NULL. */
+/** Queue with the longest prefix of @p path at @p authority (a port in it is
+ * ignored), or NULL. */
 const Route *Route_Find(Route_Table *table, const char *authority,
                         const char *path);
 
--- a/lease/routes_fetch.c
+++ b/lease/routes_fetch.c
@@ -1,18 +1,18 @@
 #include "lease/routes_fetch.h"
 
-/* The store's own copy comes within a round trip and its time on the line.
- * Half of the least config_apply_ms (2,000) stays for the fetch if it does
- * not. */
-#define STORE_FIRST_MS 300
-/* A chunk is given up after so long: at 64 KiB/s, the slowest line that is
- * reckoned with, it needs half of this. */
-#define CHUNK_PATIENCE_MS 1000
+/* Head start of the store: its own copy arrives within a round trip and the
+ * time to transfer it. If it does not, half of the smallest config_apply_ms
+ * (2,000) is left for the fetch. */
+#define STORE_HEAD_START_MS 300
+/* Timeout of a call for one chunk. At 64 KiB/s, the slowest link considered,
+ * a chunk needs half of this. */
+#define CHUNK_TIMEOUT_MS 1000
 
 void
-RoutesFetch_Init(Routes_Fetch *fetch, uint32_t turn)
+RoutesFetch_Init(Routes_Fetch *fetch, uint32_t next_peer)
 {
     fetch->bytes = g_byte_array_new();
-    fetch->turn = turn;
+    fetch->next_peer = next_peer;
 }
 
 void
@@ -24,7 +24,7 @@
 }
 
 static void
-begin_anew(Routes_Fetch *fetch, int64_t version)
+restart(Routes_Fetch *fetch, int64_t version)
 {
     fetch->version = version;
     fetch->total = 0;
@@ -32,19 +32,19 @@
 }
 
 static bool
-is_whole(const Routes_Fetch *fetch)
+is_complete(const Routes_Fetch *fetch)
 {
     return fetch->total > 0 && fetch->bytes->len == fetch->total;
 }
 
 static bool
-has_newer(const Peers_Row *peer, int64_t now_ms, int64_t version)
+has_newer_routes(const Peers_Row *peer, int64_t now_ms, int64_t version)
 {
     return Peers_IsLive(peer, now_ms) && peer->routes_version > version;
 }
 
-/* The peer asked last goes on, unless it has failed; else the next in turn,
- * and the one that failed only if there is no other. */
+/* Stays with the last peer unless it has failed. Otherwise takes the next in
+ * round-robin order, and the failed one only if there is no other. */
 static const Peers_Row *
 choose_peer(Routes_Fetch *fetch, int64_t now_ms, int64_t version,
             const Peers *peers)
@@ -53,11 +53,11 @@
     guint i;
 
     for (i = 0; i < peers->rows->len; i++) {
-        guint place = (fetch->turn + i) % peers->rows->len;
-        const Peers_Row *peer = g_ptr_array_index(peers->rows, place);
+        guint index = (fetch->next_peer + i) % peers->rows->len;
+        const Peers_Row *peer = g_ptr_array_index(peers->rows, index);
         bool is_last = peer->address == fetch->from;
 
-        if (!has_newer(peer, now_ms, version)) {
+        if (!has_newer_routes(peer, now_ms, version)) {
             continue;
         }
         if (is_last && !fetch->failed) {
@@ -70,21 +70,22 @@
     return found;
 }
 
-/* Without any routes nothing is served: that does not wait for the store. */
+/* Without routes no request can be served, so the first table is fetched
+ * without waiting for the store. */
 static bool
-may_begin(const Routes_Fetch *fetch, int64_t now_ms, int64_t version,
+may_start(const Routes_Fetch *fetch, int64_t now_ms, int64_t version,
           bool store_answers)
 {
     return version < 0 || !store_answers ||
-           now_ms - fetch->behind_ms >= STORE_FIRST_MS;
+           now_ms - fetch->newer_since_ms >= STORE_HEAD_START_MS;
 }
 
 static void
-stop(Routes_Fetch *fetch)
+reset(Routes_Fetch *fetch)
 {
-    fetch->behind_ms = 0;
+    fetch->newer_since_ms = 0;
     fetch->asking = false;
-    begin_anew(fetch, -1);
+    restart(fetch, -1);
 }
 
 bool
@@ -94,31 +95,31 @@
 {
     const Peers_Row *peer;
 
-    if (fetch->asking && now_ms - fetch->asked_ms >= CHUNK_PATIENCE_MS) {
+    if (fetch->asking && now_ms - fetch->sent_ms >= CHUNK_TIMEOUT_MS) {
         RoutesFetch_Fail(fetch);
     }
     peer = choose_peer(fetch, now_ms, version, peers);
     if (peer == NULL) {
-        stop(fetch);
+        reset(fetch);
         return false;
     }
-    if (fetch->behind_ms == 0 || is_whole(fetch)) {
-        /* A record that came whole and was of no use is not asked for again at
-         * once. */
-        begin_anew(fetch, -1);
-        fetch->behind_ms = now_ms;
+    if (fetch->newer_since_ms == 0 || is_complete(fetch)) {
+        /* A record that was received whole but could not be used is not
+         * fetched again at once: the store's head start begins anew. */
+        restart(fetch, -1);
+        fetch->newer_since_ms = now_ms;
     }
-    if (fetch->asking || !may_begin(fetch, now_ms, version, store_answers)) {
+    if (fetch->asking || !may_start(fetch, now_ms, version, store_answers)) {
         return false;
     }
     if (fetch->version <= version || (peer->address != fetch->from &&
                                       peer->routes_version < fetch->version)) {
-        begin_anew(fetch, peer->routes_version);
+        restart(fetch, peer->routes_version);
     }
     fetch->from = peer->address;
     fetch->failed = false;
     fetch->asking = true;
-    fetch->asked_ms = now_ms;
+    fetch->sent_ms = now_ms;
     call->to = peer->address;
     call->args.routes_version = fetch->version;
     call->args.offset = fetch->bytes->len;
@@ -126,14 +127,14 @@
 }
 
 static bool
-is_useful(const Routes_Fetch *fetch, const lc_routes_res *answer)
+is_usable(const Routes_Fetch *fetch, const lc_routes_res *reply)
 {
-    return answer->routes_version == fetch->version &&
-           answer->data.data_len > 0 && answer->total <= ROUTES_FETCH_MOST &&
-           answer->offset == fetch->bytes->len &&
-           answer->offset <= answer->total &&
-           answer->data.data_len <= answer->total - answer->offset &&
-           (fetch->total == 0 || answer->total == fetch->total);
+    return reply->routes_version == fetch->version &&
+           reply->data.data_len > 0 && reply->total <= ROUTES_FETCH_MOST &&
+           reply->offset == fetch->bytes->len &&
+           reply->offset <= reply->total &&
+           reply->data.data_len <= reply->total - reply->offset &&
+           (fetch->total == 0 || reply->total == fetch->total);
 }
 
 void
@@ -141,22 +142,22 @@
 {
     fetch->asking = false;
     fetch->failed = true;
-    fetch->turn++;
+    fetch->next_peer++;
 }
 
 RoutesFetch_Step
-RoutesFetch_Take(Routes_Fetch *fetch, const lc_routes_res *answer)
+RoutesFetch_Take(Routes_Fetch *fetch, const lc_routes_res *reply)
 {
     fetch->asking = false;
-    if (answer->routes_version > fetch->version) {
-        begin_anew(fetch, answer->routes_version);
+    if (reply->routes_version > fetch->version) {
+        restart(fetch, reply->routes_version);
     }
-    if (!is_useful(fetch, answer)) {
+    if (!is_usable(fetch, reply)) {
         RoutesFetch_Fail(fetch);
         return ROUTES_FETCH_FAILED;
     }
-    fetch->total = answer->total;
-    g_byte_array_append(fetch->bytes, (const guint8 *)answer->data.data_val,
-                        answer->data.data_len);
-    return is_whole(fetch) ? ROUTES_FETCH_WHOLE : ROUTES_FETCH_MORE;
+    fetch->total = reply->total;
+    g_byte_array_append(fetch->bytes, (const guint8 *)reply->data.data_val,
+                        reply->data.data_len);
+    return is_complete(fetch) ? ROUTES_FETCH_WHOLE : ROUTES_FETCH_MORE;
 }
--- a/lease/store_wait.h
+++ b/lease/store_wait.h
@@ -1,17 +1,18 @@
 /**
  * @file store_wait.h
- * @brief How long the platform's store may hold an entry's reads.
+ * @brief How long the platform's store may hold an entry's long-poll reads.
  *
- * A record is told at once however long a read is held. What the time bounds
- * is how old the news may be that nothing was put there: a read confirms what
- * stood in the store when it was asked. It also bounds how long it takes until
- * a connection that has gone silent is noticed. Each read is a call.
+ * A new record is returned at once however long a read may be held. The wait
+ * bounds how old the knowledge that nothing was added may be, since a read
+ * confirms what the store held when the read was sent. It also bounds how long
+ * it takes until a dead connection is noticed. Each read is a call to the
+ * store.
  *
- * Entries tell each other of newer routes and closed halls, and how old that
- * knowledge is. So it is enough if some of them, the watchers, ask each
- * second; the others ask the more seldom the more they are, and the calls of
- * all together stay below 25 a second. An entry that hears no other is a
- * watcher.
+ * Entries inform each other of newer routes and closed halls, and of the age
+ * of that knowledge. It is therefore enough that a few of them, the watchers,
+ * read each second; the others read less often the more entries there are, and
+ * all entries together stay below 25 calls a second. An entry without live
+ * peers is a watcher.
  */
 #ifndef LC_LEASE_STORE_WAIT_H
 #define LC_LEASE_STORE_WAIT_H
@@ -21,24 +22,25 @@
 
 #include "lease/peers.h"
 
-/** Whether the entry is among the watchers: those of the lowest hashes of all
- * that it hears. Entries that hear the same agree; where they do not, there is
- * one more or one less for a while. */
+/** Whether this entry is a watcher: one of those with the lowest hashes among
+ * itself and its live peers. Entries with the same live peers agree; while
+ * they differ, there may be one watcher more or less. */
 bool StoreWait_IsWatcher(const Peers *peers, int64_t now_ms);
 
-/** Time in ms for the next read of the operators' records of an entry that
- * hears @p live others and is no watcher; drawn, so that entries that started
- * together do not ask together. Few entries ask as watchers do. */
+/** Wait in ms for the next read of the operators' records by an entry with
+ * @p live live peers that is no watcher. It is randomized, so that entries
+ * that started together do not read together. In a small fleet it equals a
+ * watcher's. */
 uint32_t StoreWait_Draw(uint32_t live, uint64_t *random);
 
-/** Time in ms for a watcher's read. */
+/** Wait in ms for a watcher's read. */
 uint32_t StoreWait_Watcher(void);
 
-/** Time in ms for a read of the kept jobs' log while nobody waits for what
- * stands there: it grows with the entries, within the time after which one
- * that has not read counts as unable to look after jobs. A connection that
- * goes silent meanwhile is noticed so much later, and new jobs that have to be
- * kept are refused until then. */
+/** Wait in ms for a read of the durable jobs' log while no caller waits for
+ * its records. It grows with the number of entries, but stays below the time
+ * after which an entry that has not read the log counts as unable to own jobs.
+ * A connection that dies during the wait is noticed that much later, and until
+ * then new durable jobs are refused. */
 uint32_t StoreWait_Quiet(uint32_t live);
 
 #endif
