--- a/tests/halls_rules.c
+++ b/tests/halls_rules.c
@@ -1,6 +1,6 @@
 /*
- * Rules of closed halls: what is believed of whom, that nothing starts in one,
- * and what becomes of jobs that could run nowhere else.
+ * Closed halls: which messages change the known set, that no task starts in a
+ * closed hall, and what happens to jobs that could run nowhere else.
  */
 
 #include <glib.h>
@@ -16,62 +16,62 @@
 static const lc_node own_companion = {0x7f0000011b63, 900};
 static const lc_node other_companion = {0x7f0000011b64, 901};
 
-/* A message of up to two closed halls. */
+/* A message that names up to two closed halls. */
 static lc_closures
 message(int64_t as_of, uint32_t age_ms, const char *first, const char *second)
 {
     static lc_hall names[2];
-    lc_closures told = {.as_of = as_of, .age_ms = age_ms};
+    lc_closures received = {.as_of = as_of, .age_ms = age_ms};
 
     names[0] = (char *)(uintptr_t)first;
     names[1] = (char *)(uintptr_t)second;
-    told.halls.halls_len = first == NULL ? 0 : second == NULL ? 1 : 2;
-    told.halls.halls_val = names;
-    return told;
+    received.halls.halls_len = first == NULL ? 0 : second == NULL ? 1 : 2;
+    received.halls.halls_val = names;
+    return received;
 }
 
-/* ---- what is believed ---- */
+/* ---- the set of closed halls ---- */
 
 typedef struct {
     const char *name;
-    int64_t as_of; /* told after "own" was closed as of 5 */
+    int64_t as_of; /* received after "own" was closed as of 5 */
     const char *halls[2];
     Closures_Change change;
     bool own_closed;
-} belief_case;
+} update_case;
 
-static const belief_case belief_cases[] = {
-    {"/halls/a later word that names it not opens it",
+static const update_case update_cases[] = {
+    {"/halls/a later message without the hall opens it",
      6,
      {NULL, NULL},
      CLOSURES_DIFFERENT,
      false},
-    {"/halls/an earlier word never opens it",
+    {"/halls/an earlier message never opens it",
      4,
      {NULL, NULL},
      CLOSURES_OLDER,
      true},
-    {"/halls/another word of the same records changes nothing",
+    {"/halls/another message of the same records changes nothing",
      5,
      {NULL, NULL},
      CLOSURES_SAME,
      true},
-    {"/halls/who has read nothing is not believed",
+    {"/halls/a sender that read no records is ignored",
      -1,
      {NULL, NULL},
      CLOSURES_OLDER,
      true},
-    {"/halls/later records about other matters",
+    {"/halls/later records about other keys",
      9,
      {"own", NULL},
      CLOSURES_SAME,
      true},
-    {"/halls/another hall besides",
+    {"/halls/a second hall is closed",
      6,
      {"own", "other"},
      CLOSURES_DIFFERENT,
      true},
-    {"/halls/another hall in its place",
+    {"/halls/another hall is closed instead",
      6,
      {"other", NULL},
      CLOSURES_DIFFERENT,
@@ -79,69 +79,70 @@
 };
 
 static void
-check_belief(gconstpointer item)
+check_update(gconstpointer item)
 {
-    const belief_case *one = item;
-    lc_closures told = message(5, 0, "own", NULL);
+    const update_case *one = item;
+    lc_closures received = message(5, 0, "own", NULL);
     Closures closures;
 
     Closures_Init(&closures, START_MS);
     g_assert_false(Closures_Has(&closures, "own"));
-    g_assert_cmpint(Closures_Take(&closures, START_MS, START_MS, &told), ==,
-                    CLOSURES_DIFFERENT);
-    told = message(one->as_of, 0, one->halls[0], one->halls[1]);
-    g_assert_cmpint(Closures_Take(&closures, START_MS, START_MS, &told), ==,
-                    one->change);
+    g_assert_cmpint(Closures_Take(&closures, START_MS, START_MS, &received),
+                    ==, CLOSURES_DIFFERENT);
+    received = message(one->as_of, 0, one->halls[0], one->halls[1]);
+    g_assert_cmpint(Closures_Take(&closures, START_MS, START_MS, &received),
+                    ==, one->change);
     g_assert_cmpint(Closures_Has(&closures, "own"), ==, one->own_closed);
     Closures_Clear(&closures);
 }
 
-/* An answer counts from when it was asked for; what nobody asked for may have
- * been held up for any time. */
+/* An answer confirms the set as of its request; an unsolicited message may
+ * have been delayed for any time and confirms nothing. */
 static void
 test_confirmed(void)
 {
-    lc_closures told = message(5, 300, NULL, NULL);
+    lc_closures received = message(5, 300, NULL, NULL);
     Closures closures;
 
     Closures_Init(&closures, START_MS);
-    Closures_Take(&closures, START_MS + 2000, CLOSURES_UNASKED, &told);
+    Closures_Take(&closures, START_MS + 2000, CLOSURES_UNASKED, &received);
     g_assert_cmpint(Closures_AgeMs(&closures, START_MS + 2000), ==, 2000);
-    Closures_Take(&closures, START_MS + 3000, START_MS + 1000, &told);
+    Closures_Take(&closures, START_MS + 3000, START_MS + 1000, &received);
     g_assert_cmpint(Closures_AgeMs(&closures, START_MS + 3000), ==, 2300);
-    told = message(4, 0, NULL, NULL);
-    Closures_Take(&closures, START_MS + 3000, START_MS + 3000, &told);
+    received = message(4, 0, NULL, NULL);
+    Closures_Take(&closures, START_MS + 3000, START_MS + 3000, &received);
     g_assert_cmpint(Closures_AgeMs(&closures, START_MS + 3000), ==, 2300);
     Closures_Clear(&closures);
 }
 
 static void
-test_told_on(void)
+test_passed_on(void)
 {
-    lc_closures told = message(5, 100, "b", "a");
-    lc_closures again;
+    lc_closures received = message(5, 100, "b", "a");
+    lc_closures sent;
     Closures closures;
 
     Closures_Init(&closures, START_MS);
-    Closures_Tell(&closures, START_MS, &again);
-    g_assert_cmpint(again.as_of, ==, -1);
-    Closures_Take(&closures, START_MS + 500, START_MS + 500, &told);
-    Closures_Tell(&closures, START_MS + 550, &again);
-    g_assert_cmpint(again.as_of, ==, 5);
-    g_assert_cmpuint(again.age_ms, ==, 150);
-    g_assert_cmpuint(again.halls.halls_len, ==, 2);
-    g_assert_cmpstr(again.halls.halls_val[0], ==, "a");
+    Closures_Tell(&closures, START_MS, &sent);
+    g_assert_cmpint(sent.as_of, ==, -1);
+    Closures_Take(&closures, START_MS + 500, START_MS + 500, &received);
+    Closures_Tell(&closures, START_MS + 550, &sent);
+    g_assert_cmpint(sent.as_of, ==, 5);
+    g_assert_cmpuint(sent.age_ms, ==, 150);
+    g_assert_cmpuint(sent.halls.halls_len, ==, 2);
+    g_assert_cmpstr(sent.halls.halls_val[0], ==, "a");
     Closures_Clear(&closures);
 }
 
 /* ---- a companion ---- */
 
 static void
-tell_runner(runner_fixture *fix, int64_t as_of, const char *hall)
+inform_runner(runner_fixture *fix, int64_t as_of, const char *hall)
 {
-    lc_closures told = message(as_of, 0, hall, NULL);
+    lc_closures received = message(as_of, 0, hall, NULL);
 
-    Runner_TakeClosures(fix->runner, fix->now_ms, fix->now_ms, &told, "test");
+    Runner_TakeClosures(fix->runner, fix->now_ms, fix->now_ms, &received,
+                        "test");
 }
 
 typedef struct {
@@ -155,10 +156,9 @@
     {"/halls/a companion starts in an open hall", "other", 1, 1},
     {"/halls/a companion refuses a start in its closed hall", RUNNER_FIX_HALL,
      1, 0},
-    {"/halls/an entry that knows as much is refused too", RUNNER_FIX_HALL, 5,
-     0},
-    {"/halls/an entry that knows of later records is believed",
-     RUNNER_FIX_HALL, 6, 1},
+    {"/halls/an entry with the same records is refused too", RUNNER_FIX_HALL,
+     5, 0},
+    {"/halls/an entry with later records is trusted", RUNNER_FIX_HALL, 6, 1},
 };
 
 static void
@@ -168,7 +168,7 @@
     runner_fixture fix;
 
     RunnerFix_NewReady(&fix);
-    tell_runner(&fix, 5, one->closed);
+    inform_runner(&fix, 5, one->closed);
     fix.caller_as_of = one->caller_as_of;
     RunnerFix_CallRun(&fix, 1, 1, 1000, 100);
     g_assert_cmpint(fix.starts, ==, one->starts);
@@ -178,17 +178,17 @@
     Runner_Free(fix.runner);
 }
 
-/* What runs when its hall is closed goes on, its start is sent again, and its
- * end is told. */
+/* A run that began before its hall was closed goes on: its start is resent
+ * to the upstream, and its end is reported. */
 static void
-test_runs_go_on(void)
+test_runs_continue(void)
 {
     Runner_EndRow end = {1, RunnerFix_Run(1, 1), RUNNER_END_DONE};
     runner_fixture fix;
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 1000, 400);
-    tell_runner(&fix, 5, RUNNER_FIX_HALL);
+    inform_runner(&fix, 5, RUNNER_FIX_HALL);
     fix.now_ms += 150;
     Runner_Wake(fix.runner, fix.now_ms);
     g_assert_cmpint(fix.starts, ==, 2);
@@ -200,17 +200,17 @@
     Runner_Free(fix.runner);
 }
 
-/* Whoever was refused learns of the closed hall by the next report, which is
- * due at once. */
+/* An entry whose start was refused learns of the closed hall from the next
+ * report, which is due at once. */
 static void
-test_refused_is_told(void)
+test_refusal_triggers_report(void)
 {
     lc_report_args report;
     runner_fixture fix;
     uint64_t version;
 
     RunnerFix_NewReady(&fix);
-    tell_runner(&fix, 5, RUNNER_FIX_HALL);
+    inform_runner(&fix, 5, RUNNER_FIX_HALL);
     version = Runner_Version(fix.runner);
     RunnerFix_CallRun(&fix, 1, 1, 1000, 100);
     g_assert_cmpuint(Runner_Version(fix.runner), >, version);
@@ -227,7 +227,7 @@
     Route_Table *routes;
     Route *route;
     int64_t now_ms;
-    Address sent_to; /* of the last start; 0 for none */
+    Address sent_to; /* target of the last start; 0 for none */
     int64_t sent_as_of;
     uint64_t sent_id;
     int answers;
@@ -274,7 +274,7 @@
 
 static void
 report_as_of(entry_fixture *fix, const lc_node *node, const char *hall,
-             const lc_closures *told)
+             const lc_closures *received)
 {
     lc_report_args report;
 
@@ -290,13 +290,13 @@
     report.service = (char *)(uintptr_t) "service";
     report.instance = (char *)(uintptr_t) "i-1";
     report.next_ms = 500;
-    report.closures = *told;
+    report.closures = *received;
     Dispatcher_OnReport(fix->dispatcher, fix->now_ms, &report);
     Dispatcher_Settle(fix->dispatcher, fix->now_ms);
 }
 
 static void
-report(entry_fixture *fix)
+report_all(entry_fixture *fix)
 {
     const lc_closures nothing = {.as_of = -1};
 
@@ -305,12 +305,13 @@
 }
 
 static void
-tell(entry_fixture *fix, int64_t as_of, const char *first, const char *second)
+inform_entry(entry_fixture *fix, int64_t as_of, const char *first,
+             const char *second)
 {
-    lc_closures told = message(as_of, 0, first, second);
+    lc_closures received = message(as_of, 0, first, second);
 
-    Dispatcher_TakeClosures(fix->dispatcher, fix->now_ms, fix->now_ms, &told,
-                            "test");
+    Dispatcher_TakeClosures(fix->dispatcher, fix->now_ms, fix->now_ms,
+                            &received, "test");
     Dispatcher_Settle(fix->dispatcher, fix->now_ms);
 }
 
@@ -329,7 +330,7 @@
     fix->route = LeaseFix_AddRoute(fix->routes);
     fix->route->stretch_percent = 160;
     fix->route->target_ms = 60;
-    report(fix);
+    report_all(fix);
 }
 
 static void
@@ -340,7 +341,7 @@
 }
 
 static void
-hand_in(entry_fixture *fix, uint64_t job)
+submit_job(entry_fixture *fix, uint64_t job)
 {
     Dispatcher_Submit submit = {
         .request_id = job, .route = fix->route, .deadline_ms = 5000};
@@ -369,10 +370,10 @@
     {"/halls/tasks go elsewhere while the own hall is closed",
      {"own", NULL},
      0x7f0000011b64},
-    {"/halls/a hall of no deployment does no harm",
+    {"/halls/an unknown closed hall has no effect",
      {"nowhere", NULL},
      0x7f0000011b63},
-    {"/halls/all closed: refused at once with a time to come back",
+    {"/halls/all closed: refused at once with a retry time",
      {"own", "other"},
      0},
 };
@@ -384,8 +385,8 @@
     entry_fixture fix;
 
     new_entry(&fix);
-    tell(&fix, 5, one->closed[0], one->closed[1]);
-    hand_in(&fix, 1);
+    inform_entry(&fix, 5, one->closed[0], one->closed[1]);
+    submit_job(&fix, 1);
     g_assert_cmpuint(fix.sent_to, ==, one->sent_to);
     g_assert_cmpint(fix.answers, ==, one->sent_to == 0);
     if (one->sent_to == 0) {
@@ -398,8 +399,8 @@
     free_entry(&fix);
 }
 
-/* A job that waits for room is refused when the last hall is closed, and one
- * that waits for a hall starts as soon as that is opened. */
+/* A queued job is refused when the last open hall is closed; once a hall is
+ * open again, a new job starts there. */
 static void
 test_last_hall_closed(void)
 {
@@ -408,21 +409,21 @@
 
     new_entry(&fix);
     Dispatcher_Pause(fix.dispatcher);
-    hand_in(&fix, 1);
-    tell(&fix, 5, "own", "other");
+    submit_job(&fix, 1);
+    inform_entry(&fix, 5, "own", "other");
     g_assert_cmpint(fix.answers, ==, 0);
     Dispatcher_Tick(fix.dispatcher, fix.now_ms);
     g_assert_cmpint(fix.answers, ==, 1);
     g_assert_cmpint(fix.kind, ==, ERR_HALL_CLOSED);
     Dispatcher_Resume(fix.dispatcher);
-    tell(&fix, 6, "other", NULL);
+    inform_entry(&fix, 6, "other", NULL);
     report_as_of(&fix, &own_companion, "own", &nothing);
-    hand_in(&fix, 2);
+    submit_job(&fix, 2);
     g_assert_cmpuint(fix.sent_to, ==, own_companion.address);
     free_entry(&fix);
 }
 
-/* A host that is heard of only after its hall was closed. */
+/* A host that first reports after its hall was closed gets no task. */
 static void
 test_new_host_in_closed_hall(void)
 {
@@ -431,30 +432,31 @@
     entry_fixture fix;
 
     new_entry(&fix);
-    tell(&fix, 5, "own", "third");
+    inform_entry(&fix, 5, "own", "third");
     report_as_of(&fix, &late, "third", &nothing);
-    hand_in(&fix, 1);
+    submit_job(&fix, 1);
     g_assert_cmpuint(fix.sent_to, ==, other_companion.address);
     free_entry(&fix);
 }
 
-/* A companion knows what this entry, cut off from the store, does not. */
+/* An entry that is cut off from the store learns of closed halls from the
+ * reports of companions. */
 static void
-test_companion_tells(void)
+test_companion_informs_entry(void)
 {
-    lc_closures told = message(5, 0, "own", NULL);
+    lc_closures received = message(5, 0, "own", NULL);
     entry_fixture fix;
 
     new_entry(&fix);
-    report_as_of(&fix, &other_companion, "other", &told);
-    hand_in(&fix, 1);
+    report_as_of(&fix, &other_companion, "other", &received);
+    submit_job(&fix, 1);
     g_assert_cmpuint(fix.sent_to, ==, other_companion.address);
     g_assert_cmpint(Dispatcher_Closures(fix.dispatcher)->as_of, ==, 5);
     free_entry(&fix);
 }
 
-/* A companion's refusal sends the task elsewhere at once, and nothing else
- * there until it has reported. */
+/* After a companion refuses a start, the task goes to another one at once, and
+ * no other task is sent to the first until it has reported. */
 static void
 test_refused_goes_elsewhere(void)
 {
@@ -462,7 +464,7 @@
     entry_fixture fix;
 
     new_entry(&fix);
-    hand_in(&fix, 1);
+    submit_job(&fix, 1);
     g_assert_cmpuint(fix.sent_to, ==, own_companion.address);
     reply.u.run.status = LC_RUN_CLOSED;
     reply.u.run.host.node = own_companion;
@@ -474,35 +476,35 @@
     Dispatcher_Settle(fix.dispatcher, fix.now_ms);
     g_assert_cmpuint(fix.sent_to, ==, other_companion.address);
     fix.now_ms += 100;
-    hand_in(&fix, 2);
+    submit_job(&fix, 2);
     g_assert_cmpuint(fix.sent_to, ==, other_companion.address);
     free_entry(&fix);
 }
 
-/* Readiness is about this entry, not about halls that operators close. */
+/* Readiness of an entry does not depend on halls that operators close. */
 static void
-test_well_though_closed(void)
+test_ready_with_all_closed(void)
 {
     entry_fixture fix;
 
     new_entry(&fix);
-    tell(&fix, 5, "own", "other");
+    inform_entry(&fix, 5, "own", "other");
     g_assert_cmpuint(Dispatcher_ReadyHosts(fix.dispatcher, fix.now_ms), ==, 0);
     g_assert_cmpuint(Dispatcher_WellHosts(fix.dispatcher, fix.now_ms), ==, 2);
     free_entry(&fix);
 }
 
 static const RuleTable_Row rules[] = {
-    {"/halls/confirmed by answers alone", test_confirmed},
-    {"/halls/told on with its age", test_told_on},
-    {"/halls/what runs there goes on", test_runs_go_on},
-    {"/halls/who is refused is told", test_refused_is_told},
+    {"/halls/only answers confirm the set", test_confirmed},
+    {"/halls/passed on with its age", test_passed_on},
+    {"/halls/running tasks continue", test_runs_continue},
+    {"/halls/a refusal triggers a report", test_refusal_triggers_report},
     {"/halls/the last hall is closed", test_last_hall_closed},
     {"/halls/a new host in a closed hall", test_new_host_in_closed_hall},
-    {"/halls/a companion tells an entry", test_companion_tells},
+    {"/halls/a companion informs an entry", test_companion_informs_entry},
     {"/halls/a refused start goes elsewhere", test_refused_goes_elsewhere},
-    {"/halls/an entry is ready though all are closed",
-     test_well_though_closed},
+    {"/halls/an entry is ready with all halls closed",
+     test_ready_with_all_closed},
 };
 
 int
@@ -511,9 +513,9 @@
     size_t i;
 
     g_test_init(&argc, &argv, NULL);
-    for (i = 0; i < G_N_ELEMENTS(belief_cases); i++) {
-        g_test_add_data_func(belief_cases[i].name, &belief_cases[i],
-                             check_belief);
+    for (i = 0; i < G_N_ELEMENTS(update_cases); i++) {
+        g_test_add_data_func(update_cases[i].name, &update_cases[i],
+                             check_update);
     }
     for (i = 0; i < G_N_ELEMENTS(start_cases); i++) {
         g_test_add_data_func(start_cases[i].name, &start_cases[i],
--- a/tests/lease_cases.c
+++ b/tests/lease_cases.c
@@ -1,4 +1,5 @@
-/* Cases of the modules of leased jobs and of what translates for them. */
+/* Runs the case files in tests/cases for the modules of leased jobs and for
+ * the parsers of their inputs in platform/. */
 
 #include <glib.h>
 #include <inttypes.h>
@@ -74,7 +75,7 @@
     g_string_append_c(output, '\n');
 }
 
-/* The whole input is a body. */
+/* The whole input is a request body. */
 static void
 run_job(const char *input, GString *output)
 {
@@ -100,7 +101,7 @@
     LeasedJob_Clear(&job);
 }
 
-/* "match AUTHORITY PATH" lines follow the record, which is one line. */
+/* The first line is the record; lines "match AUTHORITY PATH" follow. */
 static void
 run_routes(const char *input, GString *output)
 {
@@ -133,7 +134,7 @@
     Route_FreeTable(table);
 }
 
-/* The first line is METHOD PATH, the rest the body. */
+/* The first line is METHOD PATH, the rest is the body. */
 static void
 run_beat(const char *input, GString *output)
 {
@@ -180,9 +181,9 @@
     g_free(first);
 }
 
-/* Bodies that no text file holds: none of them is a heartbeat. */
+/* Invalid heartbeat bodies that a text file cannot hold. */
 static void
-test_odd_bodies(void)
+test_invalid_bodies(void)
 {
     static const char not_utf8[] =
         "{\"service\":\"\xff\xfe\",\"state\":\"ready\",\"seq\":1,"
@@ -225,7 +226,8 @@
     g_free(long_name);
 }
 
-/* The first line is a status, the rest the body of the answer to a look. */
+/* The first line is the HTTP status, the rest is the body of the upstream's
+ * answer to a poll. */
 static void
 run_listing(const char *input, GString *output)
 {
@@ -413,7 +415,7 @@
     Halls *halls = Halls_New();
     guint i;
 
-    /* Warnings of odd records are expected here. */
+    /* Invalid records log warnings, which must not abort the test. */
     g_log_set_always_fatal(G_LOG_FATAL_MASK);
     for (i = 0; lines[i] != NULL; i++) {
         char **words = g_strsplit(lines[i], " ", 4);
@@ -465,6 +467,6 @@
 int
 main(int argc, char **argv)
 {
-    test_odd_bodies();
+    test_invalid_bodies();
     return CaseTable_Main(argc, argv, kinds);
 }
--- a/tests/registry_rules.c
+++ b/tests/registry_rules.c
@@ -1,4 +1,5 @@
-/* When the register of entries is read, and who puts and drops records. */
+/* When the registry of entries is read, and which entry writes and deletes
+ * records. */
 #include <glib.h>
 
 #include "lease/registry.h"
@@ -36,7 +37,7 @@
     return Registry_Next(&f->registry, now_ms, &f->peers, &f->gone);
 }
 
-/* The register holds so many of these entries. */
+/* The registry holds the first `count` of these entries. */
 static void
 answer(fixture *f, int64_t now_ms, const Address *entries, guint count)
 {
@@ -79,26 +80,26 @@
 }
 
 static void
-test_failed_read_doubles(void)
+test_failed_read_backs_off(void)
 {
-    static const int64_t pauses[] = {100, 200, 400, 800, 1600, 2000, 2000};
+    static const int64_t delays[] = {100, 200, 400, 800, 1600, 2000, 2000};
     int64_t now_ms = START_MS;
     fixture f;
     size_t i;
 
     begin(&f, SELF);
     next(&f, now_ms);
-    for (i = 0; i < G_N_ELEMENTS(pauses); i++) {
+    for (i = 0; i < G_N_ELEMENTS(delays); i++) {
         Registry_OnRead(&f.registry, now_ms, NULL, &f.peers);
-        g_assert_cmpint(next(&f, now_ms + pauses[i] - 1), ==, REGISTRY_WAIT);
-        now_ms += pauses[i];
+        g_assert_cmpint(next(&f, now_ms + delays[i] - 1), ==, REGISTRY_WAIT);
+        now_ms += delays[i];
         g_assert_cmpint(next(&f, now_ms), ==, REGISTRY_READ);
     }
     end(&f);
 }
 
 static void
-test_missing_record_is_put(void)
+test_missing_record_is_written(void)
 {
     fixture f;
 
@@ -112,7 +113,7 @@
 }
 
 static void
-test_unconfirmed_put_is_looked_for(void)
+test_unconfirmed_write_is_checked(void)
 {
     fixture f;
 
@@ -128,7 +129,7 @@
 }
 
 static void
-test_known_record_is_not_put(void)
+test_existing_record_is_not_written(void)
 {
     fixture f;
 
@@ -140,7 +141,7 @@
 }
 
 static void
-test_alone_reads_again(void)
+test_isolated_reads_again(void)
 {
     fixture f;
 
@@ -152,9 +153,9 @@
     end(&f);
 }
 
-/* A companion that hears entries is told of others by them. */
+/* A companion with live peers learns of other entries from them. */
 static void
-test_reader_that_hears_reads_no_more(void)
+test_reader_with_live_peers_stops(void)
 {
     fixture f;
 
@@ -170,7 +171,7 @@
 }
 
 static void
-test_entry_looks_for_its_record_again(void)
+test_entry_checks_record_periodically(void)
 {
     fixture f;
 
@@ -184,17 +185,20 @@
     end(&f);
 }
 
-/* Reads the register every 30 s; OTHER speaks all the time, THIRD is silent
- * but for `heard_ms` (0 for never). Returns the step after @p until_ms. */
+/* Reads the registry every 30 s. OTHER (SELF if that is the reader) sends
+ * messages all the time, THIRD only one, after `heard_ms` (0 for none).
+ * Returns REGISTRY_DROP as soon as a record is to be deleted, else
+ * REGISTRY_WAIT after `until_ms`. */
 static Registry_Step
-stay_silent(fixture *f, Address self, int64_t heard_ms, int64_t until_ms)
+run_with_silent_entry(fixture *f, Address self, int64_t heard_ms,
+                      int64_t until_ms)
 {
-    Address talker = self == OTHER ? SELF : OTHER;
+    Address speaker = self == OTHER ? SELF : OTHER;
     int64_t now_ms;
 
     begin(f, self);
     for (now_ms = START_MS; now_ms <= until_ms; now_ms += 1000) {
-        Peers_Hear(&f->peers, talker, now_ms);
+        Peers_Hear(&f->peers, speaker, now_ms);
         if (heard_ms != 0 && now_ms == START_MS + heard_ms) {
             Peers_Hear(&f->peers, THIRD, now_ms);
         }
@@ -212,42 +216,42 @@
 }
 
 static void
-test_gone_record_is_dropped(void)
+test_gone_record_is_deleted(void)
 {
     fixture f;
 
-    /* Of 100 and 200 the former follows 300. */
-    g_assert_cmpint(stay_silent(&f, SELF, 0, START_MS + 59000), ==,
+    /* In ring order 100, not 200, is the successor of 300. */
+    g_assert_cmpint(run_with_silent_entry(&f, SELF, 0, START_MS + 59000), ==,
                     REGISTRY_WAIT);
     end(&f);
-    g_assert_cmpint(stay_silent(&f, SELF, 0, START_MS + 60000), ==,
+    g_assert_cmpint(run_with_silent_entry(&f, SELF, 0, START_MS + 60000), ==,
                     REGISTRY_DROP);
     g_assert_cmpuint(f.gone, ==, THIRD);
     end(&f);
 }
 
 static void
-test_one_entry_drops_it(void)
+test_one_entry_deletes(void)
 {
     fixture f;
 
-    g_assert_cmpint(stay_silent(&f, OTHER, 0, START_MS + 100000), ==,
+    g_assert_cmpint(run_with_silent_entry(&f, OTHER, 0, START_MS + 100000), ==,
                     REGISTRY_WAIT);
     end(&f);
 }
 
 static void
-test_heard_entry_is_not_dropped(void)
+test_heard_entry_is_not_deleted(void)
 {
     fixture f;
 
-    g_assert_cmpint(stay_silent(&f, SELF, 59000, START_MS + 100000), ==,
-                    REGISTRY_WAIT);
+    g_assert_cmpint(run_with_silent_entry(&f, SELF, 59000, START_MS + 100000),
+                    ==, REGISTRY_WAIT);
     end(&f);
 }
 
 static void
-test_who_hears_nobody_drops_nothing(void)
+test_isolated_entry_deletes_nothing(void)
 {
     fixture f;
     int64_t now_ms;
@@ -264,28 +268,28 @@
 }
 
 static const RuleTable_Row rules[] = {
-    {"/registry/is read at once", test_read_at_once},
+    {"/registry/is read at start", test_read_at_once},
     {"/registry/names all entries", test_entries_are_named},
-    {"/registry/a read that fails is tried again, ever later",
-     test_failed_read_doubles},
-    {"/registry/an entry puts its record where it is missing",
-     test_missing_record_is_put},
-    {"/registry/a put without an answer is looked for",
-     test_unconfirmed_put_is_looked_for},
-    {"/registry/a record that stands there is not put again",
-     test_known_record_is_not_put},
-    {"/registry/who is alone reads again", test_alone_reads_again},
-    {"/registry/a companion that hears entries reads no more",
-     test_reader_that_hears_reads_no_more},
-    {"/registry/an entry looks for its record from time to time",
-     test_entry_looks_for_its_record_again},
-    {"/registry/the record of an entry that is gone is dropped",
-     test_gone_record_is_dropped},
-    {"/registry/one entry drops it", test_one_entry_drops_it},
-    {"/registry/an entry that was heard is not dropped",
-     test_heard_entry_is_not_dropped},
-    {"/registry/who hears nobody drops nothing",
-     test_who_hears_nobody_drops_nothing},
+    {"/registry/a failed read is retried with back-off",
+     test_failed_read_backs_off},
+    {"/registry/an entry writes its record if it is missing",
+     test_missing_record_is_written},
+    {"/registry/an unconfirmed write is checked",
+     test_unconfirmed_write_is_checked},
+    {"/registry/an existing record is not written again",
+     test_existing_record_is_not_written},
+    {"/registry/an isolated process reads again", test_isolated_reads_again},
+    {"/registry/a companion with live peers stops reading",
+     test_reader_with_live_peers_stops},
+    {"/registry/an entry checks its record periodically",
+     test_entry_checks_record_periodically},
+    {"/registry/the record of an entry that is gone is deleted",
+     test_gone_record_is_deleted},
+    {"/registry/only one entry deletes it", test_one_entry_deletes},
+    {"/registry/the record of a heard entry is not deleted",
+     test_heard_entry_is_not_deleted},
+    {"/registry/an isolated entry deletes nothing",
+     test_isolated_entry_deletes_nothing},
 };
 
 int
--- a/tests/routes_rules.c
+++ b/tests/routes_rules.c
@@ -1,6 +1,6 @@
 /*
- * Rules of fetching routes from other entries: when one is asked, for what,
- * and what becomes of its answers.
+ * Fetching the route table from other entries: when a peer is asked, which
+ * bytes it is asked for, and how its replies are handled.
  */
 
 #include <glib.h>
@@ -13,8 +13,8 @@
 #define FIRST 2
 #define SECOND 3
 #define NOW_MS 50000
-#define STORE_FIRST_MS ((int64_t)300)
-#define PATIENCE_MS 1000
+#define STORE_HEAD_START_MS ((int64_t)300)
+#define CHUNK_TIMEOUT_MS 1000
 
 typedef struct {
     Routes_Fetch fetch;
@@ -26,7 +26,7 @@
 } fetch_fixture;
 
 static void
-tell(fetch_fixture *fix, Address peer, int64_t version)
+set_peer(fetch_fixture *fix, Address peer, int64_t version)
 {
     Peers_Hear(&fix->peers, peer, fix->now_ms);
     Peers_Find(&fix->peers, peer)->routes_version = version;
@@ -41,8 +41,8 @@
     fix->store_answers = true;
     Peers_Init(&fix->peers, OWN);
     RoutesFetch_Init(&fix->fetch, 0);
-    tell(fix, FIRST, 7);
-    tell(fix, SECOND, 7);
+    set_peer(fix, FIRST, 7);
+    set_peer(fix, SECOND, 7);
 }
 
 static void
@@ -66,8 +66,8 @@
     return next(fix);
 }
 
-/* The last call is answered as its peer would, with a record of the letter
- * 'a' + version. */
+/* Replies to the last call as a peer would, with `length` bytes of a record
+ * that repeats the letter 'a' + version. */
 static RoutesFetch_Step
 answer(fetch_fixture *fix, int64_t version, uint32_t total, uint32_t length)
 {
@@ -91,7 +91,7 @@
 {
     new_fetch(fix);
     next(fix);
-    g_assert_true(next_in(fix, STORE_FIRST_MS));
+    g_assert_true(next_in(fix, STORE_HEAD_START_MS));
 }
 
 static void
@@ -101,13 +101,13 @@
 
     new_fetch(&fix);
     g_assert_false(next(&fix));
-    g_assert_false(next_in(&fix, STORE_FIRST_MS - 1));
+    g_assert_false(next_in(&fix, STORE_HEAD_START_MS - 1));
     g_assert_true(next_in(&fix, 1));
     free_fetch(&fix);
 }
 
 static void
-test_store_away(void)
+test_store_unavailable(void)
 {
     fetch_fixture fix;
 
@@ -136,7 +136,7 @@
     new_fetch(&fix);
     fix.version = 7;
     g_assert_false(next(&fix));
-    g_assert_false(next_in(&fix, 10 * STORE_FIRST_MS));
+    g_assert_false(next_in(&fix, 10 * STORE_HEAD_START_MS));
     free_fetch(&fix);
 }
 
@@ -151,7 +151,7 @@
     free_fetch(&fix);
 }
 
-/* One copy at a time, whoever else has it. */
+/* Only one call is pending, however many peers have the record. */
 static void
 test_one_at_a_time(void)
 {
@@ -159,7 +159,7 @@
 
     begin(&fix);
     g_assert_false(next(&fix));
-    g_assert_false(next_in(&fix, PATIENCE_MS - 1));
+    g_assert_false(next_in(&fix, CHUNK_TIMEOUT_MS - 1));
     free_fetch(&fix);
 }
 
@@ -180,11 +180,11 @@
     g_assert_cmpint(answer(&fix, 7, 100, 40), ==, ROUTES_FETCH_WHOLE);
     g_assert_cmpint(fix.fetch.bytes->len, ==, 100);
     fix.version = 7;
-    g_assert_false(next_in(&fix, STORE_FIRST_MS));
+    g_assert_false(next_in(&fix, STORE_HEAD_START_MS));
     free_fetch(&fix);
 }
 
-/* What has come is kept; the next peer goes on from there. */
+/* Bytes received are kept; the next peer continues from there. */
 static void
 test_peer_fails(void)
 {
@@ -195,7 +195,7 @@
     from = fix.call.to;
     answer(&fix, 7, 100, 60);
     g_assert_true(next(&fix));
-    g_assert_true(next_in(&fix, PATIENCE_MS));
+    g_assert_true(next_in(&fix, CHUNK_TIMEOUT_MS));
     g_assert_cmpuint(fix.call.to, !=, from);
     g_assert_cmpint(fix.call.args.offset, ==, 60);
     g_assert_cmpint(answer(&fix, 7, 100, 40), ==, ROUTES_FETCH_WHOLE);
@@ -215,9 +215,9 @@
     free_fetch(&fix);
 }
 
-/* A version that came meanwhile takes the place of the one begun. */
+/* A newer version that appears during a fetch replaces the one begun. */
 static void
-test_newer_meanwhile(void)
+test_newer_during_fetch(void)
 {
     fetch_fixture fix;
 
@@ -233,7 +233,7 @@
     free_fetch(&fix);
 }
 
-/* Only a peer with a version between is left. */
+/* The only peer left has a version between ours and the one begun. */
 static void
 test_older_peer_left(void)
 {
@@ -251,7 +251,7 @@
 }
 
 static void
-test_store_gives_it(void)
+test_store_delivers(void)
 {
     fetch_fixture fix;
 
@@ -259,30 +259,30 @@
     answer(&fix, 7, 100, 60);
     fix.version = 7;
     g_assert_false(next(&fix));
-    tell(&fix, FIRST, 8);
+    set_peer(&fix, FIRST, 8);
     g_assert_false(next(&fix));
-    g_assert_true(next_in(&fix, STORE_FIRST_MS));
+    g_assert_true(next_in(&fix, STORE_HEAD_START_MS));
     g_assert_cmpint(fix.call.args.offset, ==, 0);
     free_fetch(&fix);
 }
 
-/* A record of no use is not fetched again at once. */
+/* A whole record that could not be used is not fetched again at once. */
 static void
-test_whole_but_useless(void)
+test_whole_but_unusable(void)
 {
     fetch_fixture fix;
 
     begin(&fix);
     g_assert_cmpint(answer(&fix, 7, 60, 60), ==, ROUTES_FETCH_WHOLE);
     g_assert_false(next(&fix));
-    g_assert_true(next_in(&fix, STORE_FIRST_MS));
+    g_assert_true(next_in(&fix, STORE_HEAD_START_MS));
     g_assert_cmpint(fix.call.args.offset, ==, 0);
     free_fetch(&fix);
 }
 
-/* Answers that do not fit what was asked for. */
+/* Replies that do not match the request. */
 static void
-test_bad_answers(void)
+test_mismatched_replies(void)
 {
     static const struct {
         const char *name;
@@ -292,10 +292,10 @@
         uint32_t length;
     } cases[] = {
         {"empty", 7, 60, 100, 0},
-        {"other place", 7, 0, 100, 40},
+        {"other offset", 7, 0, 100, 40},
         {"other size", 7, 60, 101, 40},
-        {"longer than it says", 7, 60, 100, 41},
-        {"place behind its end", 7, 60, 50, 40},
+        {"longer than its total", 7, 60, 100, 41},
+        {"offset past the end", 7, 60, 50, 40},
         {"older version", 6, 0, 100, 40},
         {"none", -1, 0, 0, 0},
         {"too large", 8, 0, ROUTES_FETCH_MOST + 1, 40},
@@ -321,20 +321,22 @@
 
 static const RuleTable_Row rules[] = {
     {"/routes/the store comes first", test_store_first},
-    {"/routes/a store that is away is not waited for", test_store_away},
-    {"/routes/who has none does not wait", test_without_routes},
-    {"/routes/nothing is asked for that is not newer", test_nothing_newer},
-    {"/routes/who is silent is not asked", test_silent_peer},
+    {"/routes/no waiting for an unavailable store", test_store_unavailable},
+    {"/routes/no waiting without any routes", test_without_routes},
+    {"/routes/only newer versions are fetched", test_nothing_newer},
+    {"/routes/peers that are not live are not asked", test_silent_peer},
     {"/routes/one copy at a time", test_one_at_a_time},
     {"/routes/chunks make up the record", test_chunks},
-    {"/routes/the next peer goes on", test_peer_fails},
+    {"/routes/the next peer continues", test_peer_fails},
     {"/routes/the only peer is asked again", test_only_peer_fails},
-    {"/routes/a newer version takes over", test_newer_meanwhile},
-    {"/routes/an older version than begun will do", test_older_peer_left},
-    {"/routes/what the store gave is not fetched", test_store_gives_it},
-    {"/routes/a useless record is not fetched at once",
-     test_whole_but_useless},
-    {"/routes/answers that do not fit are refused", test_bad_answers},
+    {"/routes/a newer version replaces the one begun",
+     test_newer_during_fetch},
+    {"/routes/an older version than begun is accepted", test_older_peer_left},
+    {"/routes/a version delivered by the store is not fetched",
+     test_store_delivers},
+    {"/routes/an unusable record is not fetched again at once",
+     test_whole_but_unusable},
+    {"/routes/mismatched replies are refused", test_mismatched_replies},
 };
 
 int
--- a/tests/view_rules.c
+++ b/tests/view_rules.c
@@ -1,7 +1,7 @@
 /*
- * Rules of what keeps a node's cost flat in a large fleet: which entries a
- * companion reports to, and how often entries ask the store. What is counted
- * is pairs and calls, at one size and at twice that.
+ * What keeps the load per node constant as the fleet grows: which entries a
+ * companion reports to, and how often entries read from the store. The tests
+ * count pairs and calls at one fleet size and at twice that size.
  */
 
 #include <glib.h>
@@ -35,9 +35,9 @@
     return halls[index % HALLS];
 }
 
-/* A companion that has taken the list of so many entries. */
+/* Receives a list of the entries `first` to `entries` - 1. */
 static void
-take_list(Peers *peers, uint32_t first, uint32_t entries)
+receive_list(Peers *peers, uint32_t first, uint32_t entries)
 {
     GArray *list = g_array_new(FALSE, FALSE, sizeof(u_quad_t));
     uint32_t i;
@@ -51,7 +51,7 @@
 }
 
 static void
-tell_halls(Peers *peers, uint32_t entries)
+set_halls(Peers *peers, uint32_t entries)
 {
     uint32_t i;
 
@@ -64,8 +64,8 @@
 new_peers(Peers *peers, uint32_t entries)
 {
     Peers_Init(peers, 0);
-    take_list(peers, 0, entries);
-    tell_halls(peers, entries);
+    receive_list(peers, 0, entries);
+    set_halls(peers, entries);
 }
 
 static uint32_t
@@ -86,11 +86,11 @@
 {
     Peers peers;
 
-    new_peers(&peers, PARTIAL_VIEW_MOST);
+    new_peers(&peers, PARTIAL_VIEW_MAX_ENTRIES);
     g_assert_cmpuint(
         PartialView_Choose(&peers, NOW_MS, companion_at(1), "a", false), ==,
         0);
-    g_assert_cmpuint(count_chosen(&peers, NULL), ==, PARTIAL_VIEW_MOST);
+    g_assert_cmpuint(count_chosen(&peers, NULL), ==, PARTIAL_VIEW_MAX_ENTRIES);
     Peers_Clear(&peers);
 }
 
@@ -102,13 +102,14 @@
     new_peers(&peers, 184);
     g_assert_cmpuint(
         PartialView_Choose(&peers, NOW_MS, companion_at(1), "b", false), ==,
-        184 - PARTIAL_VIEW_MOST);
-    g_assert_cmpuint(count_chosen(&peers, NULL), ==, PARTIAL_VIEW_MOST);
-    g_assert_cmpuint(count_chosen(&peers, "b"), >=, PARTIAL_VIEW_OWN);
+        184 - PARTIAL_VIEW_MAX_ENTRIES);
+    g_assert_cmpuint(count_chosen(&peers, NULL), ==, PARTIAL_VIEW_MAX_ENTRIES);
+    g_assert_cmpuint(count_chosen(&peers, "b"), >=,
+                     PARTIAL_VIEW_OWN_HALL_ENTRIES);
     Peers_Clear(&peers);
 }
 
-/* Its entries are of other halls alone. */
+/* A companion in a hall without entries reports to entries of other halls. */
 static void
 test_hall_without_entries(void)
 {
@@ -116,12 +117,12 @@
 
     new_peers(&peers, 184);
     PartialView_Choose(&peers, NOW_MS, companion_at(1), "nowhere", false);
-    g_assert_cmpuint(count_chosen(&peers, NULL), ==, PARTIAL_VIEW_MOST);
+    g_assert_cmpuint(count_chosen(&peers, NULL), ==, PARTIAL_VIEW_MAX_ENTRIES);
     Peers_Clear(&peers);
 }
 
 static void
-test_all_when_asked(void)
+test_all_on_request(void)
 {
     Peers peers;
 
@@ -132,9 +133,10 @@
     Peers_Clear(&peers);
 }
 
-/* Those that are chosen tell their halls. */
+/* The chosen entries return their halls. Returns how many halls were unknown
+ * before. */
 static uint32_t
-tell_chosen_halls(Peers *peers, uint32_t entries)
+set_chosen_halls(Peers *peers, uint32_t entries)
 {
     uint32_t unknown = 0;
     uint32_t i;
@@ -149,8 +151,8 @@
     return unknown;
 }
 
-/* Entries whose halls are not known are called until all have told them, never
- * all at once. */
+/* Entries whose halls are not known are called until all have returned them,
+ * but never all at once. */
 static void
 test_unknown_halls(void)
 {
@@ -158,26 +160,28 @@
     int rounds = 0;
 
     Peers_Init(&peers, 0);
-    take_list(&peers, 0, 184);
+    receive_list(&peers, 0, 184);
     do {
         g_assert_cmpint(rounds++, <, 6);
         PartialView_Choose(&peers, NOW_MS, companion_at(1), "b", false);
         g_assert_cmpuint(count_chosen(&peers, NULL), <=,
-                         2UL * PARTIAL_VIEW_MOST);
-    } while (tell_chosen_halls(&peers, 184) > 0);
+                         2UL * PARTIAL_VIEW_MAX_ENTRIES);
+    } while (set_chosen_halls(&peers, 184) > 0);
     PartialView_Choose(&peers, NOW_MS, companion_at(1), "b", false);
-    g_assert_cmpuint(count_chosen(&peers, NULL), ==, PARTIAL_VIEW_MOST);
-    g_assert_cmpuint(count_chosen(&peers, "b"), >=, PARTIAL_VIEW_OWN);
+    g_assert_cmpuint(count_chosen(&peers, NULL), ==, PARTIAL_VIEW_MAX_ENTRIES);
+    g_assert_cmpuint(count_chosen(&peers, "b"), >=,
+                     PARTIAL_VIEW_OWN_HALL_ENTRIES);
     Peers_Clear(&peers);
 }
 
-/* Of an entry that goes another takes the place; all others stay. */
+/* When a chosen entry leaves, at most one other takes its place; the rest of
+ * the selection stays. */
 static void
-test_few_pairs_move(void)
+test_few_pairs_change(void)
 {
     Peers peers;
     bool before[184];
-    uint32_t moved = 0;
+    uint32_t changed = 0;
     uint32_t i;
 
     new_peers(&peers, 184);
@@ -185,19 +189,20 @@
     for (i = 0; i < 184; i++) {
         before[i] = Peers_Find(&peers, entry_at(i))->chosen;
     }
-    take_list(&peers, 1, 184);
+    receive_list(&peers, 1, 184);
     PartialView_Choose(&peers, NOW_MS, companion_at(1), "b", false);
-    g_assert_cmpuint(count_chosen(&peers, NULL), ==, PARTIAL_VIEW_MOST);
+    g_assert_cmpuint(count_chosen(&peers, NULL), ==, PARTIAL_VIEW_MAX_ENTRIES);
     for (i = 1; i < 184; i++) {
-        moved += Peers_Find(&peers, entry_at(i))->chosen != before[i];
+        changed += Peers_Find(&peers, entry_at(i))->chosen != before[i];
     }
-    g_assert_cmpuint(moved, <=, 1);
+    g_assert_cmpuint(changed, <=, 1);
     Peers_Clear(&peers);
 }
 
-/* An entry that all others have lost, but not this companion, keeps it. */
+/* An entry that is in no other process's list stays chosen while this
+ * companion still hears it. */
 static void
-test_entry_that_others_lost(void)
+test_entry_lost_by_others(void)
 {
     Peers peers;
     uint32_t lost = 0;
@@ -208,7 +213,7 @@
         lost++;
     }
     Peers_Hear(&peers, entry_at(lost), NOW_MS);
-    take_list(&peers, lost + 1, 100);
+    receive_list(&peers, lost + 1, 100);
     PartialView_Choose(&peers, NOW_MS + 1000, companion_at(1), "a", false);
     g_assert_true(Peers_Find(&peers, entry_at(lost))->chosen);
     PartialView_Choose(&peers, NOW_MS + 10000, companion_at(1), "a", false);
@@ -217,18 +222,19 @@
 }
 
 typedef struct {
-    uint32_t least;
-    uint32_t most;
+    uint32_t min;
+    uint32_t max;
     uint32_t pairs;
-    uint32_t far; /* pairs between halls */
+    uint32_t cross_hall; /* pairs between halls */
 } load;
 
-/* Companions that an entry hears, the least and the most of all entries. */
+/* Counts pairs, and the companions that report to an entry: the minimum and
+ * maximum over all entries. */
 static load
-load_of(uint32_t entries, uint32_t companions)
+measure_load(uint32_t entries, uint32_t companions)
 {
     uint32_t *heard = g_new0(uint32_t, entries);
-    load result = {.least = UINT32_MAX};
+    load result = {.min = UINT32_MAX};
     Peers peers;
     uint32_t i;
     uint32_t j;
@@ -240,37 +246,38 @@
             bool chosen = Peers_Find(&peers, entry_at(j))->chosen;
             heard[j] += chosen;
             result.pairs += chosen;
-            result.far += chosen && i % HALLS != j % HALLS;
+            result.cross_hall += chosen && i % HALLS != j % HALLS;
         }
     }
     for (j = 0; j < entries; j++) {
-        result.least = MIN(result.least, heard[j]);
-        result.most = MAX(result.most, heard[j]);
+        result.min = MIN(result.min, heard[j]);
+        result.max = MAX(result.max, heard[j]);
     }
     Peers_Clear(&peers);
     g_free(heard);
     return result;
 }
 
-/* At twice the size an entry hears as many companions as before, of which each
- * reports to as many entries. */
+/* In a fleet of twice the size an entry hears as many companions as before,
+ * and each companion reports to as many entries. */
 static void
-test_flat_in_the_fleet(void)
+test_constant_load(void)
 {
-    load once = load_of(184, 800);
-    load twice = load_of(368, 1600);
-
-    g_assert_cmpuint(once.pairs, ==, 800UL * PARTIAL_VIEW_MOST);
-    g_assert_cmpuint(twice.pairs, ==, 1600UL * PARTIAL_VIEW_MOST);
-    g_assert_cmpuint(once.least, >=, 120);
-    g_assert_cmpuint(once.most, <=, 230);
-    g_assert_cmpuint(twice.least, >=, 120);
-    g_assert_cmpuint(twice.most, <=, 230);
-    g_assert_cmpuint(once.far, <=, 800UL * 17);
-    g_assert_cmpuint(twice.far, <=, 1600UL * 17);
+    load once = measure_load(184, 800);
+    load twice = measure_load(368, 1600);
+
+    g_assert_cmpuint(once.pairs, ==, 800UL * PARTIAL_VIEW_MAX_ENTRIES);
+    g_assert_cmpuint(twice.pairs, ==, 1600UL * PARTIAL_VIEW_MAX_ENTRIES);
+    g_assert_cmpuint(once.min, >=, 120);
+    g_assert_cmpuint(once.max, <=, 230);
+    g_assert_cmpuint(twice.min, >=, 120);
+    g_assert_cmpuint(twice.max, <=, 230);
+    g_assert_cmpuint(once.cross_hall, <=, 800UL * 17);
+    g_assert_cmpuint(twice.cross_hall, <=, 1600UL * 17);
 }
 
-/* A list that nobody tells anew stays as long as others have the same one. */
+/* A list that is not received again is kept as long as other processes confirm
+ * it. */
 static void
 test_list_is_confirmed(void)
 {
@@ -285,7 +292,7 @@
         Peers_Forget(&peers, now_ms);
     }
     g_assert_cmpuint(peers.rows->len, ==, 100);
-    take_list(&peers, 50, 100);
+    receive_list(&peers, 50, 100);
     now_ms += 60000;
     Peers_ConfirmList(&peers, now_ms);
     Peers_Forget(&peers, now_ms);
@@ -293,21 +300,21 @@
     Peers_Clear(&peers);
 }
 
-/* Calls a second of all entries together, times a hundred. */
+/* Reads of all entries together, per 100 s. */
 static uint64_t
-calls_of(uint32_t entries)
+reads_per_100_s(uint32_t entries)
 {
     uint64_t random = Random_Seed(7);
-    uint64_t waited = 0;
+    uint64_t total_ms = 0;
     uint32_t i;
 
     for (i = 0; i < 1000; i++) {
-        waited += StoreWait_Draw(entries - 1, &random);
+        total_ms += StoreWait_Draw(entries - 1, &random);
     }
-    return (uint64_t)entries * 1000 * 1000 * 100 / waited;
+    return (uint64_t)entries * 1000 * 1000 * 100 / total_ms;
 }
 
-/* Eight of many watch, all of few, and one that is alone. */
+/* In a large fleet eight entries are watchers; an isolated entry always is. */
 static void
 test_watchers(void)
 {
@@ -330,16 +337,16 @@
 }
 
 static void
-test_calls_to_the_store(void)
+test_store_read_rate(void)
 {
     uint64_t random = Random_Seed(7);
 
     g_assert_cmpuint(StoreWait_Draw(0, &random), ==, 1000);
     g_assert_cmpuint(StoreWait_Draw(9, &random), ==, 1000);
-    g_assert_cmpuint(calls_of(20), <=, 1400);
-    g_assert_cmpuint(calls_of(184), <=, 1400);
-    g_assert_cmpuint(calls_of(300), <=, 1400);
-    g_assert_cmpuint(calls_of(184), >=, 1000);
+    g_assert_cmpuint(reads_per_100_s(20), <=, 1400);
+    g_assert_cmpuint(reads_per_100_s(184), <=, 1400);
+    g_assert_cmpuint(reads_per_100_s(300), <=, 1400);
+    g_assert_cmpuint(reads_per_100_s(184), >=, 1000);
     g_assert_cmpuint(StoreWait_Draw(5000, &random), <=, 30000);
     g_assert_cmpuint(StoreWait_Quiet(0), <=, 500);
     g_assert_cmpuint(StoreWait_Quiet(39), <=, 500);
@@ -348,17 +355,17 @@
 }
 
 static const RuleTable_Row rules[] = {
-    {"/view/few entries are all told", test_few_entries},
+    {"/view/a small fleet: all entries are chosen", test_few_entries},
     {"/view/own hall first", test_own_hall_first},
     {"/view/a hall without entries", test_hall_without_entries},
-    {"/view/all when they have to know", test_all_when_asked},
-    {"/view/a hall that is not known is asked for", test_unknown_halls},
-    {"/view/few pairs move", test_few_pairs_move},
-    {"/view/an entry that others have lost", test_entry_that_others_lost},
-    {"/view/flat in the fleet", test_flat_in_the_fleet},
+    {"/view/all entries on request", test_all_on_request},
+    {"/view/unknown halls are asked for", test_unknown_halls},
+    {"/view/few pairs change", test_few_pairs_change},
+    {"/view/an entry that others no longer hear", test_entry_lost_by_others},
+    {"/view/constant load per node", test_constant_load},
     {"/view/a list that is confirmed", test_list_is_confirmed},
-    {"/view/some watch the store", test_watchers},
-    {"/view/calls to the store", test_calls_to_the_store},
+    {"/view/number of watchers", test_watchers},
+    {"/view/rate of reads from the store", test_store_read_rate},
 };
 
 int
