--- a/lease/registry.h
+++ b/lease/registry.h
@@ -30,13 +30,12 @@
 
 /** A process's use of the registry. */
 typedef struct {
-    Address self;           /**< entry to register; 0 for a reader only */
-    bool call_pending;      /**< a call to the store has no answer yet */
-    bool record_missing;    /**< the last read did not find our own record */
-    int64_t next_read_ms;   /**< when the next read is due */
-    int64_t retry_delay_ms; /**< delay after the next failed call */
-    GHashTable
-        *silent_since; /**< Address -> int64_t, when first seen as not live */
+    Address self;             /**< entry to register; 0 for a reader only */
+    bool call_pending;        /**< a call to the store has no answer yet */
+    bool record_missing;      /**< the last read did not find our own record */
+    int64_t next_read_ms;     /**< when the next read is due */
+    int64_t retry_delay_ms;   /**< delay after the next failed call */
+    GHashTable *silent_since; /**< Address -> int64_t, not live since */
 } Registry;
 
 /** @p self is the entry to register, or 0 for a process that only reads. */
