--- a/lease/choice.h
+++ b/lease/choice.h
@@ -1,6 +1,6 @@
 /**
  * @file choice.h
- * @brief The choice of a companion for one task.
+ * @brief Placement: chooses the companion that runs a task.
  */
 #ifndef LC_LEASE_CHOICE_H
 #define LC_LEASE_CHOICE_H
@@ -8,29 +8,30 @@
 #include "lease/active.h"
 #include "lease/fleet.h"
 
-/** Inputs of a choice. */
+/** Inputs of a placement decision; all pointers are borrowed. */
 typedef struct {
     const Fleet *fleet;
-    const char *hall; /**< of the entry */
+    const char *hall; /**< of the entry that chooses */
     int64_t now_ms;
-    uint64_t *random;
-    /** Tasks of the job, this one among them, that are to go to as few hosts
-     * as can be; 0: each may go anywhere. */
+    uint64_t *random; /**< generator state */
+    /** Tasks of the job, including this one, that are to be placed on as few
+     * hosts as possible; 0 if each is placed independently. */
     uint32_t together;
-    Fleet_Host *with; /**< where the last of them went, or NULL */
+    Fleet_Host *with; /**< host of the previous one of them, or NULL */
 } Choice;
 
-/** Companion that may run @p task now and should, or NULL. */
+/** Returns the companion that should run @p task now, or NULL if none can. */
 Fleet_Host *Choice_Host(const Choice *choice, const Active_Job *job,
                         const Active_Task *task);
 
-/** Whether a companion has said something lately. */
+/** Whether a companion has sent a message within the liveness timeout. */
 bool Choice_IsHeard(const Fleet_Host *host, int64_t now_ms);
 
-/** Whether a companion and its upstream are well, as far as is known. */
+/** Whether a companion and its upstream are healthy as far as is known: heard
+ * from lately, not suspect and not avoided after refusals. */
 bool Choice_IsWell(const Fleet_Host *host, int64_t now_ms);
 
-/** Whether a companion is well and operators let tasks start in its hall. */
+/** Whether a companion is healthy and operators have not closed its hall. */
 bool Choice_IsOpen(const Fleet_Host *host, int64_t now_ms);
 
 #endif
--- a/lease/delegates.h
+++ b/lease/delegates.h
@@ -1,12 +1,13 @@
 /**
  * @file delegates.h
- * @brief The other entries, as those that may run jobs for this one: what
- * each has told of its link, and the leases on what it was given.
+ * @brief Other entries to which this one can forward jobs: the link headroom
+ * that each has reported, and the leases on the jobs forwarded to it.
  *
- * Nobody is asked while the own link carries everything. What is known of a
- * delegate is a fraction of a second old and told to every entry that asks;
- * each therefore uses a part of it alone, and the delegate itself refuses what
- * it cannot take. Times are monotonic, in ms.
+ * No entry is queried while this one's link is not congested. A reported
+ * headroom is a fraction of a second old, and every entry that asks is told
+ * the same; each therefore uses only a part of it, and the delegate itself
+ * refuses what it cannot take. Times are monotonic, in ms, on this entry's
+ * clock unless stated otherwise.
  */
 #ifndef LC_LEASE_DELEGATES_H
 #define LC_LEASE_DELEGATES_H
@@ -22,49 +23,53 @@
 /** One other entry. */
 typedef struct {
     lc_node node;         /**< incarnation 0 while it is not known */
-    int64_t stamp_ms;     /**< its clock at its last word */
-    int64_t received_ms;  /**< when that arrived; 0 for never */
-    int64_t credit_bytes; /**< of jobs that it may still be given */
-    uint64_t asking;      /**< EXTEND on its way, or 0 */
+    int64_t stamp_ms;     /**< on its clock: when its last answer was sent */
+    int64_t received_ms;  /**< when that answer arrived; 0 for never */
+    int64_t credit_bytes; /**< link cost of the jobs it may still be sent */
+    uint64_t asking;      /**< call id of the pending EXTEND, or 0 */
     int64_t asked_ms;     /**< when that was sent */
-    uint32_t jobs;        /**< given to it and not over */
-    GArray *gone;         /**< uint64_t, numbers it has not been told of */
-    guint gone_told;      /**< of them, in the EXTEND on its way */
+    uint32_t jobs;        /**< forwarded to it and not ended */
+    GArray *gone;         /**< uint64_t, numbers of dropped jobs it has not
+                               acknowledged */
+    guint gone_told;      /**< how many of them the pending EXTEND carries */
 } Delegate;
 
-/** All of them. */
+/** All delegates. */
 typedef struct {
-    GPtrArray *rows; /**< Delegate */
-    uint64_t salt;   /**< so that not all ask the same few */
+    GPtrArray *rows; /**< Delegate, owned */
+    uint64_t salt; /**< random start in the list of candidates, so that entries
+                        do not all query the same few */
 } Delegates;
 
 void Delegates_Init(Delegates *delegates, uint64_t salt);
 void Delegates_Clear(Delegates *delegates);
 
-/** Names entries that live; the first few are asked. */
+/** Sets the live entries that may be used; a few of them become delegates.
+ * Delegates that are not among them go once nothing of theirs is open. */
 void Delegates_Offer(Delegates *delegates, const Address *addresses,
                      guint count);
 
-/** Row of an entry, or NULL. */
+/** Returns the delegate at an address, or NULL. */
 Delegate *Delegates_Find(const Delegates *delegates, Address address);
 
-/** Whether an EXTEND is due. @p wanted: the own link is short. */
+/** Whether an EXTEND is due. @p wanted: this entry's link is congested. */
 bool Delegates_IsDue(const Delegate *row, int64_t now_ms, bool wanted);
 
-/** Until when an EXTEND or FORWARD sent now is valid, on its clock; 0 if that
- * is not known. */
+/** End of validity of an EXTEND or FORWARD sent now, in ms on the delegate's
+ * clock; 0 if that is not known. */
 int64_t Delegates_ValidUntil(const Delegate *row, const Term *term,
                              int64_t now_ms);
 
-/** It has answered. */
+/** Applies a delegate's answer to an EXTEND. */
 void Delegates_TakeWord(Delegate *row, int64_t now_ms,
                         const lc_extend_res *word);
 
-/** It has not, or took nothing: it is given nothing until it says more. */
+/** Clears the credit of a delegate that did not answer or refused a job: it is
+ * sent no job until it answers again. */
 void Delegates_Close(Delegate *row);
 
-/** The entry that best takes a job which costs its link so many bytes, or
- * NULL. */
+/** Returns the delegate with the most credit that can take a job which costs
+ * its link @p bytes, or NULL. */
 Delegate *Delegates_Pick(const Delegates *delegates, int64_t now_ms,
                          int64_t bytes);
 
--- a/lease/fleet.h
+++ b/lease/fleet.h
@@ -1,10 +1,11 @@
 /**
  * @file fleet.h
- * @brief What an entry believes of each companion: its word of itself, the
- * room that is left there, and how far this entry has held it.
+ * @brief An entry's view of all companions: the state each one reported, the
+ * capacity left there, and the latest hold that this entry has sent it.
  *
- * Rows live as long as the fleet; a row of a companion long silent is kept
- * with state ABSENT. Times are monotonic, in ms.
+ * Rows are never removed while the fleet exists; a companion that has been
+ * silent for long stays with state ABSENT. Times are monotonic, in ms, on this
+ * entry's clock unless stated otherwise.
  */
 #ifndef LC_LEASE_FLEET_H
 #define LC_LEASE_FLEET_H
@@ -26,65 +27,70 @@
     char **labels;
     lc_upstream_state state;
     lc_resources capacity;
-    lc_resources room; /**< as far as known, less what was sent since */
+    lc_resources room; /**< last reported, less what was sent since */
     uint32_t pace_percent;
-    uint32_t held;      /**< ends of kept jobs that are not released there */
-    uint32_t held_long; /**< of them those that wait for long */
+    uint32_t held;      /**< ends of durable jobs' runs that are not released
+                             there */
+    uint32_t held_long; /**< those of them that have waited for long */
 
-    int64_t held_asked_ms;  /**< when this entry asked for them */
-    int64_t stamp_ms;       /**< its clock at its last word */
-    int64_t received_ms;    /**< when that arrived */
-    int64_t reported_ms;    /**< when its last report arrived */
-    uint32_t next_ms;       /**< after which the next was promised */
-    int64_t valid_until_ms; /**< on its clock: the furthest hold sent */
-    int64_t held_ms;        /**< when that was sent; 0 for never */
-    uint32_t running;       /**< runs of this entry that are not over */
-    uint64_t renewing;      /**< RENEW on its way, or 0 */
+    int64_t held_asked_ms; /**< when this entry last requested the held ends */
+    int64_t stamp_ms;      /**< on its clock: when its last message was sent */
+    int64_t received_ms;   /**< when that message arrived */
+    int64_t reported_ms;   /**< when its last report arrived */
+    uint32_t next_ms; /**< interval within which it promised the next report */
+    int64_t valid_until_ms; /**< on its clock: end of the latest hold sent */
+    int64_t held_ms;        /**< when that hold was sent; 0 for never */
+    uint32_t running;       /**< runs of this entry that have not ended */
+    uint64_t renewing;      /**< call id of the pending RENEW, or 0 */
     int64_t renew_ms;       /**< when the last RENEW was sent */
-    bool suspect;           /**< a RENEW had no answer in time */
+    bool suspect;           /**< a RENEW was not answered in time */
     bool closed;            /**< operators have closed its hall */
-    int64_t avoid_until_ms; /**< after refusals that are no want of room */
+    int64_t avoid_until_ms; /**< set by refusals other than for lack of room */
 } Fleet_Host;
 
-/** All companions known. */
+/** All known companions. */
 typedef struct {
-    GPtrArray *hosts; /**< Fleet_Host */
+    GPtrArray *hosts; /**< Fleet_Host, owned */
     GHashTable *by_address;
 } Fleet;
 
-/** What a message of a companion changed. */
+/** Incarnation of a message compared with the one known. */
 typedef enum {
-    FLEET_KNOWN,  /**< same incarnation as before */
-    FLEET_NEW,    /**< not known before */
-    FLEET_REBORN, /**< another incarnation: all runs of the last are over */
-    FLEET_STALE   /**< from an incarnation that is past; passed over */
+    FLEET_KNOWN,  /**< the known incarnation */
+    FLEET_NEW,    /**< companion was not known */
+    FLEET_REBORN, /**< newer incarnation: all runs of the last one have ended
+                   */
+    FLEET_STALE /**< ignored: an older incarnation, or a newer one that is not
+                   ready */
 } Fleet_Change;
 
 void Fleet_Init(Fleet *fleet);
 void Fleet_Clear(Fleet *fleet);
 
-/** Row of an address, or NULL. */
+/** Returns the companion at an address, or NULL. */
 Fleet_Host *Fleet_Find(const Fleet *fleet, Address address);
 
-/** Takes a report. A new incarnation that is not ready yet is passed over
- * (STALE) until it knows what its upstream runs. */
+/** Applies a report. A new incarnation is ignored (STALE) until it knows which
+ * tasks its upstream runs. @p host_out is set in every case. */
 Fleet_Change Fleet_TakeReport(Fleet *fleet, int64_t now_ms,
                               const lc_report_args *report,
                               Fleet_Host **host_out);
 
-/** Takes what a companion says of itself in an answer; false if it is not
- * of the incarnation known. */
+/** Applies the state that a companion sent with an answer; false if it is from
+ * another incarnation than the known one. A state older than the last one is
+ * ignored. */
 bool Fleet_TakeState(Fleet_Host *host, int64_t now_ms,
                      const lc_host_state *state);
 
-/** Notes that a message with a new hold is sent now; returns its end on the
- * companion's clock. */
+/** Records that a message with a new hold is sent now; returns the end of the
+ * hold in ms on the companion's clock. */
 int64_t Fleet_Hold(Fleet_Host *host, const Term *term, int64_t now_ms);
 
-/** When everything held there is certainly over; 0 if nothing is. */
+/** Time by which every run held there has certainly ended; 0 if nothing is
+ * held. */
 int64_t Fleet_CertainEnd(const Fleet_Host *host, const Term *term);
 
-/** Whether the upstream carries @p label; the empty label always fits. */
+/** Whether the upstream has @p label; the empty label always matches. */
 bool Fleet_HasLabel(const Fleet_Host *host, const char *label);
 
 #endif
--- a/lease/job.h
+++ b/lease/job.h
@@ -1,7 +1,7 @@
 /**
  * @file job.h
- * @brief A job as its caller describes it: steps of tasks with the
- * resources they need. Parsed by the caller's interface, then never changed.
+ * @brief A job as its caller describes it: steps of tasks with the resources
+ * they need. Parsed by the callers' interface and immutable from then on.
  */
 #ifndef LC_LEASE_JOB_H
 #define LC_LEASE_JOB_H
@@ -13,36 +13,40 @@
 #include "base/err.h"
 #include "wire/msg.h"
 
-/** Most tasks of one job, times its times: a bit for each is written down. */
+/** Most tasks of one job over all its occurrences: a bit for each is recorded
+ * in the store. */
 #define LEASED_JOB_MAX_TIMED (8 * LC_MAX_TASKS)
-/** Most tasks of one job, as in the developers' sizes. */
+/** Most tasks of one job, the largest size that its developers state. */
 #define LEASED_JOB_MAX_TASKS 1500
 /** Most steps of one job. */
 #define LEASED_JOB_MAX_STEPS 64
 
-/** Tasks that are alike. */
+/** A step: tasks with the same description. */
 typedef struct {
     uint32_t count;
     lc_resources need;
     uint32_t estimate_ms;
-    uint64_t depends_on;    /**< bit i: step i ends before this one starts */
-    uint32_t most_together; /**< on one upstream; 0 for any number */
-    char requirement[LC_MAX_NAME]; /**< label of its upstream, or "" */
-    char affinity[LC_MAX_NAME];    /**< label where its data lies, or "" */
-    bool gang;
-    bool long_running; /**< its tasks are started again however they end */
-    bool fills;        /**< its tasks take what others leave unused */
+    uint64_t depends_on; /**< bit i: step i must end before this one starts */
+    uint32_t
+        most_together; /**< most tasks on one upstream; 0 for any number */
+    char requirement[LC_MAX_NAME]; /**< label that its upstream must have, or
+                                      "" */
+    char affinity[LC_MAX_NAME]; /**< label of upstreams near its data, or "" */
+    bool gang;                  /**< its tasks must run at the same time */
+    bool long_running; /**< its tasks are restarted however they end */
+    bool fills;        /**< its tasks use capacity that others leave idle */
 } LeasedJob_Step;
 
-/** A job. Owned by whoever parsed it until a dispatcher takes it. */
+/** A job. Owned by its parser until a dispatcher takes it over. */
 typedef struct {
     uint64_t id;
-    char *spec;         /**< handed to the upstream as it is */
-    bool needs_keeping; /**< the caller expects it to survive all processes */
-    uint32_t repeat_count; /**< it runs so often at times of its own; 0: once
-                                and at once */
-    int64_t start_at_ms;   /**< wall clock, of the first time */
-    int64_t interval_ms;   /**< between times */
+    char *spec;         /**< passed to the upstream unchanged */
+    bool needs_keeping; /**< durable: it must survive the loss of all processes
+                         */
+    uint32_t repeat_count; /**< number of scheduled occurrences; 0: runs once,
+                                immediately */
+    int64_t start_at_ms;   /**< wall clock, of the first occurrence */
+    int64_t interval_ms;   /**< between occurrences */
     uint32_t step_count;
     LeasedJob_Step *steps;
 } LeasedJob;
@@ -50,28 +54,28 @@
 /** Frees what @p job owns. */
 void LeasedJob_Clear(LeasedJob *job);
 
-/** Tasks of all steps, of one time. */
+/** Number of tasks of all steps in one occurrence. */
 uint32_t LeasedJob_Tasks(const LeasedJob *job);
 
-/** How often the steps run: 1 for a job without times. */
+/** Number of occurrences; 1 for a job that is not scheduled. */
 uint32_t LeasedJob_Times(const LeasedJob *job);
 
-/** When a time falls due, on the wall clock; INT64_MIN for a job without
- * times. */
+/** Start time of an occurrence, in ms of the wall clock; INT64_MIN for a job
+ * that is not scheduled. */
 int64_t LeasedJob_DueMs(const LeasedJob *job, uint32_t occurrence);
 
-/** Number of a run's task among those of all times and steps. */
+/** Number of a run's task among those of all occurrences and steps. */
 uint32_t LeasedJob_TaskNumber(const LeasedJob *job, const lc_run_id *id);
 
-/** The same of a run's end that is to be written down; UINT32_MAX for a task
- * that lasts, as it is started again in any case. */
+/** The same number for recording the end of a run; UINT32_MAX for a
+ * long-running task, as it is restarted in any case. */
 uint32_t LeasedJob_EndNumber(const LeasedJob *job, const lc_run_id *id);
 
-/** Longest chain of estimates in ms. */
+/** Length of the critical path by the steps' estimates, in ms. */
 uint32_t LeasedJob_ChainMs(const LeasedJob *job);
 
-/** Whether this kind of job is served. Errors: UNSUPPORTED with the part
- * that is not. */
+/** Checks whether this kind of job is supported. Errors: UNSUPPORTED with the
+ * feature that is not. */
 Err_Kind LeasedJob_Check(const LeasedJob *job, Status *status);
 
 #endif
--- a/lease/job_trace.h
+++ b/lease/job_trace.h
@@ -1,7 +1,7 @@
 /**
  * @file job_trace.h
- * @brief What an entry decided about one job, in order, kept small until the
- * job ends and written in one log line.
+ * @brief Trace of an entry's decisions about one job in order, stored
+ * compactly until the job ends and then written as one log line.
  */
 #ifndef LC_LEASE_JOB_TRACE_H
 #define LC_LEASE_JOB_TRACE_H
@@ -13,18 +13,18 @@
 #include "base/address.h"
 #include "wire/msg.h"
 
-/** X(NAME, text): what was decided or learned. */
+/** X(NAME, text): kinds of trace item. */
 #define JOB_TRACE_LIST(X)                                                     \
     X(SENT, "sent")             /* value: pace of the host in percent */      \
     X(ENDED, "ended")           /* value: status of the run */                \
-    X(ORPHANED, "orphaned")     /* the connection broke */                    \
-    X(HALTED, "halted")         /* its stop was asked for */                  \
-    X(EXPIRED, "expired")       /* its lease is certainly over */             \
-    X(REBORN, "reborn")         /* its companion began anew */                \
-    X(FORWARDED, "forwarded")   /* value: bytes it would have cost here */    \
-    X(GIVEN_BACK, "given back") /* the other entry did not take it */
-
-/** Kinds of item, in the order of JOB_TRACE_LIST. */
+    X(ORPHANED, "orphaned")     /* the connection was lost */                 \
+    X(HALTED, "halted")         /* a stop of the run was requested */         \
+    X(EXPIRED, "expired")       /* its lease has certainly expired */         \
+    X(REBORN, "reborn")         /* its companion has a new incarnation */     \
+    X(FORWARDED, "forwarded")   /* value: expected bytes if started here */   \
+    X(GIVEN_BACK, "given back") /* the other entry refused it */
+
+/** Kinds of trace item, in the order of JOB_TRACE_LIST. */
 typedef enum {
 #define X(name, text) JOB_TRACE_##name,
     JOB_TRACE_LIST(X)
@@ -32,8 +32,8 @@
         JOB_TRACE_COUNT
 } JobTrace_What;
 
-/** Longest trace; what comes after is counted. */
-#define JOB_TRACE_MOST 160
+/** Most items of a trace; later ones are only counted. */
+#define JOB_TRACE_MAX_ITEMS 160
 
 /** Opaque trace. */
 typedef struct JobTrace JobTrace;
@@ -41,12 +41,14 @@
 JobTrace *JobTrace_New(int64_t now_ms);
 void JobTrace_Free(JobTrace *trace);
 
-/** Adds an item about a run at a host. */
+/** Adds an item about a run at a host; the meaning of @p value depends on the
+ * kind, see JOB_TRACE_LIST. */
 void JobTrace_Add(JobTrace *trace, int64_t now_ms, JobTrace_What what,
                   const lc_run_id *run, Address host, int32_t value);
 
-/** Items as [ms, what, "STEP.INDEX", run, host, value]; the caller owns the
- * result. */
+/** Returns the items as [ms since the arrival, kind, "STEP.INDEX", run, host,
+ * value]; the caller owns the result. If items were left out, a last element
+ * [count, "left out"] tells how many. */
 json_t *JobTrace_ToJson(const JobTrace *trace);
 
 #endif
--- a/lease/link_budget.h
+++ b/lease/link_budget.h
@@ -1,13 +1,13 @@
 /**
  * @file link_budget.h
- * @brief What an entry may put on its link now (token bucket), and whether
- * the link is short.
+ * @brief Token bucket that limits what an entry sends over its link, and
+ * detection of link congestion.
  *
- * What is sent faster than the link carries waits in buffers where nothing
- * orders it: urgent starts stand behind others, answers and renewals behind
- * both, and hosts were chosen by what was known before the wait, so that many
- * starts find no room and are sent again. Starts that wait here are ordered,
- * and find their hosts as they leave.
+ * What is sent faster than the link carries waits in socket buffers in the
+ * order of sending: urgent starts wait behind others, answers and renewals
+ * behind both, and hosts were chosen by what was known before the wait, so
+ * that many starts find no room and are sent again. Starts that wait here
+ * instead are ordered by urgency, and get their hosts when they are sent.
  *
  * Times are monotonic, in ms.
  */
@@ -17,39 +17,41 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** A bucket. A plain value; all zeros: nothing is limited. */
+/** A token bucket. A plain value; all zeros: no limit. */
 typedef struct {
-    int64_t bytes_per_s;    /**< of the link; 0: not limited */
-    int64_t left_bytes;     /**< negative after more was sent than there was */
-    int64_t filled_ms;      /**< when it was filled last */
-    int64_t short_until_ms; /**< 0: never short */
-    uint64_t waits;         /**< passes in which starts had to wait */
-    int64_t used_bytes;     /**< since used_since_ms */
+    int64_t bytes_per_s; /**< usable rate of the link; 0: no limit */
+    int64_t
+        left_bytes; /**< tokens; negative if more was sent than there were */
+    int64_t filled_ms;      /**< time of the last refill */
+    int64_t short_until_ms; /**< congested until then; 0: never congested */
+    uint64_t waits;         /**< dispatch passes in which starts had to wait */
+    int64_t used_bytes;     /**< sent since used_since_ms */
     int64_t used_since_ms;
-    int64_t rate; /**< bytes a second of the last whole period */
+    int64_t rate; /**< bytes per second in the last complete period */
 } LinkBudget;
 
-/** A full bucket of a link of so many Mbit/s; 0: not limited. */
+/** Fills the bucket of a link of @p link_mbps Mbit/s; 0: no limit. */
 void LinkBudget_Init(LinkBudget *budget, int64_t now_ms, double link_mbps);
 
-/** Whether a start may be sent now. */
+/** Refills the bucket; returns whether a start may be sent now. */
 bool LinkBudget_Allows(LinkBudget *budget, int64_t now_ms);
 
-/** So many bytes were sent, of starts or of anything else. */
+/** Accounts for bytes sent, of starts or of any other message. */
 void LinkBudget_Spend(LinkBudget *budget, int64_t bytes);
 
-/** Starts that could begin otherwise wait for the link. */
+/** Records that starts wait for the link alone. */
 void LinkBudget_NoteWait(LinkBudget *budget, int64_t now_ms);
 
-/** Whether starts waited for the link lately: bytes are worth more than an
- * even use of the hosts. */
+/** Whether the link is congested, as starts have waited for it lately: saving
+ * bytes then takes precedence over spreading load evenly over the hosts. */
 bool LinkBudget_IsShort(const LinkBudget *budget, int64_t now_ms);
 
-/** Bytes a second that the link could carry besides what it does; INT64_MAX
- * if it is not limited, 0 while it is short. */
+/** Unused rate of the link in bytes per second; INT64_MAX if there is no
+ * limit, 0 while it is congested. */
 int64_t LinkBudget_Headroom(const LinkBudget *budget, int64_t now_ms);
 
-/** When a start may be sent, if nothing is sent before. */
+/** Time at which the next start may be sent, if nothing else is sent before.
+ */
 int64_t LinkBudget_DueMs(const LinkBudget *budget);
 
 #endif
--- a/lease/queue_counts.h
+++ b/lease/queue_counts.h
@@ -1,7 +1,7 @@
 /**
  * @file queue_counts.h
- * @brief How many jobs of each queue are in a state; queues without one take
- * no room, however many there are.
+ * @brief Number of jobs per queue, for one state of jobs. Queues without such
+ * a job take no memory, however many queues there are.
  */
 #ifndef LC_LEASE_QUEUE_COUNTS_H
 #define LC_LEASE_QUEUE_COUNTS_H
@@ -9,16 +9,17 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** Name -> count. Names are borrowed from who adds them. */
+/** Queue name -> count. Names are borrowed from the caller of
+ * QueueCounts_Add. */
 typedef GHashTable QueueCounts;
 
-/** Free with g_hash_table_unref. */
+/** Creates an empty table; free with g_hash_table_unref. */
 QueueCounts *QueueCounts_New(void);
 
 /** Counts one job of a queue. */
 void QueueCounts_Add(QueueCounts *counts, const char *queue);
 
-/** Jobs of a queue. */
+/** Returns the number of jobs of a queue; 0 if none was counted. */
 uint32_t QueueCounts_Of(QueueCounts *counts, const char *queue);
 
 #endif
--- a/lease/queue_stats.h
+++ b/lease/queue_stats.h
@@ -1,6 +1,7 @@
 /**
  * @file queue_stats.h
- * @brief Latencies and outcomes of leased jobs by queue, for metrics.
+ * @brief Latency histograms and outcome counters of leased jobs per queue, for
+ * metrics.
  */
 #ifndef LC_LEASE_QUEUE_STATS_H
 #define LC_LEASE_QUEUE_STATS_H
@@ -9,7 +10,7 @@
 
 #include "base/histogram.h"
 
-/** X(NAME, label): how jobs are over. */
+/** X(NAME, label): outcomes of a job; the label is that of the metric. */
 #define QUEUE_OUTCOME_LIST(X)                                                 \
     X(IN_TIME, "in_time")                                                     \
     X(LATE, "late")                                                           \
@@ -27,25 +28,25 @@
         QUEUE_OUTCOME_COUNT
 } Queue_Outcome;
 
-/** Figures of one queue. */
+/** Statistics of one queue. */
 typedef struct {
-    Histogram wait;   /**< from arrival to the first run sent */
-    Histogram answer; /**< from arrival to the answer */
+    Histogram wait;   /**< ms from arrival to the first run sent */
+    Histogram answer; /**< ms from arrival to the answer */
     uint64_t outcomes[QUEUE_OUTCOME_COUNT];
 } Queue_Stats;
 
-/** Figures of all queues, by name. */
+/** Statistics of all queues by name. */
 typedef struct {
-    GHashTable *queues; /**< name -> Queue_Stats */
+    GHashTable *queues; /**< name -> Queue_Stats, both owned */
 } Queue_Table;
 
 void QueueStats_Init(Queue_Table *table);
 void QueueStats_Clear(Queue_Table *table);
 
-/** Figures of a queue, made at their first use. */
+/** Returns the statistics of a queue, created on first use. */
 Queue_Stats *QueueStats_Of(Queue_Table *table, const char *queue);
 
-/** Appends all figures as metrics. */
+/** Appends all statistics in the text format of metrics. */
 void QueueStats_Print(const Queue_Table *table, GString *out);
 
 #endif
--- a/lease/reserve.h
+++ b/lease/reserve.h
@@ -1,13 +1,13 @@
 /**
  * @file reserve.h
- * @brief Room kept free for jobs of the first priority (trunk reservation):
- * a job of a lower priority begins only while more than a few of its tasks
- * would still fit, so that the next job of the first priority need not wait
- * for room.
+ * @brief Capacity reserved for jobs of the highest priority (trunk
+ * reservation): a job of a lower priority is started only while the companions
+ * have room for more than a reserved number of its tasks, so that the next job
+ * of the highest priority need not wait for room.
  *
- * The first priority is the smallest number among the jobs that came lately;
- * how much is kept follows from how wide those jobs are. Times are
- * monotonic, in ms.
+ * The highest priority is the smallest number among recent jobs; the size of
+ * the reserve follows the mean task count of those jobs. Times are monotonic,
+ * in ms.
  */
 #ifndef LC_LEASE_RESERVE_H
 #define LC_LEASE_RESERVE_H
@@ -17,21 +17,23 @@
 
 #include "lease/fleet.h"
 
-/** What jobs of the first priority are like. A plain value. */
+/** Recent jobs of the highest priority. A plain value. */
 typedef struct {
     int32_t priority;
-    int64_t seen_ms;    /**< when the last of them came; 0 for never */
-    uint32_t width_x16; /**< moving mean of their tasks, times 16 */
+    int64_t seen_ms;    /**< when the last of them arrived; 0 for never */
+    uint32_t width_x16; /**< moving average of their task count, times 16 */
 } Reserve;
 
-/** A job came. */
+/** Records the arrival of a job. */
 void Reserve_Note(Reserve *reserve, int64_t now_ms, int32_t priority,
                   uint32_t tasks);
 
-/** Tasks that are kept room for, as far as there is enough. */
+/** Number of tasks for which room is reserved, before the limit by the total
+ * capacity. */
 uint32_t Reserve_Tasks(const Reserve *reserve, int64_t now_ms);
 
-/** Whether a job that has not begun may begin, as far as the reserve goes. */
+/** Whether the reserve allows a job to start that has not started yet; @p need
+ * is that of one of its tasks. */
 bool Reserve_Allows(const Reserve *reserve, const Fleet *fleet, int64_t now_ms,
                     int32_t priority, const lc_resources *need);
 
