--- a/lease/active.c
+++ b/lease/active.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Late answers are worth something up to so many times the objective. */
-#define LATE_FACTOR 3
+/* A late answer has some value up to this multiple of the objective. */
+#define LATE_OBJECTIVE_FACTOR 3
 
 static void
 fill_tasks(Active_Job *job)
@@ -92,7 +92,7 @@
     task->state = state;
 }
 
-/* Steps of one time all of whose tasks are done. */
+/* Bit set of the steps all of whose tasks are done, in one occurrence. */
 static uint64_t
 ended_steps(const Active_Job *job, const Active_Task *tasks, uint32_t count)
 {
@@ -150,32 +150,32 @@
 uint32_t
 Active_RemainingMs(const Active_Job *job)
 {
-    uint32_t longest[LEASED_JOB_MAX_STEPS];
-    uint32_t most = 0;
+    uint32_t path_ms[LEASED_JOB_MAX_STEPS];
+    uint32_t longest_ms = 0;
     uint32_t i;
     uint32_t j;
 
     if (job->spec.step_count == 1) {
         return Active_IsDone(job) ? 0 : job->spec.steps[0].estimate_ms;
     }
-    memset(longest, 0, sizeof(longest));
+    memset(path_ms, 0, sizeof(path_ms));
     for (i = 0; i < job->task_count; i++) {
         const Active_Task *task = &job->tasks[i];
         if (!task->done) {
-            longest[task->id.step] = Active_Step(job, task)->estimate_ms;
+            path_ms[task->id.step] = Active_Step(job, task)->estimate_ms;
         }
     }
     for (i = 0; i < job->spec.step_count; i++) {
-        uint32_t before = 0;
+        uint32_t before_ms = 0;
         for (j = 0; j < i; j++) {
             if ((job->spec.steps[i].depends_on >> j & 1) != 0) {
-                before = MAX(before, longest[j]);
+                before_ms = MAX(before_ms, path_ms[j]);
             }
         }
-        longest[i] += before;
-        most = MAX(most, longest[i]);
+        path_ms[i] += before_ms;
+        longest_ms = MAX(longest_ms, path_ms[i]);
     }
-    return most;
+    return longest_ms;
 }
 
 int64_t
@@ -194,7 +194,8 @@
 Active_WorthlessAfter(const Active_Job *job)
 {
     int64_t late_ms = job->arrived_ms +
-                      LATE_FACTOR * (job->objective_ms - job->arrived_ms);
+                      LATE_OBJECTIVE_FACTOR *
+                          (job->objective_ms - job->arrived_ms);
 
     return MIN(late_ms, job->deadline_ms);
 }
--- a/lease/choice.c
+++ b/lease/choice.c
@@ -7,29 +7,31 @@
 #include "lease/runner.h"
 
 #define PERCENT 100
-#define SLOW_PERCENT 200
-/* A companion may be late with its next word by so much. */
-#define SILENT_MS 600
-/* A pace below this is taken as normal: the mean of estimates that are wrong
- * by 40% each moves so far by chance, and who follows it sends everything to
- * the same few hosts. Chosen below SLOW_PERCENT. */
-#define NORMAL_PERCENT 150
-/* Costs in ms. */
+#define SLOW_PACE_PERCENT 200
+/* How late the next message of a companion may be. */
+#define LIVENESS_TIMEOUT_MS 600
+/* A pace below this counts as normal: the mean of estimates that are wrong by
+ * 40% each varies so much by chance, and an entry that followed it would send
+ * everything to the same few hosts. Less than SLOW_PACE_PERCENT. */
+#define NORMAL_PACE_PERCENT 150
+/* Cost of a host in another hall, in ms. */
 #define OTHER_HALL_MS 1
-/* A host on trial is the last resort, but for one task in so many. */
-#define TRIAL_MS 400
+/* Cost of a host on trial, which makes it the last resort, in ms; one task in
+ * TRIAL_ONE_IN is placed without it. */
+#define TRIAL_HOST_MS 400
 #define TRIAL_ONE_IN 16
-/* Where a task went wrong it goes again only if nothing else is free. */
-#define AVOID_MS 100
-/* Time that reading data from elsewhere adds, in percent. */
-#define FAR_PERCENT 50
+/* Cost of the host where a task last failed, in ms, besides the estimate of
+ * the task: it is used again only if no other host has room. */
+#define AVOIDED_HOST_MS 100
+/* Time that reading remote data adds to a task, in percent. */
+#define REMOTE_DATA_PERCENT 50
 
 bool
 Choice_IsHeard(const Fleet_Host *host, int64_t now_ms)
 {
     int64_t promised_ms = host->reported_ms + host->next_ms;
 
-    return now_ms < MAX(host->received_ms, promised_ms) + SILENT_MS;
+    return now_ms < MAX(host->received_ms, promised_ms) + LIVENESS_TIMEOUT_MS;
 }
 
 bool
@@ -47,9 +49,10 @@
     return !host->closed && Choice_IsWell(host, now_ms);
 }
 
-/* Tasks of the step that run at an address. */
+/* Number of other tasks of the same step and occurrence that were placed at an
+ * address. */
 static uint32_t
-count_together(const Active_Job *job, const Active_Task *task, Address address)
+count_placed(const Active_Job *job, const Active_Task *task, Address address)
 {
     uint32_t count = 0;
     uint32_t i;
@@ -67,17 +70,18 @@
     return count;
 }
 
-/* Whether the task would miss its objective there, but not elsewhere. */
+/* Whether the task would miss its objective there, but meet it on a host of
+ * normal pace. */
 static bool
 is_too_slow(const Choice *choice, const Active_Job *job,
             const LeasedJob_Step *step, const Fleet_Host *host)
 {
-    int64_t left_ms = job->objective_ms - choice->now_ms;
-    int64_t there_ms = (int64_t)step->estimate_ms * host->pace_percent /
-                       PERCENT;
+    int64_t remaining_ms = job->objective_ms - choice->now_ms;
+    int64_t expected_ms = (int64_t)step->estimate_ms * host->pace_percent /
+                          PERCENT;
 
-    return host->pace_percent > SLOW_PERCENT && there_ms > left_ms &&
-           step->estimate_ms < left_ms;
+    return host->pace_percent > SLOW_PACE_PERCENT &&
+           expected_ms > remaining_ms && step->estimate_ms < remaining_ms;
 }
 
 static bool
@@ -93,35 +97,36 @@
         return false;
     }
     if (job->kept && host->held >= RUNNER_MOST_HELD) {
-        return false; /* their ends could not be told */
+        return false; /* it could not hold their ends */
     }
     if (is_too_slow(choice, job, step, host)) {
         return false;
     }
     return step->most_together == 0 ||
-           count_together(job, task, host->node.address) < step->most_together;
+           count_placed(job, task, host->node.address) < step->most_together;
 }
 
-/* Expected time there in ms, and what makes it worse. */
+/* Cost of running the task there, in ms: its expected time and penalties. */
 static int64_t
-cost_at(const Choice *choice, const Active_Job *job, const Active_Task *task,
-        const Fleet_Host *host)
+placement_cost_ms(const Choice *choice, const Active_Job *job,
+                  const Active_Task *task, const Fleet_Host *host)
 {
     const LeasedJob_Step *step = Active_Step(job, task);
-    uint32_t pace = host->pace_percent < NORMAL_PERCENT ? PERCENT
-                                                        : host->pace_percent;
+    uint32_t pace = host->pace_percent < NORMAL_PACE_PERCENT
+                        ? PERCENT
+                        : host->pace_percent;
     int64_t work_ms = (int64_t)step->estimate_ms * pace / PERCENT;
     int64_t cost = work_ms;
 
     if (!Fleet_HasLabel(host, step->affinity)) {
-        cost += work_ms * FAR_PERCENT / PERCENT;
+        cost += work_ms * REMOTE_DATA_PERCENT / PERCENT;
     }
     if (task->avoid == host->node.address) {
-        cost += AVOID_MS + step->estimate_ms;
+        cost += AVOIDED_HOST_MS + step->estimate_ms;
     }
     if (host->state == LC_UPSTREAM_TRIAL &&
         Random_Next(choice->random) % TRIAL_ONE_IN != 0) {
-        cost += TRIAL_MS;
+        cost += TRIAL_HOST_MS;
     }
     if (task->refused == 0 && g_strcmp0(host->hall, choice->hall) != 0) {
         cost += OTHER_HALL_MS;
@@ -129,37 +134,38 @@
     return cost;
 }
 
-/* Companions of the least cost so far, one of which is drawn. */
+/* Companions of the lowest cost so far, and the one drawn from them. */
 typedef struct {
     int64_t cost_ms;
-    uint32_t calls; /* that start the tasks which go together */
-    uint64_t fits;  /* tasks that fit there, of all of them */
+    uint32_t calls; /* needed to start the tasks placed together */
+    uint64_t fits;  /* sum of the tasks that fit in each */
     Fleet_Host *drawn;
-} Draw;
-
-/* Each is drawn with a chance in proportion to the tasks that fit there: what
- * is believed of it is as old as its last message, and the more room it had
- * the likelier there is still some. A strict order sends all entries to the
- * same hosts: of all starts at usual load 0.68 found no room, 0.04 as drawn
- * (55 entries, 240 companions, tests/fleet_load). */
+} host_sample;
+
+/* Weighted random sampling: the probability of each companion is in proportion
+ * to the tasks that fit there, because its reported room is as old as its last
+ * message, and the more room it had the likelier some is left. With a strict
+ * order all entries choose the same hosts: at usual load 0.68 of all starts
+ * then found no room, and 0.04 with sampling (55 entries, 240 companions,
+ * tests/fleet_load). */
 static void
-add_to_draw(Draw *draw, const Choice *choice, Fleet_Host *host,
+sample_host(host_sample *sample, const Choice *choice, Fleet_Host *host,
             int64_t cost_ms, uint32_t fits)
 {
     uint32_t calls = choice->together / fits + (choice->together % fits != 0);
 
-    if (cost_ms > draw->cost_ms ||
-        (cost_ms == draw->cost_ms && calls > draw->calls)) {
+    if (cost_ms > sample->cost_ms ||
+        (cost_ms == sample->cost_ms && calls > sample->calls)) {
         return;
     }
-    if (cost_ms < draw->cost_ms || calls < draw->calls) {
-        draw->cost_ms = cost_ms;
-        draw->calls = calls;
-        draw->fits = 0;
+    if (cost_ms < sample->cost_ms || calls < sample->calls) {
+        sample->cost_ms = cost_ms;
+        sample->calls = calls;
+        sample->fits = 0;
     }
-    draw->fits += fits;
-    if (Random_Next(choice->random) % draw->fits < fits) {
-        draw->drawn = host;
+    sample->fits += fits;
+    if (Random_Next(choice->random) % sample->fits < fits) {
+        sample->drawn = host;
     }
 }
 
@@ -168,7 +174,7 @@
             const Active_Task *task)
 {
     const lc_resources *need = &Active_Step(job, task)->need;
-    Draw draw = {.cost_ms = INT64_MAX};
+    host_sample sample = {.cost_ms = INT64_MAX};
     guint i;
 
     if (choice->together > 0 && choice->with != NULL &&
@@ -179,9 +185,10 @@
     for (i = 0; i < choice->fleet->hosts->len; i++) {
         Fleet_Host *host = g_ptr_array_index(choice->fleet->hosts, i);
         if (may_run(choice, job, task, host)) {
-            add_to_draw(&draw, choice, host, cost_at(choice, job, task, host),
-                        Resources_Count(need, &host->room));
+            sample_host(&sample, choice, host,
+                        placement_cost_ms(choice, job, task, host),
+                        Resources_CountFits(need, &host->room));
         }
     }
-    return draw.drawn;
+    return sample.drawn;
 }
--- a/lease/delegates.c
+++ b/lease/delegates.c
@@ -1,20 +1,22 @@
 #include "lease/delegates.h"
 
-/* Entries that are asked; more would only spread the same bytes. */
-#define MOST_ASKED 8
-/* Leases of what they run are renewed so often, as those at companions. */
-#define EXTEND_MS 100
-/* And those that run nothing are asked so often while the own link is short.
- */
-#define ASK_MS 250
-/* Who has not answered within this is given nothing. */
-#define FRESH_MS 500
-/* Of the headroom told, the part that one entry uses until it is told again:
- * others may be told the same. */
-#define CREDIT_PART 2
+/* Most delegates; more would only spread the same bytes. */
+#define MAX_DELEGATES 8
+/* Interval at which the leases of forwarded jobs are renewed; the same as at
+ * companions. */
+#define RENEW_INTERVAL_MS 100
+/* Interval at which delegates that run nothing are queried while this entry's
+ * link is congested. */
+#define QUERY_INTERVAL_MS 250
+/* No job is forwarded to a delegate whose last answer is older than this. */
+#define MAX_ANSWER_AGE_MS 500
+/* An entry uses this part (as a divisor) of a reported headroom until the next
+ * answer, as other entries may have been told the same headroom. */
+#define CREDIT_DIVISOR 2
 #define MS_PER_S 1000
-/* A link that nobody limits is told as this. */
-#define MOST_HEADROOM (INT64_C(1) << 40)
+/* Reported headrooms are cut to this, in bytes per second: an unlimited link
+ * reports more. */
+#define MAX_HEADROOM (INT64_C(1) << 40)
 
 static void
 free_row(gpointer item)
@@ -53,7 +55,7 @@
 }
 
 static bool
-is_named(const Delegate *row, const Address *addresses, guint count)
+is_candidate(const Delegate *row, const Address *addresses, guint count)
 {
     guint i;
 
@@ -65,16 +67,17 @@
     return false;
 }
 
-/* Rows that are not named any more go once nothing of theirs is open. */
+/* Removes the delegates that are no longer candidates, once they have no job,
+ * no pending call and no dropped job to be told of. */
 static void
-drop_others(Delegates *delegates, const Address *addresses, guint count)
+remove_unlisted(Delegates *delegates, const Address *addresses, guint count)
 {
     guint i = 0;
 
     while (i < delegates->rows->len) {
         const Delegate *row = g_ptr_array_index(delegates->rows, i);
         if (row->jobs == 0 && row->asking == 0 && row->gone->len == 0 &&
-            !is_named(row, addresses, count)) {
+            !is_candidate(row, addresses, count)) {
             g_ptr_array_remove_index_fast(delegates->rows, i);
         }
         else {
@@ -88,8 +91,8 @@
 {
     guint i;
 
-    drop_others(delegates, addresses, count);
-    for (i = 0; i < count && delegates->rows->len < MOST_ASKED; i++) {
+    remove_unlisted(delegates, addresses, count);
+    for (i = 0; i < count && delegates->rows->len < MAX_DELEGATES; i++) {
         Address address = addresses[(i + delegates->salt) % count];
         Delegate *row;
         if (Delegates_Find(delegates, address) != NULL) {
@@ -111,9 +114,9 @@
         return false;
     }
     if (row->jobs > 0 || row->gone->len > 0) {
-        return since_ms >= EXTEND_MS;
+        return since_ms >= RENEW_INTERVAL_MS;
     }
-    return wanted && since_ms >= ASK_MS;
+    return wanted && since_ms >= QUERY_INTERVAL_MS;
 }
 
 int64_t
@@ -126,14 +129,15 @@
 }
 
 void
-Delegates_TakeWord(Delegate *row, int64_t now_ms, const lc_extend_res *word)
+Delegates_TakeWord(Delegate *row, int64_t now_ms, const lc_extend_res *answer)
 {
-    int64_t headroom = (int64_t)MIN(word->headroom, (uint64_t)MOST_HEADROOM);
+    int64_t headroom = (int64_t)MIN(answer->headroom, (uint64_t)MAX_HEADROOM);
 
-    row->node = word->node;
-    row->stamp_ms = word->stamp_ms;
+    row->node = answer->node;
+    row->stamp_ms = answer->stamp_ms;
     row->received_ms = now_ms;
-    row->credit_bytes = headroom * ASK_MS / MS_PER_S / CREDIT_PART;
+    row->credit_bytes = headroom * QUERY_INTERVAL_MS / MS_PER_S /
+                        CREDIT_DIVISOR;
 }
 
 void
@@ -150,7 +154,8 @@
 
     for (i = 0; i < delegates->rows->len; i++) {
         Delegate *row = g_ptr_array_index(delegates->rows, i);
-        if (row->received_ms == 0 || now_ms - row->received_ms > FRESH_MS ||
+        if (row->received_ms == 0 ||
+            now_ms - row->received_ms > MAX_ANSWER_AGE_MS ||
             row->credit_bytes < bytes) {
             continue;
         }
--- a/lease/delegates.h
+++ b/lease/delegates.h
@@ -62,7 +62,7 @@
 
 /** Applies a delegate's answer to an EXTEND. */
 void Delegates_TakeWord(Delegate *row, int64_t now_ms,
-                        const lc_extend_res *word);
+                        const lc_extend_res *answer);
 
 /** Clears the credit of a delegate that did not answer or refused a job: it is
  * sent no job until it answers again. */
--- a/lease/fleet.c
+++ b/lease/fleet.c
@@ -47,11 +47,11 @@
 }
 
 static void
-replace_text(char **place, const char *text)
+replace_text(char **text_inout, const char *text)
 {
-    if (g_strcmp0(*place, text) != 0) {
-        g_free(*place);
-        *place = g_strdup(text);
+    if (g_strcmp0(*text_inout, text) != 0) {
+        g_free(*text_inout);
+        *text_inout = g_strdup(text);
     }
 }
 
@@ -132,7 +132,7 @@
         return false;
     }
     if (state->stamp_ms < host->stamp_ms) {
-        return true; /* overtaken on the way */
+        return true; /* arrived after a newer one */
     }
     host->stamp_ms = state->stamp_ms;
     host->received_ms = now_ms;
--- a/lease/fleet.h
+++ b/lease/fleet.h
@@ -58,8 +58,7 @@
 typedef enum {
     FLEET_KNOWN,  /**< the known incarnation */
     FLEET_NEW,    /**< companion was not known */
-    FLEET_REBORN, /**< newer incarnation: all runs of the last one have ended
-                   */
+    FLEET_REBORN, /**< newer one: all runs of the last one have ended */
     FLEET_STALE /**< ignored: an older incarnation, or a newer one that is not
                    ready */
 } Fleet_Change;
--- a/lease/forward_choice.c
+++ b/lease/forward_choice.c
@@ -3,27 +3,28 @@
 #include "lease/resources.h"
 
 #define PERCENT 100
-/* Refusals are counted over periods so long. */
+/* Period over which refusals are counted. */
 #define PERIOD_MS 500
-/* At most so many sends of a start are reckoned with. */
-#define MOST_SENDS_PERCENT 400
-/* Likewise a job handed on without its spec, and each of its steps. */
+/* Upper bound of the sends per accepted start, in percent. */
+#define MAX_SENDS_PERCENT 400
+/* Encoded sizes, in bytes: a forwarded job without its spec and steps, and
+ * each of its steps. */
 #define FORWARD_BYTES 150
 #define STEP_BYTES 48
-/* Handing on adds a hop to the job's time and load to another entry: it has
- * to save this part of what the job costs here. */
-#define LEAST_SAVED_PERCENT 20
+/* Forwarding adds a hop to the latency of the job and load to another entry:
+ * it has to save at least this part of the bytes that the job costs here. */
+#define MIN_SAVED_PERCENT 20
 
 void
 ForwardChoice_NoteStarts(ForwardChoice_Sends *sends, int64_t now_ms,
                          uint32_t starts)
 {
     if (now_ms - sends->since_ms >= PERIOD_MS) {
-        uint32_t taken = sends->starts > sends->refused
-                             ? sends->starts - sends->refused
-                             : 1;
-        sends->sends_percent = CLAMP(sends->starts * PERCENT / taken, PERCENT,
-                                     MOST_SENDS_PERCENT);
+        uint32_t accepted = sends->starts > sends->refused
+                                ? sends->starts - sends->refused
+                                : 1;
+        sends->sends_percent = CLAMP(sends->starts * PERCENT / accepted,
+                                     PERCENT, MAX_SENDS_PERCENT);
         sends->since_ms = now_ms;
         sends->starts = 0;
         sends->refused = 0;
@@ -37,9 +38,10 @@
     sends->refused++;
 }
 
-/* Of the first step that waits: its tasks and how many fit at once. */
+/* Number of calls that start the job's waiting tasks, if each takes as many
+ * tasks as fit into @p largest by the need of the first waiting task. */
 static uint32_t
-calls_of(const Active_Job *job, const lc_resources *largest)
+start_calls(const Active_Job *job, const lc_resources *largest)
 {
     uint32_t i;
 
@@ -49,7 +51,8 @@
         if (task->state != ACTIVE_WAITING) {
             continue;
         }
-        fits = MAX(Resources_Count(&Active_Step(job, task)->need, largest), 1);
+        fits = MAX(Resources_CountFits(&Active_Step(job, task)->need, largest),
+                   1);
         return job->waiting / fits + (job->waiting % fits != 0);
     }
     return 0;
@@ -60,7 +63,7 @@
                         const Active_Job *job, const lc_resources *largest)
 {
     int64_t spec = (int64_t)job->spec_bytes;
-    int64_t once = calls_of(job, largest) *
+    int64_t once = start_calls(job, largest) *
                        (FORWARD_CHOICE_START_BYTES + spec) +
                    (int64_t)FORWARD_CHOICE_ROW_BYTES * job->waiting;
 
@@ -75,8 +78,8 @@
 }
 
 bool
-ForwardChoice_IsBetter(int64_t kept_bytes, int64_t forward_bytes)
+ForwardChoice_IsBetter(int64_t local_bytes, int64_t forward_bytes)
 {
     return forward_bytes * PERCENT <=
-           kept_bytes * (PERCENT - LEAST_SAVED_PERCENT);
+           local_bytes * (PERCENT - MIN_SAVED_PERCENT);
 }
--- a/lease/forward_choice.h
+++ b/lease/forward_choice.h
@@ -46,6 +46,6 @@
 int64_t ForwardChoice_ForwardBytes(const Active_Job *job);
 
 /** Whether the job should be forwarded. */
-bool ForwardChoice_IsBetter(int64_t kept_bytes, int64_t forward_bytes);
+bool ForwardChoice_IsBetter(int64_t local_bytes, int64_t forward_bytes);
 
 #endif
--- a/lease/job.c
+++ b/lease/job.c
@@ -61,25 +61,25 @@
 uint32_t
 LeasedJob_ChainMs(const LeasedJob *job)
 {
-    uint32_t chain[LEASED_JOB_MAX_STEPS] = {0};
-    uint32_t longest = 0;
+    uint32_t path_ms[LEASED_JOB_MAX_STEPS] = {0};
+    uint32_t longest_ms = 0;
     uint32_t i;
     uint32_t j;
 
     for (i = 0; i < job->step_count; i++) {
         for (j = 0; j < i; j++) {
             if ((job->steps[i].depends_on >> j & 1) != 0) {
-                chain[i] = MAX(chain[i], chain[j]);
+                path_ms[i] = MAX(path_ms[i], path_ms[j]);
             }
         }
-        chain[i] += job->steps[i].estimate_ms;
-        longest = MAX(longest, chain[i]);
+        path_ms[i] += job->steps[i].estimate_ms;
+        longest_ms = MAX(longest_ms, path_ms[i]);
     }
-    return longest;
+    return longest_ms;
 }
 
 static const char *
-unsupported_part(const LeasedJob *job)
+unsupported_feature(const LeasedJob *job)
 {
     uint32_t i;
 
@@ -103,10 +103,10 @@
 Err_Kind
 LeasedJob_Check(const LeasedJob *job, Status *status)
 {
-    const char *part = unsupported_part(job);
+    const char *feature = unsupported_feature(job);
 
-    if (part != NULL) {
-        return Err_Set(status, ERR_UNSUPPORTED, "not served yet: %s", part);
+    if (feature != NULL) {
+        return Err_Set(status, ERR_UNSUPPORTED, "not served yet: %s", feature);
     }
     return ERR_OK;
 }
--- a/lease/job_trace.c
+++ b/lease/job_trace.c
@@ -2,7 +2,7 @@
 
 typedef struct {
     uint32_t at_ms; /* after the arrival of the job */
-    JobTrace_What what;
+    JobTrace_Kind kind;
     uint32_t step;
     uint32_t index;
     uint32_t run;
@@ -34,18 +34,18 @@
 }
 
 void
-JobTrace_Add(JobTrace *trace, int64_t now_ms, JobTrace_What what,
+JobTrace_Add(JobTrace *trace, int64_t now_ms, JobTrace_Kind kind,
              const lc_run_id *run, Address host, int32_t value)
 {
     trace_item item = {.at_ms = (uint32_t)(now_ms - trace->begin_ms),
-                       .what = what,
+                       .kind = kind,
                        .step = run->step,
                        .index = run->index,
                        .run = run->run,
                        .value = value,
                        .host = host};
 
-    if (trace->items->len >= JOB_TRACE_MOST) {
+    if (trace->items->len >= JOB_TRACE_MAX_ITEMS) {
         trace->left_out++;
         return;
     }
@@ -69,7 +69,7 @@
         g_snprintf(task, sizeof(task), "%u.%u", item->step, item->index);
         json_array_append_new(
             list, json_pack("[i, s, s, i, s, i]", (int)item->at_ms,
-                            texts[item->what], task, (int)item->run,
+                            texts[item->kind], task, (int)item->run,
                             Address_Text(item->host), (int)item->value));
     }
     if (trace->left_out > 0) {
--- a/lease/job_trace.h
+++ b/lease/job_trace.h
@@ -30,7 +30,7 @@
     JOB_TRACE_LIST(X)
 #undef X
         JOB_TRACE_COUNT
-} JobTrace_What;
+} JobTrace_Kind;
 
 /** Most items of a trace; later ones are only counted. */
 #define JOB_TRACE_MAX_ITEMS 160
@@ -43,7 +43,7 @@
 
 /** Adds an item about a run at a host; the meaning of @p value depends on the
  * kind, see JOB_TRACE_LIST. */
-void JobTrace_Add(JobTrace *trace, int64_t now_ms, JobTrace_What what,
+void JobTrace_Add(JobTrace *trace, int64_t now_ms, JobTrace_Kind kind,
                   const lc_run_id *run, Address host, int32_t value);
 
 /** Returns the items as [ms since the arrival, kind, "STEP.INDEX", run, host,
--- a/lease/job_wire.c
+++ b/lease/job_wire.c
@@ -25,7 +25,7 @@
 }
 
 static bool
-is_step_sound(const lc_step *row, u_int index, uint64_t tasks)
+is_step_valid(const lc_step *row, u_int index, uint64_t tasks)
 {
     uint64_t earlier = ((uint64_t)1 << index) - 1;
 
@@ -54,7 +54,7 @@
     memset(job, 0, sizeof(*job));
     job->id = args->job;
     if (args->steps.steps_len == 0) {
-        return Err_Set(status, ERR_BAD_REQUEST, "a job without steps");
+        return Err_Set(status, ERR_BAD_REQUEST, "the job has no steps");
     }
     job->step_count = args->steps.steps_len;
     job->steps = g_new0(LeasedJob_Step, job->step_count);
@@ -62,10 +62,10 @@
     for (i = 0; i < job->step_count; i++) {
         const lc_step *row = &args->steps.steps_val[i];
         tasks += row->count;
-        if (!is_step_sound(row, i, tasks)) {
+        if (!is_step_valid(row, i, tasks)) {
             LeasedJob_Clear(job);
             return Err_Set(status, ERR_BAD_REQUEST,
-                           "step %u: its count or what it depends on", i);
+                           "step %u: invalid task count or dependencies", i);
         }
         read_step(row, &job->steps[i]);
     }
--- a/lease/link_budget.h
+++ b/lease/link_budget.h
@@ -19,13 +19,13 @@
 
 /** A token bucket. A plain value; all zeros: no limit. */
 typedef struct {
-    int64_t bytes_per_s; /**< usable rate of the link; 0: no limit */
-    int64_t
-        left_bytes; /**< tokens; negative if more was sent than there were */
-    int64_t filled_ms;      /**< time of the last refill */
-    int64_t short_until_ms; /**< congested until then; 0: never congested */
-    uint64_t waits;         /**< dispatch passes in which starts had to wait */
-    int64_t used_bytes;     /**< sent since used_since_ms */
+    int64_t bytes_per_s;     /**< usable rate of the link; 0: no limit */
+    int64_t available_bytes; /**< tokens; negative if more was sent than there
+                                were */
+    int64_t refilled_ms;     /**< time of the last refill */
+    int64_t congested_until_ms; /**< 0: not congested so far */
+    uint64_t waits;     /**< dispatch passes in which starts had to wait */
+    int64_t used_bytes; /**< sent since used_since_ms */
     int64_t used_since_ms;
     int64_t rate; /**< bytes per second in the last complete period */
 } LinkBudget;
--- a/lease/reserve.h
+++ b/lease/reserve.h
@@ -20,8 +20,8 @@
 /** Recent jobs of the highest priority. A plain value. */
 typedef struct {
     int32_t priority;
-    int64_t seen_ms;    /**< when the last of them arrived; 0 for never */
-    uint32_t width_x16; /**< moving average of their task count, times 16 */
+    int64_t seen_ms;         /**< when the last of them arrived; 0 for never */
+    uint32_t mean_tasks_x16; /**< moving average of their tasks, times 16 */
 } Reserve;
 
 /** Records the arrival of a job. */
--- a/lease/resources.c
+++ b/lease/resources.c
@@ -34,7 +34,7 @@
 }
 
 uint32_t
-Resources_Count(const lc_resources *need, const lc_resources *room)
+Resources_CountFits(const lc_resources *need, const lc_resources *room)
 {
     uint32_t count = UINT32_MAX;
 
