--- a/lease/choice.c
+++ b/lease/choice.c
@@ -73,10 +73,10 @@
 /* Whether the task would miss its objective there, but meet it on a host of
  * normal pace. */
 static bool
-is_too_slow(const Choice *choice, const Active_Job *job,
+is_too_slow(const Choice *context, const Active_Job *job,
             const LeasedJob_Step *step, const Fleet_Host *host)
 {
-    int64_t remaining_ms = job->objective_ms - choice->now_ms;
+    int64_t remaining_ms = job->objective_ms - context->now_ms;
     int64_t expected_ms = (int64_t)step->estimate_ms * host->pace_percent /
                           PERCENT;
 
@@ -85,12 +85,12 @@
 }
 
 static bool
-may_run(const Choice *choice, const Active_Job *job, const Active_Task *task,
+may_run(const Choice *context, const Active_Job *job, const Active_Task *task,
         const Fleet_Host *host)
 {
     const LeasedJob_Step *step = Active_Step(job, task);
 
-    if (!Choice_IsOpen(host, choice->now_ms) ||
+    if (!Choice_IsOpen(host, context->now_ms) ||
         !Resources_Fit(&step->need, &host->room) ||
         g_strcmp0(host->service, job->service) != 0 ||
         !Fleet_HasLabel(host, step->requirement)) {
@@ -99,7 +99,7 @@
     if (job->kept && host->held >= RUNNER_MOST_HELD) {
         return false; /* it could not hold their ends */
     }
-    if (is_too_slow(choice, job, step, host)) {
+    if (is_too_slow(context, job, step, host)) {
         return false;
     }
     return step->most_together == 0 ||
@@ -108,7 +108,7 @@
 
 /* Cost of running the task there, in ms: its expected time and penalties. */
 static int64_t
-placement_cost_ms(const Choice *choice, const Active_Job *job,
+placement_cost_ms(const Choice *context, const Active_Job *job,
                   const Active_Task *task, const Fleet_Host *host)
 {
     const LeasedJob_Step *step = Active_Step(job, task);
@@ -125,10 +125,10 @@
         cost += AVOIDED_HOST_MS + step->estimate_ms;
     }
     if (host->state == LC_UPSTREAM_TRIAL &&
-        Random_Next(choice->random) % TRIAL_ONE_IN != 0) {
+        Random_Next(context->random) % TRIAL_ONE_IN != 0) {
         cost += TRIAL_HOST_MS;
     }
-    if (task->refused == 0 && g_strcmp0(host->hall, choice->hall) != 0) {
+    if (task->refused == 0 && g_strcmp0(host->hall, context->hall) != 0) {
         cost += OTHER_HALL_MS;
     }
     return cost;
@@ -149,10 +149,11 @@
  * then found no room, and 0.04 with sampling (55 entries, 240 companions,
  * tests/fleet_load). */
 static void
-sample_host(host_sample *sample, const Choice *choice, Fleet_Host *host,
+sample_host(host_sample *sample, const Choice *context, Fleet_Host *host,
             int64_t cost_ms, uint32_t fits)
 {
-    uint32_t calls = choice->together / fits + (choice->together % fits != 0);
+    uint32_t calls = context->together / fits +
+                     (context->together % fits != 0);
 
     if (cost_ms > sample->cost_ms ||
         (cost_ms == sample->cost_ms && calls > sample->calls)) {
@@ -164,29 +165,29 @@
         sample->fits = 0;
     }
     sample->fits += fits;
-    if (Random_Next(choice->random) % sample->fits < fits) {
+    if (Random_Next(context->random) % sample->fits < fits) {
         sample->drawn = host;
     }
 }
 
 Fleet_Host *
-Choice_Host(const Choice *choice, const Active_Job *job,
+Choice_Host(const Choice *context, const Active_Job *job,
             const Active_Task *task)
 {
     const lc_resources *need = &Active_Step(job, task)->need;
     host_sample sample = {.cost_ms = INT64_MAX};
     guint i;
 
-    if (choice->together > 0 && choice->with != NULL &&
-        choice->with->node.address != task->avoid &&
-        may_run(choice, job, task, choice->with)) {
-        return choice->with;
+    if (context->together > 0 && context->with != NULL &&
+        context->with->node.address != task->avoid &&
+        may_run(context, job, task, context->with)) {
+        return context->with;
     }
-    for (i = 0; i < choice->fleet->hosts->len; i++) {
-        Fleet_Host *host = g_ptr_array_index(choice->fleet->hosts, i);
-        if (may_run(choice, job, task, host)) {
-            sample_host(&sample, choice, host,
-                        placement_cost_ms(choice, job, task, host),
+    for (i = 0; i < context->fleet->hosts->len; i++) {
+        Fleet_Host *host = g_ptr_array_index(context->fleet->hosts, i);
+        if (may_run(context, job, task, host)) {
+            sample_host(&sample, context, host,
+                        placement_cost_ms(context, job, task, host),
                         Resources_CountFits(need, &host->room));
         }
     }
--- a/lease/choice.h
+++ b/lease/choice.h
@@ -21,7 +21,7 @@
 } Choice;
 
 /** Returns the companion that should run @p task now, or NULL if none can. */
-Fleet_Host *Choice_Host(const Choice *choice, const Active_Job *job,
+Fleet_Host *Choice_Host(const Choice *context, const Active_Job *job,
                         const Active_Task *task);
 
 /** Whether a companion has sent a message within the liveness timeout. */
--- a/lease/delegates.h
+++ b/lease/delegates.h
@@ -37,7 +37,7 @@
 /** All delegates. */
 typedef struct {
     GPtrArray *rows; /**< Delegate, owned */
-    uint64_t salt; /**< random start in the list of candidates, so that entries
+    uint64_t salt; /**< start offset in the list of candidates, so that entries
                         do not all query the same few */
 } Delegates;
 
--- a/lease/forward_choice.c
+++ b/lease/forward_choice.c
@@ -63,11 +63,11 @@
                         const Active_Job *job, const lc_resources *largest)
 {
     int64_t spec = (int64_t)job->spec_bytes;
-    int64_t once = start_calls(job, largest) *
-                       (FORWARD_CHOICE_START_BYTES + spec) +
-                   (int64_t)FORWARD_CHOICE_ROW_BYTES * job->waiting;
+    int64_t bytes = start_calls(job, largest) *
+                        (FORWARD_CHOICE_START_BYTES + spec) +
+                    (int64_t)FORWARD_CHOICE_ROW_BYTES * job->waiting;
 
-    return once * MAX(sends->sends_percent, PERCENT) / PERCENT;
+    return bytes * MAX(sends->sends_percent, PERCENT) / PERCENT;
 }
 
 int64_t
--- a/lease/job.h
+++ b/lease/job.h
@@ -13,8 +13,8 @@
 #include "base/err.h"
 #include "wire/msg.h"
 
-/** Most tasks of one job over all its occurrences: a bit for each is recorded
- * in the store. */
+/** Most tasks of one job over all its occurrences: a bit for each is recorded.
+ */
 #define LEASED_JOB_MAX_TIMED (8 * LC_MAX_TASKS)
 /** Most tasks of one job, the largest size that its developers state. */
 #define LEASED_JOB_MAX_TASKS 1500
@@ -27,10 +27,8 @@
     lc_resources need;
     uint32_t estimate_ms;
     uint64_t depends_on; /**< bit i: step i must end before this one starts */
-    uint32_t
-        most_together; /**< most tasks on one upstream; 0 for any number */
-    char requirement[LC_MAX_NAME]; /**< label that its upstream must have, or
-                                      "" */
+    uint32_t most_together;        /**< on one upstream; 0 for no limit */
+    char requirement[LC_MAX_NAME]; /**< required upstream label, or "" */
     char affinity[LC_MAX_NAME]; /**< label of upstreams near its data, or "" */
     bool gang;                  /**< its tasks must run at the same time */
     bool long_running; /**< its tasks are restarted however they end */
@@ -40,9 +38,8 @@
 /** A job. Owned by its parser until a dispatcher takes it over. */
 typedef struct {
     uint64_t id;
-    char *spec;         /**< passed to the upstream unchanged */
-    bool needs_keeping; /**< durable: it must survive the loss of all processes
-                         */
+    char *spec;            /**< passed to the upstream unchanged */
+    bool needs_keeping;    /**< must survive the loss of all processes */
     uint32_t repeat_count; /**< number of scheduled occurrences; 0: runs once,
                                 immediately */
     int64_t start_at_ms;   /**< wall clock, of the first occurrence */
--- a/lease/link_budget.h
+++ b/lease/link_budget.h
@@ -3,7 +3,7 @@
  * @brief Token bucket that limits what an entry sends over its link, and
  * detection of link congestion.
  *
- * What is sent faster than the link carries waits in socket buffers in the
+ * What is sent faster than the link carries waits in send buffers in the
  * order of sending: urgent starts wait behind others, answers and renewals
  * behind both, and hosts were chosen by what was known before the wait, so
  * that many starts find no room and are sent again. Starts that wait here
--- a/tests/choice_rules.c
+++ b/tests/choice_rules.c
@@ -1,6 +1,6 @@
 /*
- * How a companion is chosen for a task: hosts as a table, a choice drawn many
- * times, and the share that each host must get.
+ * Tests of placement: for a table of hosts the companion of a task is chosen
+ * many times, and each host must get its expected share.
  */
 #include <glib.h>
 #include <string.h>
@@ -10,8 +10,8 @@
 
 #define NOW_MS 10000
 #define DRAWS 3000
-#define MOST_HOSTS 4
-/* Four deviations of a share of a half over so many draws. */
+#define MAX_HOSTS 4
+/* Four standard deviations of a share of one half over DRAWS draws. */
 #define SHARE_ERROR 0.04
 #define ESTIMATE_MS 200
 #define NEED_MILLI 1000
@@ -22,18 +22,18 @@
     uint32_t room_milli;
     uint32_t pace_percent;
     const char *label;
-    double share; /* expected */
+    double share; /* expected share of the draws */
 } host_row;
 
-/* One choice. The hosts end with one without a hall. */
+/* One test case. The host without a hall ends the list. */
 typedef struct {
     const char *name;
     const char *affinity;
     const char *requirement;
-    uint32_t refused;  /* starts in a row */
-    int avoid;         /* host where it went wrong, or -1 */
-    uint32_t together; /* tasks that are to go to few hosts */
-    host_row hosts[MOST_HOSTS + 1];
+    uint32_t refused;  /* consecutive refused starts */
+    int avoid;         /* host where the task failed, or -1 */
+    uint32_t together; /* tasks to be placed on few hosts */
+    host_row hosts[MAX_HOSTS + 1];
 } choice_case;
 
 static Address
@@ -68,7 +68,7 @@
 }
 
 static Active_Job *
-new_job(const choice_case *one)
+new_job(const choice_case *test)
 {
     Route route = {.name = (char *)(uintptr_t) "queue",
                    .service = (char *)(uintptr_t) "service",
@@ -82,47 +82,47 @@
     spec.steps[0].count = 1;
     spec.steps[0].need.cpu_milli = NEED_MILLI;
     spec.steps[0].estimate_ms = ESTIMATE_MS;
-    if (one->affinity != NULL) {
-        g_strlcpy(spec.steps[0].affinity, one->affinity, LC_MAX_NAME);
+    if (test->affinity != NULL) {
+        g_strlcpy(spec.steps[0].affinity, test->affinity, LC_MAX_NAME);
     }
-    if (one->requirement != NULL) {
-        g_strlcpy(spec.steps[0].requirement, one->requirement, LC_MAX_NAME);
+    if (test->requirement != NULL) {
+        g_strlcpy(spec.steps[0].requirement, test->requirement, LC_MAX_NAME);
     }
     job = Active_New(&spec, &route, NOW_MS, NOW_MS + 1500);
-    job->tasks[0].refused = one->refused;
-    job->tasks[0].avoid = one->avoid < 0 ? 0 : address_of(one->avoid);
+    job->tasks[0].refused = test->refused;
+    job->tasks[0].avoid = test->avoid < 0 ? 0 : address_of(test->avoid);
     return job;
 }
 
 static void
-check(gconstpointer item)
+check_shares(gconstpointer item)
 {
-    const choice_case *one = item;
+    const choice_case *test = item;
     uint64_t random = Random_Seed(7);
-    uint32_t drawn[MOST_HOSTS + 1] = {0}; /* the last: none */
-    Active_Job *job = new_job(one);
+    uint32_t drawn[MAX_HOSTS + 1] = {0}; /* the last one: no host */
+    Active_Job *job = new_job(test);
     Fleet fleet;
-    Choice choice = {.fleet = &fleet,
-                     .hall = "own",
-                     .now_ms = NOW_MS,
-                     .random = &random,
-                     .together = one->together};
+    Choice context = {.fleet = &fleet,
+                      .hall = "own",
+                      .now_ms = NOW_MS,
+                      .random = &random,
+                      .together = test->together};
     int i;
 
     Fleet_Init(&fleet);
-    for (i = 0; one->hosts[i].hall != NULL; i++) {
-        add_host(&fleet, i, &one->hosts[i]);
+    for (i = 0; test->hosts[i].hall != NULL; i++) {
+        add_host(&fleet, i, &test->hosts[i]);
     }
     for (i = 0; i < DRAWS; i++) {
-        const Fleet_Host *host = Choice_Host(&choice, job, &job->tasks[0]);
-        drawn[host == NULL ? MOST_HOSTS
+        const Fleet_Host *host = Choice_Host(&context, job, &job->tasks[0]);
+        drawn[host == NULL ? MAX_HOSTS
                            : (int)(host->node.address >> 16) - 1]++;
     }
-    for (i = 0; one->hosts[i].hall != NULL; i++) {
+    for (i = 0; test->hosts[i].hall != NULL; i++) {
         double share = (double)drawn[i] / DRAWS;
-        g_assert_cmpfloat_with_epsilon(share, one->hosts[i].share,
+        g_assert_cmpfloat_with_epsilon(share, test->hosts[i].share,
                                        SHARE_ERROR);
-        if (one->hosts[i].share == 0) {
+        if (test->hosts[i].share == 0) {
             g_assert_cmpuint(drawn[i], ==, 0);
         }
     }
@@ -131,55 +131,55 @@
 }
 
 static const choice_case choice_cases[] = {
-    {.name = "/choice/paces that differ by chance are alike",
+    {.name = "/choice/paces below the threshold count as equal",
      .avoid = -1,
      .hosts = {{"own", 4000, 80, NULL, 0.333},
                {"own", 4000, 100, NULL, 0.333},
                {"own", 4000, 149, NULL, 0.333}}},
-    {.name = "/choice/a slow host is left while others have room",
+    {.name = "/choice/a slow host is not used while others have room",
      .avoid = -1,
      .hosts = {{"own", 1000, 100, NULL, 1}, {"own", 8000, 190, NULL, 0}}},
-    {.name = "/choice/hosts get their share by the tasks that fit",
+    {.name = "/choice/shares are proportional to the tasks that fit",
      .avoid = -1,
      .hosts = {{"own", 1900, 100, NULL, 0.25},
                {"own", 3000, 100, NULL, 0.75},
                {"own", 999, 100, NULL, 0}}},
-    {.name = "/choice/the own hall comes first",
+    {.name = "/choice/the own hall is preferred",
      .avoid = -1,
      .hosts = {{"own", 1000, 100, NULL, 1}, {"other", 8000, 100, NULL, 0}}},
-    {.name = "/choice/another hall serves when the own is full",
+    {.name = "/choice/another hall is used when the own is full",
      .avoid = -1,
      .hosts = {{"own", 900, 100, NULL, 0}, {"other", 8000, 100, NULL, 1}}},
-    {.name = "/choice/a refused start goes anywhere",
+    {.name = "/choice/a refused start may go to any hall",
      .refused = 1,
      .avoid = -1,
      .hosts = {{"own", 2000, 100, NULL, 0.5},
                {"other", 2000, 100, NULL, 0.5}}},
-    {.name = "/choice/near its data first",
+    {.name = "/choice/hosts near the data are preferred",
      .affinity = "rack-1",
      .avoid = -1,
      .hosts = {{"own", 8000, 100, "rack-2", 0},
                {"other", 1000, 100, "rack-1", 1}}},
-    {.name = "/choice/where a task went wrong comes last",
+    {.name = "/choice/the host where a task failed is the last resort",
      .avoid = 0,
      .hosts = {{"own", 8000, 100, NULL, 0}, {"other", 1000, 100, NULL, 1}}},
-    {.name = "/choice/a required label is never passed over",
+    {.name = "/choice/a required label is never ignored",
      .requirement = "large",
      .avoid = -1,
      .hosts = {{"own", 8000, 100, "small", 0}, {"own", 900, 100, "large", 0}}},
-    {.name = "/choice/tasks that go together find the host that takes all",
+    {.name = "/choice/tasks placed together go to a host that fits all",
      .avoid = -1,
      .together = 4,
      .hosts = {{"own", 3900, 100, NULL, 0},
                {"own", 4000, 100, NULL, 0.333},
                {"own", 8000, 100, NULL, 0.667}}},
-    {.name = "/choice/or those that take most of them",
+    {.name = "/choice/tasks placed together go to hosts that fit most of them",
      .avoid = -1,
      .together = 4,
      .hosts = {{"own", 1000, 100, NULL, 0},
                {"own", 2000, 100, NULL, 0.4},
                {"own", 3000, 100, NULL, 0.6}}},
-    {.name = "/choice/together is worth no slow host and no other hall",
+    {.name = "/choice/placing together justifies no slow host or other hall",
      .avoid = -1,
      .together = 4,
      .hosts = {{"own", 1000, 100, NULL, 1},
@@ -194,7 +194,8 @@
 
     g_test_init(&argc, &argv, NULL);
     for (i = 0; i < G_N_ELEMENTS(choice_cases); i++) {
-        g_test_add_data_func(choice_cases[i].name, &choice_cases[i], check);
+        g_test_add_data_func(choice_cases[i].name, &choice_cases[i],
+                             check_shares);
     }
     return g_test_run();
 }
--- a/tests/forward_rules.c
+++ b/tests/forward_rules.c
@@ -1,7 +1,7 @@
 /*
- * Rules of jobs that one entry hands to another: when it does, what it does
- * when the other refuses, answers or is lost, and that nothing there outlasts
- * its lease.
+ * Tests of forwarding: when an entry forwards a job to another one, what it
+ * does when the other entry refuses, answers or is lost, and that no run
+ * there outlasts the lease of the job.
  */
 #include <glib.h>
 #include <string.h>
@@ -13,11 +13,11 @@
 #define OTHER 7001
 #define LINK_MBPS 10.0
 #define HEADROOM 10000000
-/* Its clock is ahead of ours by so much. */
+/* How far its clock is ahead of ours. */
 #define OTHER_CLOCK_MS 500000
 #define OTHER_INCARNATION 99
 
-/* ---- an entry that hands on ---- */
+/* ---- the entry that forwards (origin) ---- */
 
 static void
 answer_extend(EntryFix *fix, uint64_t headroom)
@@ -32,9 +32,10 @@
                        EntryFix_Last(fix, MSG_EXTEND)->call_id, &reply);
 }
 
-/* An entry whose link is short, and that has asked the other one. */
+/* Opens an entry whose link is congested and that has queried the other one,
+ * which answered with headroom in bytes per second. */
 static void
-open_short(EntryFix *fix, uint64_t headroom)
+open_congested(EntryFix *fix, uint64_t headroom)
 {
     Address other = OTHER;
     uint64_t job;
@@ -53,7 +54,7 @@
     g_assert_cmpint(EntryFix_Last(fix, MSG_EXTEND)->extend.valid_until_ms, ==,
                     0);
     answer_extend(fix, headroom);
-    /* From now on no host takes more than four tasks. */
+    /* From now on no host has room for more than four tasks. */
     EntryFix_Report(fix, 2, 0);
     EntryFix_Report(fix, 0, 4);
     EntryFix_Report(fix, 1, 4);
@@ -75,7 +76,7 @@
 }
 
 static void
-test_usual_load(void)
+test_normal_load(void)
 {
     EntryFix fix;
 
@@ -92,13 +93,13 @@
 }
 
 static void
-test_dear_job_is_handed_on(void)
+test_expensive_job_is_forwarded(void)
 {
     const EntryFix_Call *call;
     EntryFix fix;
     int starts;
 
-    open_short(&fix, HEADROOM);
+    open_congested(&fix, HEADROOM);
     starts = fix.start_count;
     EntryFix_Submit(&fix, 100, 8, 0);
     g_assert_cmpint(EntryFix_Count(&fix, MSG_FORWARD), ==, 1);
@@ -107,7 +108,8 @@
     g_assert_cmpuint(call->to, ==, OTHER);
     g_assert_cmpuint(call->forward.target, ==, OTHER_INCARNATION);
     g_assert_cmpuint(call->forward.job, ==, 100);
-    /* On the other's clock, as if its last word had taken no time. */
+    /* On the other entry's clock, as if its last answer had taken no time to
+     * arrive. */
     g_assert_cmpint(call->forward.valid_until_ms, ==,
                     fix.now_ms + OTHER_CLOCK_MS + fix.term.lease_ms);
     reply_forward(&fix, true, DISPATCHER_SUCCEEDED, ERR_OK);
@@ -118,12 +120,12 @@
 }
 
 static void
-test_cheap_job_stays(void)
+test_cheap_job_is_not_forwarded(void)
 {
     EntryFix fix;
     int starts;
 
-    open_short(&fix, HEADROOM);
+    open_congested(&fix, HEADROOM);
     starts = fix.start_count;
     EntryFix_Submit(&fix, 100, 4, 0);
     g_assert_cmpint(EntryFix_Count(&fix, MSG_FORWARD), ==, 0);
@@ -132,22 +134,22 @@
 }
 
 static void
-test_no_headroom_there(void)
+test_no_headroom(void)
 {
     EntryFix fix;
 
-    open_short(&fix, 0);
+    open_congested(&fix, 0);
     EntryFix_Submit(&fix, 100, 8, 0);
     g_assert_cmpint(EntryFix_Count(&fix, MSG_FORWARD), ==, 0);
     EntryFix_Close(&fix);
 }
 
 static void
-test_old_word(void)
+test_stale_answer(void)
 {
     EntryFix fix;
 
-    open_short(&fix, HEADROOM);
+    open_congested(&fix, HEADROOM);
     EntryFix_Pass(&fix, 600);
     EntryFix_Submit(&fix, 100, 8, 0);
     g_assert_cmpint(EntryFix_Count(&fix, MSG_FORWARD), ==, 0);
@@ -155,12 +157,12 @@
 }
 
 static void
-test_not_taken(void)
+test_refused_forward(void)
 {
     EntryFix fix;
     int starts;
 
-    open_short(&fix, HEADROOM);
+    open_congested(&fix, HEADROOM);
     starts = fix.start_count;
     EntryFix_Submit(&fix, 100, 8, 0);
     EntryFix_Report(&fix, 0, 0);
@@ -176,14 +178,15 @@
     EntryFix_Close(&fix);
 }
 
-/* What is known of the other entry is fresh, as it still runs a job. */
+/* The answer of the other entry is recent, as it still runs a job and is
+ * queried for that. */
 static void
-test_not_short_any_more(void)
+test_congestion_over(void)
 {
     EntryFix fix;
     int i;
 
-    open_short(&fix, HEADROOM);
+    open_congested(&fix, HEADROOM);
     EntryFix_Submit(&fix, 100, 8, 0);
     for (i = 0; i < 11; i++) {
         EntryFix_Pass(&fix, 100);
@@ -197,11 +200,11 @@
 }
 
 static void
-test_not_run_there(void)
+test_not_run(void)
 {
     EntryFix fix;
 
-    open_short(&fix, HEADROOM);
+    open_congested(&fix, HEADROOM);
     EntryFix_Submit(&fix, 100, 8, 0);
     reply_forward(&fix, true, DISPATCHER_NOT_RUN, ERR_WAIT_TOO_LONG);
     g_assert_cmpint(fix.answers[0].outcome, ==, DISPATCHER_NOT_RUN);
@@ -209,15 +212,15 @@
     EntryFix_Close(&fix);
 }
 
-/* It may have run there: the caller is not told that it has not, and nothing
- * of it is started here. */
+/* The job may have run there: the caller must not be told that it has not, and
+ * none of its tasks may be started here. */
 static void
-test_lost(void)
+test_reply_lost(void)
 {
     EntryFix fix;
     int starts;
 
-    open_short(&fix, HEADROOM);
+    open_congested(&fix, HEADROOM);
     starts = fix.start_count;
     EntryFix_Submit(&fix, 100, 8, 0);
     Dispatcher_OnReply(fix.dispatcher, fix.now_ms,
@@ -235,7 +238,7 @@
 {
     EntryFix fix;
 
-    open_short(&fix, HEADROOM);
+    open_congested(&fix, HEADROOM);
     EntryFix_Submit(&fix, 100, 8, 0);
     EntryFix_Submit(&fix, 101, 8, 0);
     Dispatcher_OnCallerGone(fix.dispatcher, fix.now_ms, 100);
@@ -244,7 +247,7 @@
     g_assert_cmpuint(EntryFix_Last(&fix, MSG_EXTEND)->gone, ==, 1);
     g_assert_cmpint(EntryFix_Last(&fix, MSG_EXTEND)->extend.valid_until_ms, >,
                     0);
-    /* Told once it was answered, not before. */
+    /* The number is repeated until an EXTEND that carries it is answered. */
     Dispatcher_OnReply(fix.dispatcher, fix.now_ms,
                        EntryFix_Last(&fix, MSG_EXTEND)->call_id, NULL);
     EntryFix_Pass(&fix, 100);
@@ -255,7 +258,7 @@
     EntryFix_Close(&fix);
 }
 
-/* ---- an entry that takes them ---- */
+/* ---- the entry that runs forwarded jobs (delegate) ---- */
 
 static lc_step forward_step = {.count = 3,
                                .need = {1000, 0, 0},
@@ -281,7 +284,7 @@
 }
 
 static void
-give(EntryFix *fix, uint64_t job, int64_t lease_ms)
+receive_forward(EntryFix *fix, uint64_t job, int64_t lease_ms)
 {
     lc_forward_args args = forward_of(fix, job, lease_ms);
 
@@ -291,7 +294,7 @@
 }
 
 static void
-extend(EntryFix *fix, int64_t lease_ms, uint64_t gone)
+receive_extend(EntryFix *fix, int64_t lease_ms, uint64_t gone)
 {
     lc_extend_args args = {.from = {ORIGIN, 5},
                            .target = 77,
@@ -303,20 +306,20 @@
 }
 
 static void
-open_taker(EntryFix *fix)
+open_delegate(EntryFix *fix)
 {
     EntryFix_Open(fix, OTHER, 0);
     EntryFix_Report(fix, 0, 8);
 }
 
 static void
-test_runs_under_its_lease(void)
+test_origin_lease(void)
 {
     EntryFix fix;
     int i;
 
-    open_taker(&fix);
-    give(&fix, 1, 300);
+    open_delegate(&fix);
+    receive_forward(&fix, 1, 300);
     g_assert_cmpint(fix.start_count, ==, 3);
     for (i = 0; i < 3; i++) {
         g_assert_cmpuint(fix.starts[i].owner, !=, 77);
@@ -331,20 +334,21 @@
     EntryFix_Close(&fix);
 }
 
-/* Renewals at companions reach as far as the origin's lease, in its name. */
+/* Renewals at companions are sent in the origin's name and reach no further
+ * than its lease. */
 static void
 test_renewals(void)
 {
     const EntryFix_Call *renew;
     EntryFix fix;
 
-    open_taker(&fix);
-    give(&fix, 1, 300);
+    open_delegate(&fix);
+    receive_forward(&fix, 1, 300);
     EntryFix_Pass(&fix, 150);
     renew = EntryFix_Last(&fix, MSG_RENEW);
     g_assert_cmpuint(renew->renew.owner.incarnation, ==, fix.starts[0].owner);
     g_assert_cmpint(renew->renew.valid_until_ms, <=, ENTRY_FIX_START_MS + 300);
-    extend(&fix, 400, 0);
+    receive_extend(&fix, 400, 0);
     EntryFix_Pass(&fix, 100);
     renew = EntryFix_Last(&fix, MSG_RENEW);
     g_assert_cmpint(renew->renew.valid_until_ms, >, ENTRY_FIX_START_MS + 300);
@@ -353,61 +357,63 @@
 }
 
 static void
-test_lapse(void)
+test_lease_expiry(void)
 {
     EntryFix fix;
 
-    open_taker(&fix);
-    give(&fix, 1, 300);
+    open_delegate(&fix);
+    receive_forward(&fix, 1, 300);
     EntryFix_Pass(&fix, 320);
     g_assert_cmpint(EntryFix_Count(&fix, MSG_HALT), ==, 3);
     g_assert_cmpint(fix.reply_count, ==, 1);
     g_assert_cmpuint(fix.replies[0].forward.outcome, ==, DISPATCHER_GIVEN_UP);
-    /* Its end is final: a later word does not bring it back. */
-    extend(&fix, 500, 0);
+    /* The expiry is final: a later EXTEND does not revive the job. */
+    receive_extend(&fix, 500, 0);
     EntryFix_Pass(&fix, 200);
     g_assert_cmpint(fix.start_count, ==, 3);
     EntryFix_Close(&fix);
 }
 
-/* A tick may be late: a word behind the end does not lengthen the lease. */
+/* A tick may be late: an EXTEND that arrives after the end of the lease does
+ * not extend it. */
 static void
-test_word_behind_the_end(void)
+test_late_extend(void)
 {
     EntryFix fix;
 
-    open_taker(&fix);
-    give(&fix, 1, 10);
+    open_delegate(&fix);
+    receive_forward(&fix, 1, 10);
     fix.now_ms += 20;
-    extend(&fix, 500, 0);
+    receive_extend(&fix, 500, 0);
     g_assert_cmpint(EntryFix_Count(&fix, MSG_HALT), ==, 3);
     EntryFix_Close(&fix);
 }
 
-/* What comes after may be sent in place of what was dropped. */
+/* A later job does not extend the lease of an earlier one: it may have been
+ * sent in place of a dropped one. */
 static void
-test_job_extends_no_other(void)
+test_job_extends_no_earlier_one(void)
 {
     EntryFix fix;
 
-    open_taker(&fix);
-    give(&fix, 1, 300);
+    open_delegate(&fix);
+    receive_forward(&fix, 1, 300);
     EntryFix_Pass(&fix, 200);
-    give(&fix, 2, 500);
+    receive_forward(&fix, 2, 500);
     EntryFix_Pass(&fix, 120);
     g_assert_cmpint(EntryFix_Count(&fix, MSG_HALT), ==, 6);
     EntryFix_Close(&fix);
 }
 
 static void
-test_dropped(void)
+test_dropped_job(void)
 {
     EntryFix fix;
 
-    open_taker(&fix);
-    give(&fix, 1, 300);
-    give(&fix, 2, 300);
-    extend(&fix, 500, 1);
+    open_delegate(&fix);
+    receive_forward(&fix, 1, 300);
+    receive_forward(&fix, 2, 300);
+    receive_extend(&fix, 500, 1);
     g_assert_cmpint(EntryFix_Count(&fix, MSG_HALT), ==, 3);
     g_assert_cmpint(fix.replies[fix.reply_count - 1].kind, ==, MSG_EXTEND);
     EntryFix_Pass(&fix, 400);
@@ -416,7 +422,7 @@
 }
 
 static void
-refuses(EntryFix *fix, lc_forward_args *args)
+check_refused(EntryFix *fix, lc_forward_args *args)
 {
     int starts = fix->start_count;
 
@@ -429,65 +435,69 @@
 }
 
 static void
-test_refused(void)
+test_refusals(void)
 {
-    lc_step odd_step = forward_step;
+    lc_step invalid_step = forward_step;
     lc_forward_args args;
     EntryFix fix;
 
-    open_taker(&fix);
+    open_delegate(&fix);
     args = forward_of(&fix, 1, 300);
     args.target = 76;
-    refuses(&fix, &args);
+    check_refused(&fix, &args);
     args = forward_of(&fix, 1, 0);
-    refuses(&fix, &args);
+    check_refused(&fix, &args);
     args = forward_of(&fix, 1, 300);
     args.routes_version = 1;
-    refuses(&fix, &args);
+    check_refused(&fix, &args);
     args = forward_of(&fix, 1, 300);
     args.queue = NULL;
-    refuses(&fix, &args);
+    check_refused(&fix, &args);
     args = forward_of(&fix, 1, 300);
-    odd_step.depends_on = 1;
-    args.steps.steps_val = &odd_step;
-    refuses(&fix, &args);
+    invalid_step.depends_on = 1;
+    args.steps.steps_val = &invalid_step;
+    check_refused(&fix, &args);
     EntryFix_Submit(&fix, 9, 1, 0);
     args = forward_of(&fix, 9, 300);
-    refuses(&fix, &args);
+    check_refused(&fix, &args);
     Dispatcher_EndBy(fix.dispatcher, fix.now_ms + 5000);
     args = forward_of(&fix, 1, 300);
-    refuses(&fix, &args);
+    check_refused(&fix, &args);
     EntryFix_Close(&fix);
 }
 
 int
 main(int argc, char **argv)
 {
-    static const RuleTable_Row rules[] = {
-        {"/forward/nothing is asked or handed on at usual load",
-         test_usual_load},
-        {"/forward/a job of several calls is handed on",
-         test_dear_job_is_handed_on},
-        {"/forward/a job of one call stays", test_cheap_job_stays},
-        {"/forward/nothing goes where there is no headroom",
-         test_no_headroom_there},
-        {"/forward/nothing goes by an old word", test_old_word},
-        {"/forward/what was not taken is started here", test_not_taken},
-        {"/forward/nothing goes when the link is not short any more",
-         test_not_short_any_more},
-        {"/forward/not run there is not run", test_not_run_there},
-        {"/forward/lost there may have run", test_lost},
-        {"/forward/a caller that left is told of", test_caller_gone},
-        {"/forward/runs under the lease of the origin",
-         test_runs_under_its_lease},
-        {"/forward/renewals reach no further", test_renewals},
-        {"/forward/stopped when the lease ends", test_lapse},
-        {"/forward/a word behind the end changes nothing",
-         test_word_behind_the_end},
-        {"/forward/a job extends no other", test_job_extends_no_other},
-        {"/forward/a dropped job is stopped, others go on", test_dropped},
-        {"/forward/not taken", test_refused},
+    static const RuleTable_Row tests[] = {
+        {"/forward/no query and no forward at normal load", test_normal_load},
+        {"/forward/a job of several calls is forwarded",
+         test_expensive_job_is_forwarded},
+        {"/forward/a job of one call is not forwarded",
+         test_cheap_job_is_not_forwarded},
+        {"/forward/no forward to an entry without headroom", test_no_headroom},
+        {"/forward/no forward by a stale answer", test_stale_answer},
+        {"/forward/a refused job is started here", test_refused_forward},
+        {"/forward/no forward when the congestion is over",
+         test_congestion_over},
+        {"/forward/not run at the delegate is answered as not run",
+         test_not_run},
+        {"/forward/a job whose reply is lost may have run", test_reply_lost},
+        {"/forward/the delegate is told of a caller that left",
+         test_caller_gone},
+        {"/forward/runs are bound to the lease of the origin",
+         test_origin_lease},
+        {"/forward/renewals do not exceed the lease of the origin",
+         test_renewals},
+        {"/forward/runs are stopped when the lease expires",
+         test_lease_expiry},
+        {"/forward/an EXTEND after expiry has no effect", test_late_extend},
+        {"/forward/a job does not extend the lease of another",
+         test_job_extends_no_earlier_one},
+        {"/forward/a dropped job is stopped, others continue",
+         test_dropped_job},
+        {"/forward/invalid and stale forwards are refused", test_refusals},
     };
 
-    return RuleTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
+    return RuleTable_Main(argc, argv, tests, G_N_ELEMENTS(tests));
 }
--- a/tests/link_rules.c
+++ b/tests/link_rules.c
@@ -1,7 +1,7 @@
 /*
- * Rules of an entry whose link is limited: starts of one job at one host go in
- * one call, starts wait for the link in the order of their urgency, and go to
- * few hosts while it is short.
+ * Tests of an entry whose link is limited: starts of one job at one host are
+ * joined in one call, starts wait for the link in the order of their urgency,
+ * and go to few hosts while it is congested.
  */
 #include <glib.h>
 
@@ -10,14 +10,14 @@
 #include "tests/rule_table.h"
 
 #define ENTRY 7000
-/* 11,250 usable bytes in 10 ms: the burst. */
+/* Gives 11,250 usable bytes in 10 ms, the size of the bucket. */
 #define LINK_MBPS 10.0
 #define BURST_BYTES INT64_C(11250)
-/* Hosts that take two tasks beside one that takes many. */
+/* Number of hosts with room for two tasks, besides one with room for many. */
 #define SMALL_HOSTS 40
 
 static void
-test_budget(void)
+test_token_bucket(void)
 {
     LinkBudget budget;
 
@@ -31,7 +31,7 @@
 }
 
 static void
-test_not_saved_up(void)
+test_burst_limit(void)
 {
     LinkBudget budget;
 
@@ -42,7 +42,7 @@
 }
 
 static void
-test_most_owed(void)
+test_debt_limit(void)
 {
     LinkBudget budget;
 
@@ -65,7 +65,7 @@
 }
 
 static void
-test_short(void)
+test_congestion(void)
 {
     LinkBudget budget;
 
@@ -82,7 +82,7 @@
 }
 
 static void
-test_one_call(void)
+test_joined_starts(void)
 {
     EntryFix fix;
     int i;
@@ -99,7 +99,7 @@
                         fix.starts[0].valid_until_ms);
         g_assert_cmpuint(fix.starts[i].spec_length, ==, ENTRY_FIX_SPEC);
     }
-    /* Each is answered by itself, in any order. */
+    /* Each run is answered separately, in any order. */
     for (i = 7; i >= 0; i--) {
         g_assert_cmpint(fix.answer_count, ==, 0);
         EntryFix_Reply(&fix, &fix.starts[i], LC_RUN_DONE, 8);
@@ -110,7 +110,7 @@
 }
 
 static void
-test_link_not_known(void)
+test_unknown_link(void)
 {
     EntryFix fix;
     int i;
@@ -148,8 +148,8 @@
     EntryFix_Close(&fix);
 }
 
-/* Nobody knows which of the rows have begun: each is asked for again as the
- * same run, and held no longer. */
+/* It is unknown which of the rows have started: each is requested again as the
+ * same run, with a lease that ends no later. */
 static void
 test_lost_call(void)
 {
@@ -176,7 +176,8 @@
     EntryFix_Close(&fix);
 }
 
-/* Jobs whose starts fill the burst of the link; one task each. */
+/* Submits jobs of one task each whose starts empty the bucket; returns the
+ * number of starts sent. */
 static int
 fill_link(EntryFix *fix)
 {
@@ -197,14 +198,14 @@
     EntryFix_Open(&fix, ENTRY, LINK_MBPS);
     EntryFix_Report(&fix, 0, 64);
     sent = fill_link(&fix);
-    g_assert_cmpint(sent, ==, 9); /* of 1,336 bytes */
+    g_assert_cmpint(sent, ==, 9); /* each of 1,336 bytes */
     EntryFix_Submit(&fix, 100, 1, 0);
     g_assert_cmpint(fix.start_count, ==, sent);
     g_assert_cmpint(Dispatcher_DueMs(fix.dispatcher), >, fix.now_ms);
     EntryFix_Pass(&fix, 1);
     g_assert_cmpint(fix.start_count, ==, sent + 1);
     g_assert_cmpuint(fix.starts[sent].id.job, ==, 100);
-    /* The rest leave as fast as the link carries them. */
+    /* The rest are sent at the rate of the link. */
     EntryFix_Pass(&fix, 5);
     g_assert_cmpint(fix.start_count, <, 16);
     EntryFix_Pass(&fix, 20);
@@ -214,7 +215,7 @@
 }
 
 static void
-test_other_bytes_count(void)
+test_other_messages_count(void)
 {
     EntryFix fix;
 
@@ -230,10 +231,10 @@
     EntryFix_Close(&fix);
 }
 
-/* A job's tasks are spread while the link carries that, and go to the host
- * that takes all of them while it is short. */
+/* A job's tasks are spread over hosts while the link is not congested, and go
+ * to the host with room for all of them while it is. */
 static void
-test_few_calls_while_short(void)
+test_few_calls_while_congested(void)
 {
     EntryFix fix;
     uint32_t host;
@@ -262,8 +263,8 @@
     EntryFix_Close(&fix);
 }
 
-/* What would wait beyond its objective is refused as it comes; what is taken
- * leaves in time for its own. */
+/* A job that would wait beyond its objective is refused on arrival; one that
+ * is accepted is sent in time for its objective. */
 static void
 test_refused_on_arrival(void)
 {
@@ -278,14 +279,14 @@
         EntryFix_Submit(&fix, job, 1, 1);
     }
     refused = fix.answer_count;
-    /* 560 ms of slack carry some 470 starts. */
+    /* The link carries about 470 starts in the 560 ms of slack. */
     g_assert_cmpint(refused, >, 350);
     g_assert_cmpint(refused, <, 450);
     for (i = 0; i < refused; i++) {
         g_assert_cmpint(fix.answers[i].outcome, ==, DISPATCHER_NOT_RUN);
         g_assert_cmpint(fix.answers[i].kind, ==, ERR_WAIT_TOO_LONG);
     }
-    /* A more urgent one goes before them. */
+    /* A more urgent job is sent before them. */
     EntryFix_Submit(&fix, 1000, 1, 0);
     g_assert_cmpint(fix.answer_count, ==, refused);
     fix.renewed_tasks = 2000;
@@ -298,22 +299,26 @@
 int
 main(int argc, char **argv)
 {
-    static const RuleTable_Row rules[] = {
-        {"/link/a bucket", test_budget},
-        {"/link/what is not used is not saved up", test_not_saved_up},
-        {"/link/a bound on what is owed", test_most_owed},
-        {"/link/not limited", test_unlimited},
-        {"/link/short for a while", test_short},
-        {"/link/tasks at one host are started in one call", test_one_call},
-        {"/link/not joined where the link is not known", test_link_not_known},
+    static const RuleTable_Row tests[] = {
+        {"/link/token bucket", test_token_bucket},
+        {"/link/unused rate does not add up beyond the burst",
+         test_burst_limit},
+        {"/link/the debt is bounded", test_debt_limit},
+        {"/link/no limit", test_unlimited},
+        {"/link/congested for a while after a wait", test_congestion},
+        {"/link/starts at one host are joined in one call",
+         test_joined_starts},
+        {"/link/starts are not joined if the link rate is unknown",
+         test_unknown_link},
         {"/link/a refused row is started elsewhere", test_refused_row},
-        {"/link/a lost call leaves each row open", test_lost_call},
+        {"/link/each row of a lost call is requested again", test_lost_call},
         {"/link/starts wait in the order of urgency",
          test_starts_wait_in_order},
-        {"/link/other bytes count", test_other_bytes_count},
-        {"/link/few calls while it is short", test_few_calls_while_short},
-        {"/link/refused on arrival", test_refused_on_arrival},
+        {"/link/other messages use the budget", test_other_messages_count},
+        {"/link/few calls while congested", test_few_calls_while_congested},
+        {"/link/jobs that would wait too long are refused on arrival",
+         test_refused_on_arrival},
     };
 
-    return RuleTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
+    return RuleTable_Main(argc, argv, tests, G_N_ELEMENTS(tests));
 }
