--- a/lease/dispatcher_hosts.c
+++ b/lease/dispatcher_hosts.c
@@ -111,7 +111,7 @@
     if (!host->suspect) {
         host->suspect = true;
         DispatcherLog_Host(self, EVENT_SUSPECT, now_ms, host,
-                           "did not answer in time");
+                           "no answer in time");
     }
 }
 
