--- a/daemon/companion_process.c
+++ b/daemon/companion_process.c
@@ -7,17 +7,17 @@
 #include "daemon/process.h"
 #include "platform/http_client.h"
 
-#define FIRST_ERROR_STATUS 500
+#define MIN_ERROR_STATUS 500
 
 typedef struct {
     Process process; /* first, see Process */
     Companion *companion;
     Http_Client *http;
-} companion_process;
+} owned_companion;
 
-/* A task at the upstream. */
+/* A task that is running at the upstream. */
 typedef struct {
-    companion_process *self;
+    owned_companion *self;
     uint64_t run_id;
 } pending_run;
 
@@ -30,7 +30,7 @@
     case HTTP_CLIENT_TIMEOUT:
         return COMPANION_RUN_TIMEOUT;
     case HTTP_CLIENT_ANSWERED:
-        if (answer->status < FIRST_ERROR_STATUS &&
+        if (answer->status < MIN_ERROR_STATUS &&
             answer->length <= LC_MAX_PAYLOAD) {
             return COMPANION_RUN_DONE;
         }
@@ -56,7 +56,7 @@
 static void
 port_run(void *context, uint64_t run_id, const Node_Task *task)
 {
-    companion_process *self = context;
+    owned_companion *self = context;
     pending_run *run = g_new(pending_run, 1);
     Http_ClientRequest request = {.to = self->process.options->upstream,
                                   .method = "POST",
@@ -89,38 +89,37 @@
 static void
 role_tick(Process *process)
 {
-    Companion_Tick(((companion_process *)process)->companion, Process_Now());
+    Companion_Tick(((owned_companion *)process)->companion, Process_Now());
 }
 
 static void
 role_drain(Process *process)
 {
-    Companion_Drain(((companion_process *)process)->companion, Process_Now());
+    Companion_Drain(((owned_companion *)process)->companion, Process_Now());
 }
 
 static bool
 role_is_drained(const Process *process)
 {
-    return Companion_IsDrained(
-        ((const companion_process *)process)->companion);
+    return Companion_IsDrained(((const owned_companion *)process)->companion);
 }
 
 static json_t *
 role_dump(const Process *process)
 {
-    return Companion_Dump(((const companion_process *)process)->companion);
+    return Companion_Dump(((const owned_companion *)process)->companion);
 }
 
 static Counters *
 role_counters(Process *process)
 {
-    return Companion_Counters(((companion_process *)process)->companion);
+    return Companion_Counters(((owned_companion *)process)->companion);
 }
 
 static bool
 role_call(Process *process, uint64_t reply_id, const Msg_Call *call)
 {
-    companion_process *self = (companion_process *)process;
+    owned_companion *self = (owned_companion *)process;
 
     return Companion_OnCall(self->companion, Process_Now(), reply_id, call);
 }
@@ -128,7 +127,7 @@
 static void
 role_reply(Process *process, uint64_t call_id, const Msg_Reply *reply)
 {
-    companion_process *self = (companion_process *)process;
+    owned_companion *self = (owned_companion *)process;
 
     Companion_OnReply(self->companion, Process_Now(), call_id, reply);
 }
@@ -139,7 +138,7 @@
 };
 
 static Companion *
-new_companion(companion_process *self, const Options *options)
+new_companion(owned_companion *self, const Options *options)
 {
     Node_Time now = Process_Now();
     Companion_Config config = Companion_Defaults(Process_NewNode(options));
@@ -154,9 +153,9 @@
 }
 
 int
-CompanionProcess_Run(const Options *options)
+OwnedCompanion_Run(const Options *options)
 {
-    companion_process *self = g_new0(companion_process, 1);
+    owned_companion *self = g_new0(owned_companion, 1);
     uv_loop_t *loop = uv_default_loop();
     Status status = {ERR_OK, ""};
     int code = Err_Exit(ERR_IO);
@@ -171,6 +170,7 @@
     code = Process_Run(&self->process);
 done:
     Companion_Free(self->companion);
-    /* The loop's handles live in `self`; the process ends here. */
+    /* `self` is not freed: it holds the loop's handles, and the process ends
+     * here. */
     return code;
 }
--- a/daemon/companion_process.h
+++ b/daemon/companion_process.h
@@ -1,13 +1,14 @@
 /**
  * @file companion_process.h
- * @brief The companion role: ties core's Companion to RPC and its upstream.
+ * @brief `levercoved` as a companion of owned jobs: connects core's
+ * Companion to RPC and to the HTTP interface of its upstream.
  */
 #ifndef LC_DAEMON_COMPANION_PROCESS_H
 #define LC_DAEMON_COMPANION_PROCESS_H
 
 #include "daemon/options.h"
 
-/** Runs a companion until it is stopped; returns the exit code. */
-int CompanionProcess_Run(const Options *options);
+/** Runs a companion until it is stopped; returns the process's exit code. */
+int OwnedCompanion_Run(const Options *options);
 
 #endif
--- a/daemon/entry_process.c
+++ b/daemon/entry_process.c
@@ -22,29 +22,29 @@
     Hosts_Client hosts;
     uv_timer_t log_timer;
     uv_timer_t hosts_timer;
-    int64_t read_asked_ms;
+    int64_t read_sent_ms;
     bool reading;
     bool hosts_up;
-} entry_process;
+} owned_entry;
 
 static void
 port_answer(void *context, uint64_t request, const Node_Answer *answer)
 {
-    entry_process *self = context;
+    owned_entry *self = context;
 
-    JobsApi_Answer(self->callers, request, answer);
+    OwnedJobsApi_Answer(self->callers, request, answer);
 }
 
 static void
 port_edited(void *context, uint64_t request, const Status *status,
             uint64_t version)
 {
-    entry_process *self = context;
+    owned_entry *self = context;
 
     TableApi_Edited(self->callers, request, status, version);
 }
 
-static void read_log(entry_process *self);
+static void read_log(owned_entry *self);
 
 static void
 on_log_timer(uv_timer_t *timer)
@@ -55,11 +55,11 @@
 static void
 on_append(void *context, uint64_t append_id, bool confirmed)
 {
-    entry_process *self = context;
+    owned_entry *self = context;
 
     Entry_OnAppend(self->entry, Process_Now(), append_id, confirmed);
     if (!self->reading) {
-        /* What was appended takes effect when it is read back. */
+        /* A record takes effect only when it is read back: read at once. */
         uv_timer_start(&self->log_timer, on_log_timer, 1, 0);
     }
 }
@@ -67,7 +67,7 @@
 static void
 port_append(void *context, uint64_t append_id, const char *record)
 {
-    entry_process *self = context;
+    owned_entry *self = context;
 
     self->log.functions->append(self->log.self, append_id, record, on_append,
                                 self);
@@ -84,7 +84,7 @@
 };
 
 static void
-new_entry(entry_process *self, const Options *options)
+new_entry(owned_entry *self, const Options *options)
 {
     Node_Time now = Process_Now();
     Board_Config config = Board_Defaults(Process_NewNode(options));
@@ -111,7 +111,7 @@
 static void
 on_log(void *context, const Log_Read *read)
 {
-    entry_process *self = context;
+    owned_entry *self = context;
     const Options *options = self->process.options;
     Entry_LogRead in;
     uint64_t pause_ms = (uint64_t)options->log_poll_ms;
@@ -121,7 +121,7 @@
         Entry_OnLog(self->entry, Process_Now(), NULL);
     }
     else {
-        in.asked_ms = self->read_asked_ms;
+        in.asked_ms = self->read_sent_ms;
         in.first = read->first;
         in.next = read->next;
         in.records = read->records;
@@ -135,16 +135,16 @@
 }
 
 static void
-read_log(entry_process *self)
+read_log(owned_entry *self)
 {
     self->reading = true;
-    self->read_asked_ms = Process_Now().mono_ms;
+    self->read_sent_ms = Process_Now().mono_ms;
     self->log.functions->read(self->log.self, Entry_LogNext(self->entry),
                               on_log, self);
 }
 
 static void
-note_hosts(entry_process *self, bool up)
+set_hosts_up(owned_entry *self, bool up)
 {
     if (self->hosts_up != up) {
         self->hosts_up = up;
@@ -156,11 +156,11 @@
 static void
 on_hosts(void *context, const Hosts_Row *rows, uint32_t count)
 {
-    entry_process *self = context;
+    owned_entry *self = context;
     GArray *hosts = g_array_new(TRUE, FALSE, sizeof(Members_Host));
     uint32_t i;
 
-    note_hosts(self, rows != NULL);
+    set_hosts_up(self, rows != NULL);
     for (i = 0; rows != NULL && i < count; i++) {
         Members_Host host = {rows[i].address, rows[i].role, rows[i].leaving};
         g_array_append_val(hosts, host);
@@ -175,17 +175,17 @@
 static void
 on_hosts_timer(uv_timer_t *timer)
 {
-    entry_process *self = timer->data;
+    owned_entry *self = timer->data;
 
     self->hosts.functions->read(self->hosts.self, on_hosts, self);
 }
 
 /*
- * Out of the view: a new incarnation begins with empty memory, unless the
- * process is stopping anyway.
+ * This entry is no longer in the view: replaces it with a new incarnation that
+ * has empty state, unless the process is stopping anyway.
  */
 static void
-renew(entry_process *self)
+start_new_incarnation(owned_entry *self)
 {
     Status status = {ERR_OK, ""};
 
@@ -205,47 +205,48 @@
 static void
 role_tick(Process *process)
 {
-    entry_process *self = (entry_process *)process;
+    owned_entry *self = (owned_entry *)process;
 
     Entry_Tick(self->entry, Process_Now());
     if (Entry_IsClosed(self->entry)) {
         Http_StopListening(self->callers);
     }
     if (Entry_IsDeposed(self->entry)) {
-        renew(self);
+        start_new_incarnation(self);
     }
 }
 
 static void
 role_drain(Process *process)
 {
-    Entry_Drain(((entry_process *)process)->entry, Process_Now());
+    Entry_Drain(((owned_entry *)process)->entry, Process_Now());
 }
 
 static bool
 role_is_drained(const Process *process)
 {
-    const entry_process *self = (const entry_process *)process;
+    const owned_entry *self = (const owned_entry *)process;
 
-    return Entry_IsDrained(self->entry) && Http_Unanswered(self->callers) == 0;
+    return Entry_IsDrained(self->entry) &&
+           Http_UnansweredCount(self->callers) == 0;
 }
 
 static json_t *
 role_dump(const Process *process)
 {
-    return Entry_Dump(((const entry_process *)process)->entry);
+    return Entry_Dump(((const owned_entry *)process)->entry);
 }
 
 static Counters *
 role_counters(Process *process)
 {
-    return Entry_Counters(((entry_process *)process)->entry);
+    return Entry_Counters(((owned_entry *)process)->entry);
 }
 
 static bool
 role_call(Process *process, uint64_t reply_id, const Msg_Call *call)
 {
-    entry_process *self = (entry_process *)process;
+    owned_entry *self = (owned_entry *)process;
 
     return Entry_OnCall(self->entry, Process_Now(), reply_id, call);
 }
@@ -253,7 +254,7 @@
 static void
 role_reply(Process *process, uint64_t call_id, const Msg_Reply *reply)
 {
-    entry_process *self = (entry_process *)process;
+    owned_entry *self = (owned_entry *)process;
 
     Entry_OnReply(self->entry, Process_Now(), call_id, reply);
 }
@@ -264,25 +265,25 @@
 };
 
 static void
-serve_post(void *context, const Http_Request *request)
+serve_post_job(void *context, const Http_Request *request)
 {
-    entry_process *self = context;
+    owned_entry *self = context;
 
-    JobsApi_Post(self->callers, self->entry, Process_Now(), request);
+    OwnedJobsApi_Post(self->callers, self->entry, Process_Now(), request);
 }
 
 static void
-serve_look(void *context, const Http_Request *request)
+serve_get_job(void *context, const Http_Request *request)
 {
-    entry_process *self = context;
+    owned_entry *self = context;
 
-    JobsApi_Get(self->callers, self->entry, Process_Now(), request);
+    OwnedJobsApi_Get(self->callers, self->entry, Process_Now(), request);
 }
 
 static void
 serve_table(void *context, const Http_Request *request)
 {
-    entry_process *self = context;
+    owned_entry *self = context;
 
     TableApi_ServeAll(self->callers, self->entry, request);
 }
@@ -290,21 +291,21 @@
 static void
 serve_row(void *context, const Http_Request *request)
 {
-    entry_process *self = context;
+    owned_entry *self = context;
 
     TableApi_ServeRow(self->callers, self->entry, Process_Now(), request);
 }
 
 static const Http_Route caller_routes[] = {
-    {"/v1/jobs", serve_post},
-    {"/v1/jobs/", serve_look},
+    {"/v1/jobs", serve_post_job},
+    {"/v1/jobs/", serve_get_job},
     {"/v1/table", serve_table},
     {"/v1/table/groups/", serve_row},
     {NULL, NULL},
 };
 
 static void
-start_timers(entry_process *self, uv_loop_t *loop, const Options *options)
+start_timers(owned_entry *self, uv_loop_t *loop, const Options *options)
 {
     uv_timer_init(loop, &self->log_timer);
     self->log_timer.data = self;
@@ -316,9 +317,9 @@
 }
 
 int
-EntryProcess_Run(const Options *options)
+OwnedEntry_Run(const Options *options)
 {
-    entry_process *self = g_new0(entry_process, 1);
+    owned_entry *self = g_new0(owned_entry, 1);
     uv_loop_t *loop = uv_default_loop();
     Status status = {ERR_OK, ""};
     int code = Err_Exit(ERR_IO);
@@ -346,6 +347,7 @@
     self->hosts.functions->free(self->hosts.self);
     self->log.functions->free(self->log.self);
     Entry_Free(self->entry);
-    /* The loop's handles live in `self`; the process ends here. */
+    /* `self` is not freed: it holds the loop's handles, and the process ends
+     * here. */
     return code;
 }
--- a/daemon/http_server.c
+++ b/daemon/http_server.c
@@ -4,7 +4,7 @@
 #include <jansson.h>
 #include <string.h>
 
-/* h2o reads this before its own headers. */
+/* Must be defined before h2o's headers are included. */
 #define H2O_USE_LIBUV 1
 #include <h2o.h>
 
@@ -13,43 +13,43 @@
 
 #define LISTEN_BACKLOG 1024
 #define MS_PER_S 1000
-/* Never seen: its caller has hung up. */
-#define CALLER_GONE_STATUS 499
-/* Status line and headers of an answer. */
-#define ANSWER_HEAD_BYTES 160
+/* Ends a request whose client has disconnected; never reaches the client. */
+#define STATUS_CLIENT_CLOSED 499
+/* Estimated size of a response's status line and headers. */
+#define RESPONSE_HEAD_BYTES 160
 
 typedef struct {
     h2o_handler_t super;
     Http_Server *server;
 } route_handler;
 
-/* A request that has not been answered; lives in the request's pool. */
+/* A request without a response yet; allocated from the request's pool. */
 typedef struct {
     Http_Server *server;
     h2o_req_t *request;
     Handle id;
-    h2o_socket_t *watched; /* for a hang-up, or NULL */
+    h2o_socket_t *watched; /* for a disconnect, or NULL */
 } open_request;
 
 struct Http_Server {
     uv_loop_t *loop;
     uv_tcp_t listener;
     bool listening;
-    bool closing; /* connections end with their next answer */
+    bool closing; /* connections close after their next response */
     h2o_globalconf_t config;
     h2o_context_t context;
     h2o_accept_ctx_t accept;
     const Http_Route *routes;
     void *handler_context;
     Handle_Table *open;
-    void (*gone)(void *context, uint64_t id);
+    void (*on_disconnect)(void *context, uint64_t id);
     GHashTable *watched; /* h2o_socket_t -> open_request */
     uint64_t bytes_out;
 };
 
-/* h2o calls this when the request ends, answered or not. */
+/* h2o calls this when it disposes of the request, answered or not. */
 static void
-on_request_gone(void *item)
+on_request_disposed(void *item)
 {
     open_request *open = item;
 
@@ -70,7 +70,7 @@
 }
 
 static Http_Server *
-server_of(h2o_socket_t *socket)
+server_of_socket(h2o_socket_t *socket)
 {
     const h2o_conn_t *conn = socket->data; /* as HTTP/1 connections set it */
 
@@ -79,15 +79,16 @@
 }
 
 /*
- * Something came on the connection of a request that is being served: its
- * end, or the next request, which h2o finds in its buffer later.
+ * The connection of a request that is being served has become readable: the
+ * client has disconnected, or has sent its next request, which h2o later
+ * finds in its buffer.
  */
 static void
-on_watched(h2o_socket_t *socket, const char *error)
+on_watched_readable(h2o_socket_t *socket, const char *error)
 {
-    Http_Server *server = server_of(socket);
+    Http_Server *server = server_of_socket(socket);
     open_request *open = g_hash_table_lookup(server->watched, socket);
-    Http_Response nothing = {.status = CALLER_GONE_STATUS, .body = ""};
+    Http_Response empty = {.status = STATUS_CLIENT_CLOSED, .body = ""};
     uint64_t id;
 
     if (open == NULL) {
@@ -96,28 +97,28 @@
     id = open->id;
     stop_watching(open);
     if (error != NULL) {
-        server->gone(server->handler_context, id);
-        Http_Respond(server, id, &nothing);
+        server->on_disconnect(server->handler_context, id);
+        Http_Respond(server, id, &empty);
     }
 }
 
 static void
-watch(Http_Server *server, uint64_t id)
+watch_connection(Http_Server *server, uint64_t id)
 {
     open_request *open = Handle_Get(server->open, id);
     h2o_conn_t *conn;
 
-    if (server->gone == NULL || open == NULL) {
+    if (server->on_disconnect == NULL || open == NULL) {
         return;
     }
     conn = open->request->conn;
     open->watched = conn->callbacks->get_socket(conn);
     g_hash_table_insert(server->watched, open->watched, open);
-    h2o_socket_read_start(open->watched, on_watched);
+    h2o_socket_read_start(open->watched, on_watched_readable);
 }
 
 static char *
-pool_text(h2o_req_t *request, const char *base, size_t length)
+pool_copy(h2o_req_t *request, const char *base, size_t length)
 {
     return h2o_strdup(&request->pool, base, length).base;
 }
@@ -125,15 +126,15 @@
 static const char *
 header_text(h2o_req_t *request, const char *name)
 {
-    ssize_t place = h2o_find_header_by_str(&request->headers, name,
+    ssize_t found = h2o_find_header_by_str(&request->headers, name,
                                            strlen(name), -1);
     const h2o_header_t *header;
 
-    if (place < 0) {
+    if (found < 0) {
         return NULL;
     }
-    header = &request->headers.entries[place];
-    return pool_text(request, header->value.base, header->value.len);
+    header = &request->headers.entries[found];
+    return pool_copy(request, header->value.base, header->value.len);
 }
 
 static const Http_Route *
@@ -143,9 +144,9 @@
 
     for (route = server->routes; route->path != NULL; route++) {
         size_t length = strlen(route->path);
-        bool below = route->path[length - 1] == '/';
-        if (below ? strncmp(path, route->path, length) == 0
-                  : strcmp(path, route->path) == 0) {
+        bool is_prefix = route->path[length - 1] == '/';
+        if (is_prefix ? strncmp(path, route->path, length) == 0
+                      : strcmp(path, route->path) == 0) {
             *rest = path + length;
             return route;
         }
@@ -159,17 +160,17 @@
     size_t path_length = request->query_at == SIZE_MAX ? request->path.len
                                                        : request->query_at;
 
-    out->method = pool_text(request, request->method.base,
+    out->method = pool_copy(request, request->method.base,
                             request->method.len);
-    out->path = pool_text(request, request->path.base, path_length);
+    out->path = pool_copy(request, request->path.base, path_length);
     out->query = "";
     if (path_length < request->path.len) {
-        out->query = pool_text(request, request->path.base + path_length + 1,
+        out->query = pool_copy(request, request->path.base + path_length + 1,
                                request->path.len - path_length - 1);
     }
     out->body = request->entity.base == NULL ? "" : request->entity.base;
     out->length = request->entity.len;
-    out->authority = pool_text(request, request->authority.base,
+    out->authority = pool_copy(request, request->authority.base,
                                request->authority.len);
     out->idempotency_key = header_text(request, "idempotency-key");
     out->if_match = header_text(request, "if-match");
@@ -184,7 +185,7 @@
 {
     Http_Server *server = ((route_handler *)self)->server;
     open_request *open = h2o_mem_alloc_shared(&request->pool, sizeof(*open),
-                                              on_request_gone);
+                                              on_request_disposed);
     const Http_Route *route;
     Http_Request in;
 
@@ -199,13 +200,13 @@
     if (route == NULL) {
         Http_RespondError(server, in.id, ERR_NOT_FOUND, "no such path", 0);
     }
-    else if (in.length > HTTP_MAX_BODY) {
+    else if (in.length > HTTP_MAX_BODY_BYTES) {
         Http_RespondError(server, in.id, ERR_TOO_LARGE,
                           "the body is longer than 8 MiB", 0);
     }
     else {
         route->handler(server->handler_context, &in);
-        watch(server, in.id);
+        watch_connection(server, in.id);
     }
     return 0;
 }
@@ -271,8 +272,9 @@
     server->watched = g_hash_table_new(NULL, NULL);
     h2o_config_init(&server->config);
     server->config.server_name = h2o_iovec_init(H2O_STRLIT("levercove"));
-    /* Twice our own limit, so that our own error answers most. */
-    server->config.max_request_entity_size = 2 * HTTP_MAX_BODY;
+    /* Twice HTTP_MAX_BODY_BYTES, so that most bodies that are too long get our
+     * own error. */
+    server->config.max_request_entity_size = 2 * HTTP_MAX_BODY_BYTES;
     host = h2o_config_register_host(
         &server->config, h2o_iovec_init(H2O_STRLIT("default")), 65535);
     path = h2o_config_register_path(host, "/", 0);
@@ -295,7 +297,7 @@
 static void
 add_header(h2o_req_t *request, const char *name, const char *value)
 {
-    char *copy = pool_text(request, value, strlen(value));
+    char *copy = pool_copy(request, value, strlen(value));
 
     h2o_add_header_by_str(&request->pool, &request->res.headers, name,
                           strlen(name), 1, NULL, copy, strlen(copy));
@@ -329,7 +331,7 @@
         add_header(request, "retry-after", seconds);
     }
     request->res.content_length = response->length;
-    server->bytes_out += ANSWER_HEAD_BYTES + response->length;
+    server->bytes_out += RESPONSE_HEAD_BYTES + response->length;
     h2o_send_inline(request, response->body, response->length);
 }
 
@@ -340,7 +342,7 @@
 }
 
 void
-Http_RespondText(Http_Server *server, uint64_t id, int status,
+Http_RespondJson(Http_Server *server, uint64_t id, int status,
                  uint32_t retry_ms, const char *text)
 {
     Http_Response response = {.status = status,
@@ -367,7 +369,7 @@
         json_object_set_new(body, "retry_after_ms", json_integer(retry_ms));
     }
     text = json_dumps(body, JSON_COMPACT);
-    Http_RespondText(server, id, Err_Http(kind), retry_ms, text);
+    Http_RespondJson(server, id, Err_Http(kind), retry_ms, text);
     free(text);
     json_decref(body);
 }
@@ -381,20 +383,20 @@
 }
 
 void
-Http_WatchCallers(Http_Server *server,
-                  void (*gone)(void *context, uint64_t id))
+Http_SetDisconnectHandler(Http_Server *server,
+                          void (*on_disconnect)(void *context, uint64_t id))
 {
-    server->gone = gone;
+    server->on_disconnect = on_disconnect;
 }
 
 void
-Http_CloseAfterAnswers(Http_Server *server)
+Http_CloseAfterResponses(Http_Server *server)
 {
     server->closing = true;
 }
 
 uint32_t
-Http_Unanswered(const Http_Server *server)
+Http_UnansweredCount(const Http_Server *server)
 {
     return Handle_Count(server->open);
 }
@@ -416,7 +418,7 @@
 
 /*
  * h2o keeps timers on the loop until the process ends, so the server's
- * memory stays too; it is called once, right before the process exits.
+ * memory is not freed; called once, right before the process exits.
  */
 void
 Http_FreeServer(Http_Server *server)
--- a/daemon/jobs_api.c
+++ b/daemon/jobs_api.c
@@ -6,7 +6,7 @@
 
 #define MAX_DEADLINE_MS 86400000
 
-/* A parsed body; owns its payloads. */
+/* A parsed request body; owns its payloads. */
 typedef struct {
     json_t *document;
     GArray *payloads; /* lc_payload */
@@ -140,8 +140,8 @@
 }
 
 void
-JobsApi_Post(Http_Server *server, Entry *entry, Node_Time now,
-             const Http_Request *request)
+OwnedJobsApi_Post(Http_Server *server, Entry *entry, Node_Time now,
+                  const Http_Request *request)
 {
     Status status = {ERR_OK, ""};
     parsed_job job;
@@ -169,8 +169,8 @@
 }
 
 void
-JobsApi_Get(Http_Server *server, Entry *entry, Node_Time now,
-            const Http_Request *request)
+OwnedJobsApi_Get(Http_Server *server, Entry *entry, Node_Time now,
+                 const Http_Request *request)
 {
     Admission_Spec spec = {.look = true, .group = ""};
 
@@ -243,8 +243,8 @@
 }
 
 void
-JobsApi_Answer(Http_Server *server, uint64_t request,
-               const Node_Answer *answer)
+OwnedJobsApi_Answer(Http_Server *server, uint64_t request,
+                    const Node_Answer *answer)
 {
     json_t *body = answer_to_json(answer);
     char *text = json_dumps(body, JSON_COMPACT);
--- a/daemon/leased_callers.c
+++ b/daemon/leased_callers.c
@@ -5,26 +5,26 @@
 #include "base/event.h"
 #include "platform/callers.h"
 
-/* Near the end of a planned stop only jobs are taken that can still end: one
- * takes at most so many times its estimate, and this besides. */
-#define STOP_FACTOR 2
+/* Near the end of a planned stop only jobs that can still finish are accepted:
+ * a job takes at most its estimate times this factor, plus the slack. */
+#define STOP_ESTIMATE_FACTOR 2
 #define STOP_SLACK_MS 150
-#define OK_STATUS 200
+#define STATUS_OK 200
 
-/* A caller's cancel that other entries were told of. */
+/* A caller's cancel request that was sent to other entries too. */
 typedef struct {
     uint64_t request;
     uint64_t job;
     char queue[LC_MAX_NAME];
-    uint32_t open; /* calls on their way */
+    uint32_t open_calls; /* calls without a reply yet */
     bool known;
-} Leased_Cancel;
+} pending_cancel;
 
 static uint32_t
 count_waiting(const Leased_Entry *self, const char *queue)
 {
-    int64_t now = self->awake_ms;
-    QueueCounts *own = LeasedEntry_Waiting(self);
+    int64_t now = self->last_input_ms;
+    QueueCounts *own = LeasedEntry_CountWaiting(self);
     uint32_t count = QueueCounts_Of(own, queue);
     guint i;
     guint j;
@@ -49,36 +49,37 @@
 {
     char *body = Callers_CountBody(count_waiting(self, route->name));
 
-    Http_RespondText(self->callers, request->id, OK_STATUS, 0, body);
+    Http_RespondJson(self->callers, request->id, STATUS_OK, 0, body);
     g_free(body);
 }
 
 static void
-serve_look(Leased_Entry *self, int64_t now, const Http_Request *request,
-           const Route *route, uint64_t job)
+serve_state(Leased_Entry *self, int64_t now, const Http_Request *request,
+            const Route *route, uint64_t job)
 {
-    bool begun = false;
+    bool started = false;
     char *body;
 
-    if (Keeper_Look(self->keeper, now, job, route->name) > KEEPER_STALE ||
-        !Dispatcher_Look(self->dispatcher, job, route->name, &begun)) {
-        Keeper_OnLook(self->keeper, now, request->id, job, route->name);
+    if (Keeper_Look(self->durable_jobs, now, job, route->name) >
+            KEEPER_STALE ||
+        !Dispatcher_Look(self->dispatcher, job, route->name, &started)) {
+        Keeper_OnLook(self->durable_jobs, now, request->id, job, route->name);
         return;
     }
-    body = Callers_StateBody(begun);
-    Http_RespondText(self->callers, request->id, OK_STATUS, 0, body);
+    body = Callers_StateBody(started);
+    Http_RespondJson(self->callers, request->id, STATUS_OK, 0, body);
     g_free(body);
 }
 
 static void
-end_cancel(Leased_Entry *self, Leased_Cancel *pending)
+end_cancel(Leased_Entry *self, pending_cancel *pending)
 {
     if (pending->known) {
-        Http_RespondText(self->callers, pending->request, OK_STATUS, 0, "{}");
+        Http_RespondJson(self->callers, pending->request, STATUS_OK, 0, "{}");
     }
     else {
-        Keeper_CancelUnknown(self->keeper, self->awake_ms, pending->request,
-                             pending->job, pending->queue);
+        Keeper_CancelUnknown(self->durable_jobs, self->last_input_ms,
+                             pending->request, pending->job, pending->queue);
     }
     g_free(pending);
 }
@@ -88,13 +89,14 @@
              const Route *route, uint64_t job)
 {
     Msg_Call call = {.kind = MSG_WITHDRAW};
-    Leased_Cancel *pending;
+    pending_cancel *pending;
     guint i;
 
-    if (Keeper_OnCancel(self->keeper, now, request->id, job, route->name)) {
+    if (Keeper_OnCancel(self->durable_jobs, now, request->id, job,
+                        route->name)) {
         return;
     }
-    pending = g_new0(Leased_Cancel, 1);
+    pending = g_new0(pending_cancel, 1);
     pending->request = request->id;
     pending->job = job;
     g_strlcpy(pending->queue, route->name, sizeof(pending->queue));
@@ -104,28 +106,30 @@
     call.u.withdraw.queue = route->name;
     for (i = 0; i < self->peers.rows->len; i++) {
         const Peers_Row *peer = g_ptr_array_index(self->peers.rows, i);
-        uint64_t call_id = ++self->next_call | LEASED_OWN_CALL;
+        uint64_t call_id = ++self->last_call_id | LEASED_ENTRY_CALL_FLAG;
         if (!Peers_IsLive(peer, now)) {
             continue;
         }
-        pending->open++;
-        g_hash_table_insert(self->cancels,
+        pending->open_calls++;
+        g_hash_table_insert(self->pending_cancels,
                             g_memdup2(&call_id, sizeof(call_id)), pending);
         Rpc_Call(self->process.rpc, peer->address, call_id, &call);
     }
-    if (pending->open == 0) {
+    if (pending->open_calls == 0) {
         end_cancel(self, pending);
     }
 }
 
-/* A planned stop is so near its end that a job could not be finished. */
+/* Whether a planned stop is so near its end that the job could not finish. */
 static bool
-is_past_taking(const Leased_Entry *self, int64_t now, const LeasedJob *job)
+is_too_late_to_accept(const Leased_Entry *self, int64_t now,
+                      const LeasedJob *job)
 {
-    int64_t needed = (int64_t)LeasedJob_ChainMs(job) * STOP_FACTOR +
+    int64_t needed = (int64_t)LeasedJob_ChainMs(job) * STOP_ESTIMATE_FACTOR +
                      STOP_SLACK_MS;
 
-    return self->stop_ms != 0 && now + needed > self->process.end_by_ms;
+    return self->stop_requested_ms != 0 &&
+           now + needed > self->process.stop_deadline_ms;
 }
 
 static void
@@ -154,11 +158,11 @@
         return;
     }
     if (submit.job.needs_keeping) {
-        LeasedKept_Submit(self, now, request, &submit);
+        LeasedDurable_Submit(self, now, request, &submit);
         LeasedJob_Clear(&submit.job);
         return;
     }
-    if (is_past_taking(self, now, &submit.job)) {
+    if (is_too_late_to_accept(self, now, &submit.job)) {
         LeasedJob_Clear(&submit.job);
         Http_RespondError(self->callers, request->id, ERR_STOPPING,
                           "this entry is being stopped", DISPATCHER_RETRY_MS);
@@ -187,7 +191,7 @@
         serve_submit(self, now, &raw, request, route, &parsed);
         break;
     case CALLERS_LOOK:
-        serve_look(self, now, request, route, parsed.job);
+        serve_state(self, now, request, route, parsed.job);
         break;
     case CALLERS_CANCEL:
         serve_cancel(self, now, request, route, parsed.job);
@@ -203,7 +207,8 @@
 }
 
 static void
-refuse_unknown(Leased_Entry *self, int64_t now, const Http_Request *request)
+reject_unknown_queue(Leased_Entry *self, int64_t now,
+                     const Http_Request *request)
 {
     Counter_Add(Dispatcher_Counters(self->dispatcher),
                 COUNTER_REQUESTS_NO_ROUTE, 1);
@@ -211,16 +216,16 @@
               "%.100s at %.100s; routes version %lld, %lld ms old",
               request->path, request->authority,
               (long long)LeasedRoutes_Version(self),
-              (long long)(now - self->routes_ms));
+              (long long)(now - self->routes_applied_ms));
     Http_RespondError(self->callers, request->id, ERR_UNKNOWN_QUEUE,
                       "no such queue", 0);
 }
 
 void
-LeasedCallers_Serve(void *context, const Http_Request *request)
+LeasedJobsApi_Serve(void *context, const Http_Request *request)
 {
     Leased_Entry *self = context;
-    int64_t now = LeasedEntry_Awake(self);
+    int64_t now = LeasedEntry_OnInput(self);
     const Route *route;
 
     if (self->routes == NULL) {
@@ -230,42 +235,43 @@
     }
     route = Route_Find(self->routes, request->authority, request->path);
     if (route == NULL) {
-        refuse_unknown(self, now, request);
+        reject_unknown_queue(self, now, request);
         return;
     }
     serve_route(self, now, request, route);
 }
 
 void
-LeasedCallers_Gone(void *context, uint64_t request)
+LeasedJobsApi_OnCallerGone(void *context, uint64_t request)
 {
     Leased_Entry *self = context;
 
-    Dispatcher_OnCallerGone(self->dispatcher, LeasedEntry_Awake(self),
+    Dispatcher_OnCallerGone(self->dispatcher, LeasedEntry_OnInput(self),
                             request);
-    Keeper_OnCallerGone(self->keeper, request);
+    Keeper_OnCallerGone(self->durable_jobs, request);
 }
 
 void
-LeasedCallers_TakeWithdraw(Leased_Entry *self, uint64_t call_id,
-                           const Msg_Reply *reply)
+LeasedJobsApi_OnWithdrawReply(Leased_Entry *self, uint64_t call_id,
+                              const Msg_Reply *reply)
 {
-    Leased_Cancel *pending = g_hash_table_lookup(self->cancels, &call_id);
+    pending_cancel *pending = g_hash_table_lookup(self->pending_cancels,
+                                                  &call_id);
 
     if (pending == NULL) {
         return;
     }
-    g_hash_table_remove(self->cancels, &call_id);
+    g_hash_table_remove(self->pending_cancels, &call_id);
     pending->known |= reply != NULL && reply->u.withdraw.known;
-    pending->open--;
-    if (pending->open == 0) {
+    pending->open_calls--;
+    if (pending->open_calls == 0) {
         end_cancel(self, pending);
     }
 }
 
 void
-LeasedCallers_AnswerWithdraw(Leased_Entry *self, int64_t now,
-                             uint64_t reply_id, const lc_withdraw_args *args)
+LeasedJobsApi_OnWithdraw(Leased_Entry *self, int64_t now, uint64_t reply_id,
+                         const lc_withdraw_args *args)
 {
     Msg_Reply reply = {.kind = MSG_WITHDRAW};
 
--- a/daemon/leased_companion.c
+++ b/daemon/leased_companion.c
@@ -13,67 +13,67 @@
 #include "platform/store.h"
 #include "platform/upstreams.h"
 
-/* A request is kept open so long past the time that its answer may wait: the
- * runner sends another long before, and an answer that comes late still
- * counts and leaves the connection usable. Chosen above the longest timeout
- * of lease/answer_time.c. */
-#define ANSWER_MOST_MS 250
-/* Connections kept open to the upstream. */
-#define MOST_CONNECTIONS 16
-/* Entries are told without a change so often, times their number, within
- * bounds. */
-#define REPORT_IDLE_MS 80
-#define REPORT_IDLE_LEAST_MS 500
-#define REPORT_IDLE_MOST_MS 3000
-/* Entries of other halls are told of changes so many times as seldom, where
- * not all entries are told: they start tasks here when their own hall is full.
- */
-#define REPORT_FAR_TIMES 4
-/* Which entries are told is chosen anew so often. Chosen: far below the time
- * after which a silent entry leaves the others' lists (8 s). */
-#define VIEW_MS 500
-/* An entry that has to know every companion says so with each answer; it is
- * believed so long. Chosen: three of the longest times between reports. */
-#define ALL_MS 9000
-/* A planned stop ends so long before the kill. */
+/* Timeout of a request to the upstream, beyond the time for which the request
+ * itself lets the answer wait. The runner sends the request again long before:
+ * a late answer still counts and leaves the connection usable. Longer than the
+ * longest timeout of AnswerTime. */
+#define ANSWER_TIMEOUT_MS 250
+/* Connections to the upstream that are kept open between requests. */
+#define MAX_CONNECTIONS 16
+/* Interval of reports to an entry while nothing changes: this times the number
+ * of entries, within the bounds below. */
+#define REPORT_IDLE_PER_ENTRY_MS 80
+#define REPORT_IDLE_MIN_MS 500
+#define REPORT_IDLE_MAX_MS 3000
+/* Where a companion does not report to all entries, the interval of reports of
+ * changes to entries of other halls is multiplied by this: they start tasks
+ * here only when their own hall is full. */
+#define REPORT_OTHER_HALL_FACTOR 4
+/* Interval at which the entries that get reports are chosen again; far below
+ * the time after which a silent entry leaves the others' lists (8 s). */
+#define VIEW_REFRESH_MS 500
+/* An entry that needs the reports of every companion says so in each answer;
+ * this is how long that holds: three times the longest report interval. */
+#define REPORT_ALL_MS 9000
+/* A planned stop ends this long before the kill. */
 #define STOP_MARGIN_MS 700
-#define OK_STATUS 200
-/* What is known of the closed halls is asked for at the store when no entry
- * has confirmed it for this part of times.close_ms; the rest is left for the
- * read. Entries confirm what they read up to 2 s ago, as the store holds a
- * read for 1 s: at a half of 5,000 ms idle companions asked 18 times a second
- * (65 companions, 11 entries). */
-#define UNSURE_PERCENT 75
+#define STATUS_OK 200
+/* The closed halls are read from the store when no entry has confirmed them
+ * for this part of times.close_ms; the rest of that time is left for the read.
+ * Entries confirm what they read up to 2 s ago, as the store holds a read for
+ * 1 s: at 50 % of 5,000 ms, 65 idle companions with 11 entries read the store
+ * 18 times a second. */
+#define CLOSURES_STALE_PERCENT 75
 #define PERCENT 100
 
 typedef struct {
     Process process; /* first, see Process */
     Runner *runner;
     Http_Client *http;
-    Http_Server *beats;
+    Http_Server *heartbeats;
     Peers peers;
     Seeds seeds;
-    Leased_Registry registry;
-    Store_Follower *halls; /* NULL if no store is known */
+    Registry_Sync registry;
+    Store_Follower *halls_follower; /* NULL if no store is known */
     uv_timer_t report_timer;
-    uv_timer_t answer_timer; /* at answer_due_ms, if that is not INT64_MAX */
-    int64_t answer_due_ms;
-    uint64_t next_call;
-    uint32_t left_out;    /* entries that are not told */
-    int64_t view_ms;      /* when they were chosen last */
-    int64_t all_until_ms; /* until then all of them are told */
-    int64_t stop_ms;      /* when the planned stop was asked for */
+    uv_timer_t overdue_timer; /* at overdue_check_ms, unless INT64_MAX */
+    int64_t overdue_check_ms;
+    uint64_t last_call_id;
+    uint32_t left_out;           /* entries that get no reports */
+    int64_t view_chosen_ms;      /* when the entries were last chosen */
+    int64_t report_all_until_ms; /* until then all entries get reports */
+    int64_t stop_requested_ms; /* when the planned stop was requested, or 0 */
     Clock_Suspension suspension;
 } leased_companion;
 
-/* An order on its way to the upstream. */
+/* A request to the upstream that has not been answered. */
 typedef struct {
     leased_companion *owner;
     uint64_t id;
-} order_context;
+} request_context;
 
-/* Time now; to be asked at every input, as it tells the runner of a
- * suspension before anything that waited is read. */
+/* Current time. Must be called at every input: it reports a suspension of the
+ * host to the runner before any input that waited meanwhile is read. */
 static int64_t
 now_ms(leased_companion *self)
 {
@@ -87,32 +87,32 @@
     return reading.now_ms;
 }
 
-static void tell_peers(leased_companion *self);
+static void send_due_reports(leased_companion *self);
 static Counters *role_counters(Process *process);
-static void on_answer_timer(uv_timer_t *timer);
+static void on_overdue_timer(uv_timer_t *timer);
 
-/* To be called after all that the runner was told. */
+/* Must be called after every input to the runner. */
 static void
-follow_up(leased_companion *self)
+after_input(leased_companion *self)
 {
     int64_t due = Runner_DueMs(self->runner);
 
-    if (due < self->answer_due_ms) {
-        self->answer_due_ms = due;
-        uv_timer_start(&self->answer_timer, on_answer_timer,
+    if (due < self->overdue_check_ms) {
+        self->overdue_check_ms = due;
+        uv_timer_start(&self->overdue_timer, on_overdue_timer,
                        (uint64_t)MAX(due - now_ms(self), 0), 0);
     }
-    tell_peers(self);
+    send_due_reports(self);
 }
 
 static void
-on_answer_timer(uv_timer_t *timer)
+on_overdue_timer(uv_timer_t *timer)
 {
     leased_companion *self = timer->data;
 
-    self->answer_due_ms = INT64_MAX;
+    self->overdue_check_ms = INT64_MAX;
     Runner_Wake(self->runner, now_ms(self));
-    follow_up(self);
+    after_input(self);
 }
 
 /* ---- orders ---- */
@@ -121,7 +121,7 @@
 send_order(leased_companion *self, uint64_t id, Upstreams_Order *order,
            uint32_t timeout_ms, Http_ClientDone done)
 {
-    order_context *context = g_new0(order_context, 1);
+    request_context *context = g_new0(request_context, 1);
     Http_ClientRequest request = {.to = self->process.options->upstream,
                                   .method = "POST",
                                   .path = order->path,
@@ -139,33 +139,33 @@
 static void
 on_start_answer(void *item, const Http_ClientAnswer *answer)
 {
-    order_context *context = item;
+    request_context *context = item;
     leased_companion *self = context->owner;
     int64_t clock_ms;
     Runner_OrderEnd end = Upstreams_OrderEnd(answer, &clock_ms);
 
     Runner_OnStarted(self->runner, now_ms(self), context->id, end, clock_ms);
     g_free(context);
-    follow_up(self);
+    after_input(self);
 }
 
 static void
 on_stop_answer(void *item, const Http_ClientAnswer *answer)
 {
-    order_context *context = item;
+    request_context *context = item;
     leased_companion *self = context->owner;
     int64_t clock_ms;
     Runner_OrderEnd end = Upstreams_OrderEnd(answer, &clock_ms);
 
     Runner_OnStopped(self->runner, now_ms(self), context->id, end, clock_ms);
     g_free(context);
-    follow_up(self);
+    after_input(self);
 }
 
 static void
-on_look_answer(void *item, const Http_ClientAnswer *answer)
+on_poll_answer(void *item, const Http_ClientAnswer *answer)
 {
-    order_context *context = item;
+    request_context *context = item;
     leased_companion *self = context->owner;
     Upstreams_Listing listing;
 
@@ -173,7 +173,7 @@
     Runner_OnLook(self->runner, now_ms(self), context->id, &listing.listing);
     Upstreams_FreeListing(&listing);
     g_free(context);
-    follow_up(self);
+    after_input(self);
 }
 
 static void
@@ -182,7 +182,7 @@
     Upstreams_Order order;
 
     Upstreams_StartOrder(start, &order);
-    send_order(context, id, &order, ANSWER_MOST_MS, on_start_answer);
+    send_order(context, id, &order, ANSWER_TIMEOUT_MS, on_start_answer);
 }
 
 static void
@@ -192,35 +192,35 @@
     Upstreams_Order order;
 
     Upstreams_StopOrder(run, instance, token, &order);
-    send_order(context, id, &order, ANSWER_MOST_MS, on_stop_answer);
+    send_order(context, id, &order, ANSWER_TIMEOUT_MS, on_stop_answer);
 }
 
 static void
-port_look(void *context, uint64_t id, const Runner_Look *look)
+port_poll(void *context, uint64_t id, const Runner_Look *look)
 {
     Upstreams_Order order;
 
     Upstreams_LookOrder(look, &order);
-    send_order(context, id, &order, look->wait_ms + ANSWER_MOST_MS,
-               on_look_answer);
+    send_order(context, id, &order, look->wait_ms + ANSWER_TIMEOUT_MS,
+               on_poll_answer);
 }
 
 static const Runner_Ports runner_ports = {
     .start = port_start,
     .stop = port_stop,
-    .look = port_look,
+    .look = port_poll,
     .reply = Process_PortReply,
-    .event = Process_PortFields,
+    .event = Process_PortEventFields,
 };
 
 /* ---- entries ---- */
 
-/* Time between reports while nothing changes. */
+/* Interval between reports while nothing changes, in ms. */
 static int64_t
-idle_ms(const leased_companion *self)
+idle_interval_ms(const leased_companion *self)
 {
-    return Peers_SpacedMs(&self->peers, REPORT_IDLE_MS, REPORT_IDLE_LEAST_MS,
-                          REPORT_IDLE_MOST_MS);
+    return Peers_SpacedMs(&self->peers, REPORT_IDLE_PER_ENTRY_MS,
+                          REPORT_IDLE_MIN_MS, REPORT_IDLE_MAX_MS);
 }
 
 static void
@@ -232,9 +232,9 @@
         return;
     }
     call.u.report.hall = (char *)(uintptr_t)self->process.options->hall;
-    call.u.report.next_ms = (u_int)idle_ms(self);
+    call.u.report.next_ms = (u_int)idle_interval_ms(self);
     call.u.report.known = self->peers.list_digest;
-    peer->call_id = ++self->next_call;
+    peer->call_id = ++self->last_call_id;
     peer->asked_ms = now;
     peer->telling = Runner_Version(self->runner);
     peer->connected = true;
@@ -244,24 +244,27 @@
 static void
 on_report_timer(uv_timer_t *timer)
 {
-    tell_peers(timer->data);
+    send_due_reports(timer->data);
 }
 
-/* Changes are told so often at most. */
+/* Least interval between reports of changes, in ms. */
 static int64_t
-gap_ms(const leased_companion *self, const Peers_Row *peer)
+report_interval_ms(const leased_companion *self, const Peers_Row *peer)
 {
-    bool far = self->left_out > 0 &&
-               strcmp(peer->hall, self->process.options->hall) != 0;
+    bool other_hall = self->left_out > 0 &&
+                      strcmp(peer->hall, self->process.options->hall) != 0;
 
-    return far ? (int64_t)peer->gap_ms * REPORT_FAR_TIMES : peer->gap_ms;
+    return other_hall ? (int64_t)peer->gap_ms * REPORT_OTHER_HALL_FACTOR
+                      : peer->gap_ms;
 }
 
-/* Time until a peer should be told, 0 for now, -1 for not by itself. */
+/* Time in ms until the next report to a peer: 0 for now, -1 if no timer is
+ * needed, as a tick or the answer of an open call triggers it. */
 static int64_t
-report_due(const leased_companion *self, int64_t now, const Peers_Row *peer)
+report_delay_ms(const leased_companion *self, int64_t now,
+                const Peers_Row *peer)
 {
-    int64_t gap = gap_ms(self, peer);
+    int64_t interval = report_interval_ms(self, peer);
     int64_t since = now - peer->asked_ms;
 
     if (peer->call_id != 0 || !peer->chosen) {
@@ -271,15 +274,15 @@
         return since >= Peers_PatienceMs(peer, now) ? 0 : -1;
     }
     if (peer->told == Runner_Version(self->runner)) {
-        return since >= idle_ms(self) ? 0 : -1;
+        return since >= idle_interval_ms(self) ? 0 : -1;
     }
-    return since >= gap ? 0 : gap - since;
+    return since >= interval ? 0 : interval - since;
 }
 
-/* Connections to entries that are not told any more are closed, so that these
- * hold as many as they hear companions. */
+/* Closes the connections to entries that get no reports any more, so that an
+ * entry holds only connections of companions that report to it. */
 static void
-close_left_out(const leased_companion *self)
+close_unselected(const leased_companion *self)
 {
     guint i;
 
@@ -295,15 +298,15 @@
 static void
 choose_view(leased_companion *self, int64_t now)
 {
-    self->view_ms = now;
+    self->view_chosen_ms = now;
     self->left_out = PartialView_Choose(
         &self->peers, now, self->process.options->rpc,
-        self->process.options->hall, now < self->all_until_ms);
-    close_left_out(self);
+        self->process.options->hall, now < self->report_all_until_ms);
+    close_unselected(self);
 }
 
 static void
-tell_peers(leased_companion *self)
+send_due_reports(leased_companion *self)
 {
     int64_t now = now_ms(self);
     int64_t next = -1;
@@ -311,7 +314,7 @@
 
     for (i = 0; i < self->peers.rows->len; i++) {
         Peers_Row *peer = g_ptr_array_index(self->peers.rows, i);
-        int64_t due = report_due(self, now, peer);
+        int64_t due = report_delay_ms(self, now, peer);
         if (due == 0) {
             send_report(self, now, peer);
         }
@@ -325,18 +328,18 @@
     }
 }
 
-/* Entries were named by the register. */
+/* The list of entries was read from the registry. */
 static void
-on_named(void *context)
+on_entries_read(void *context)
 {
     leased_companion *self = context;
 
     choose_view(self, now_ms(self));
-    tell_peers(self);
+    send_due_reports(self);
 }
 
 static void
-reset_silent(leased_companion *self, int64_t now)
+reset_unanswered(leased_companion *self, int64_t now)
 {
     guint i;
 
@@ -350,11 +353,11 @@
 }
 
 static void
-take_report_reply(leased_companion *self, Peers_Row *peer,
-                  const lc_report_res *result)
+apply_report_reply(leased_companion *self, Peers_Row *peer,
+                   const lc_report_res *result)
 {
     int64_t now = now_ms(self);
-    bool all = now < self->all_until_ms;
+    bool all = now < self->report_all_until_ms;
 
     Runner_TakeClosures(self->runner, now, peer->asked_ms, &result->closures,
                         Address_Text(peer->address));
@@ -372,7 +375,7 @@
                        result->entries.entries_len, now);
     }
     if (result->all) {
-        self->all_until_ms = now + ALL_MS;
+        self->report_all_until_ms = now + REPORT_ALL_MS;
     }
     if (result->entries.entries_len > 0 || all != result->all) {
         choose_view(self, now);
@@ -382,42 +385,45 @@
 /* ---- closed halls ---- */
 
 static void
-on_closures(void *context, int64_t asked_ms, const lc_closures *told)
+on_closures(void *context, int64_t asked_ms, const lc_closures *received)
 {
     leased_companion *self = context;
 
-    Runner_TakeClosures(self->runner, now_ms(self), asked_ms, told,
+    Runner_TakeClosures(self->runner, now_ms(self), asked_ms, received,
                         "the store");
 }
 
 static const Store_Ports halls_ports = {.closures = on_closures};
 
-/* Entries tell with their answers to reports. If all that reach this companion
- * are cut off from the store and from other entries, only the store is left.
- */
+/* Reads the closed halls from the store once they are stale. Entries normally
+ * send them with their answers to reports; if all entries that this companion
+ * reaches are cut off from the store and from other entries, only the store
+ * is left. */
 static void
-confirm_halls(leased_companion *self, int64_t now)
+confirm_closures(leased_companion *self, int64_t now)
 {
     const Closures *closures = Runner_Closures(self->runner);
     int64_t age = Closures_AgeMs(closures, now);
     lc_closures known;
 
-    if (self->halls == NULL ||
-        age < self->process.options->close_ms * UNSURE_PERCENT / PERCENT) {
+    if (self->halls_follower == NULL || age < self->process.options->close_ms *
+                                                  CLOSURES_STALE_PERCENT /
+                                                  PERCENT) {
         return;
     }
     Closures_Tell(closures, now, &known);
-    if (Store_Ask(self->halls, &known)) {
-        Event_Log(EVENT_HALLS_UNSURE, "for %lld ms; the store is asked",
+    if (Store_Ask(self->halls_follower, &known)) {
+        Event_Log(EVENT_HALLS_UNSURE,
+                  "not confirmed for %lld ms; reading them from the store",
                   (long long)age);
     }
 }
 
-/* ---- the upstream's calls ---- */
+/* ---- requests of the upstream ---- */
 
 static void
-take_beat(leased_companion *self, const Http_Request *request,
-          const char *instance)
+handle_heartbeat(leased_companion *self, const Http_Request *request,
+                 const char *instance)
 {
     Upstreams_Beat beat;
     Status status = {ERR_OK, ""};
@@ -425,44 +431,44 @@
     if (Upstreams_ReadBeat(instance, request->body, request->length, &beat,
                            &status) != ERR_OK) {
         Counter_Add(role_counters(&self->process), COUNTER_HEARTBEATS_BAD, 1);
-        Http_RespondError(self->beats, request->id, status.kind,
+        Http_RespondError(self->heartbeats, request->id, status.kind,
                           status.message, 0);
     }
     else {
         Runner_OnUpstream(self->runner, now_ms(self), &beat.upstream);
-        Http_RespondText(self->beats, request->id, OK_STATUS, 0, "{}");
+        Http_RespondJson(self->heartbeats, request->id, STATUS_OK, 0, "{}");
     }
     Upstreams_FreeBeat(&beat);
-    follow_up(self);
+    after_input(self);
 }
 
 static void
-serve_beats(void *context, const Http_Request *request)
+serve_heartbeats(void *context, const Http_Request *request)
 {
     leased_companion *self = context;
     char *instance;
 
     switch (Upstreams_ParseCall(request->method, request->path, &instance)) {
     case UPSTREAMS_BEAT:
-        take_beat(self, request, instance);
+        handle_heartbeat(self, request, instance);
         break;
     case UPSTREAMS_LEAVES:
         Runner_OnUpstreamGone(
             self->runner, now_ms(self), instance,
             Upstreams_ReadBorn(request->body, request->length));
-        Http_RespondText(self->beats, request->id, OK_STATUS, 0, "{}");
-        follow_up(self);
+        Http_RespondJson(self->heartbeats, request->id, STATUS_OK, 0, "{}");
+        after_input(self);
         break;
     default:
-        Http_RespondError(self->beats, request->id, ERR_NOT_FOUND,
+        Http_RespondError(self->heartbeats, request->id, ERR_NOT_FOUND,
                           "no such path", 0);
         break;
     }
     g_free(instance);
 }
 
-static const Http_Route beat_routes[] = {
-    {"/", serve_beats},
+static const Http_Route heartbeat_routes[] = {
+    {"/", serve_heartbeats},
     {NULL, NULL},
 };
 
@@ -475,15 +481,15 @@
     int64_t now = now_ms(self);
 
     Seeds_Refresh(&self->seeds, &self->peers, now);
-    LeasedRegistry_Tick(&self->registry, now);
-    confirm_halls(self, now);
+    RegistrySync_Tick(&self->registry, now);
+    confirm_closures(self, now);
     Runner_Tick(self->runner, now);
     Peers_Forget(&self->peers, now);
-    if (now - self->view_ms >= VIEW_MS) {
+    if (now - self->view_chosen_ms >= VIEW_REFRESH_MS) {
         choose_view(self, now);
     }
-    reset_silent(self, now);
-    follow_up(self);
+    reset_unanswered(self, now);
+    after_input(self);
 }
 
 static void
@@ -492,11 +498,11 @@
     leased_companion *self = (leased_companion *)process;
 
     Event_Log(EVENT_STOPPING, "companion of leased jobs");
-    self->stop_ms = now_ms(self);
-    process->end_by_ms = self->stop_ms + process->options->grace_ms -
-                         STOP_MARGIN_MS;
+    self->stop_requested_ms = now_ms(self);
+    process->stop_deadline_ms = self->stop_requested_ms +
+                                process->options->grace_ms - STOP_MARGIN_MS;
     Runner_Drain(self->runner);
-    follow_up(self);
+    after_input(self);
 }
 
 static bool
@@ -504,7 +510,7 @@
 {
     const leased_companion *self = (const leased_companion *)process;
 
-    return self->stop_ms != 0 && Runner_IsIdle(self->runner);
+    return self->stop_requested_ms != 0 && Runner_IsIdle(self->runner);
 }
 
 static json_t *
@@ -539,7 +545,7 @@
     leased_companion *self = (leased_companion *)process;
     bool served = Runner_OnCall(self->runner, now_ms(self), reply_id, call);
 
-    follow_up(self);
+    after_input(self);
     return served;
 }
 
@@ -554,9 +560,9 @@
     }
     peer->call_id = 0;
     if (reply != NULL && reply->kind == MSG_REPORT) {
-        take_report_reply(self, peer, &reply->u.report);
+        apply_report_reply(self, peer, &reply->u.report);
     }
-    tell_peers(self);
+    send_due_reports(self);
 }
 
 static const Process_Role leased_companion_role = {
@@ -592,48 +598,50 @@
     int code = Err_Exit(ERR_IO);
 
     self->http = Http_NewClient(loop);
-    /* An order without an answer is sent again over another connection long
-     * before its own is given up, and upstreams leave orders unanswered whose
-     * connections are well: one is no sign against the others. */
-    Http_KeepAlive(self->http, options->upstream, MOST_CONNECTIONS, false);
+    /* A request without an answer is sent again over another connection long
+     * before its own times out, and upstreams leave requests unanswered on
+     * connections that work: one timeout is no reason to close the idle
+     * connections. */
+    Http_KeepAlive(self->http, options->upstream, MAX_CONNECTIONS, false);
     Peers_Init(&self->peers, options->rpc);
     self->runner = new_runner(self, options);
     if (self->runner == NULL) {
-        Event_Log(EVENT_BAD_SETTINGS, "times.resubmit_ms leaves no time for "
-                                      "leases");
+        Event_Log(EVENT_BAD_SETTINGS, "times.resubmit_ms is too short for any "
+                                      "lease");
         code = Err_Exit(ERR_BAD_SETTINGS);
         goto done;
     }
     Seeds_Init(&self->seeds, options);
     uv_timer_init(loop, &self->report_timer);
     self->report_timer.data = self;
-    uv_timer_init(loop, &self->answer_timer);
-    self->answer_timer.data = self;
-    self->answer_due_ms = INT64_MAX;
-    self->beats = Http_NewServer(loop, options->beats, beat_routes, self,
-                                 &status);
-    if (self->beats == NULL ||
+    uv_timer_init(loop, &self->overdue_timer);
+    self->overdue_timer.data = self;
+    self->overdue_check_ms = INT64_MAX;
+    self->heartbeats = Http_NewServer(loop, options->beats, heartbeat_routes,
+                                      self, &status);
+    if (self->heartbeats == NULL ||
         Process_Open(&self->process, loop, options, &leased_companion_role,
                      &status) != ERR_OK) {
         Event_Log(EVENT_LISTEN_FAILED, "%s", status.message);
         goto done;
     }
-    Rpc_KeepAlive(self->process.rpc, PROCESS_SILENCE_MS);
-    LeasedRegistry_Open(&self->registry, loop, 0, options->store,
-                        options->hall, &self->peers);
+    Rpc_KeepAlive(self->process.rpc, PROCESS_IDLE_TIMEOUT_MS);
+    RegistrySync_Open(&self->registry, loop, 0, options->store, options->hall,
+                      &self->peers);
     if (options->store != 0) {
-        self->halls = Store_FollowHalls(loop, Http_NewClient(loop),
-                                        options->store, &halls_ports, self);
+        self->halls_follower = Store_FollowHalls(
+            loop, Http_NewClient(loop), options->store, &halls_ports, self);
     }
-    self->registry.named = on_named;
+    self->registry.on_entries = on_entries_read;
     self->registry.context = self;
-    LeasedRegistry_Tick(&self->registry, now_ms(self));
+    RegistrySync_Tick(&self->registry, now_ms(self));
     code = Process_Run(&self->process);
 done:
     if (self->runner != NULL) {
         Runner_Free(self->runner);
     }
     Peers_Clear(&self->peers);
-    /* The loop's handles live in `self`; the process ends here. */
+    /* `self` is not freed: it holds the loop's handles, and the process ends
+     * here. */
     return code;
 }
--- a/daemon/leased_companion.h
+++ b/daemon/leased_companion.h
@@ -7,7 +7,7 @@
 
 #include "daemon/options.h"
 
-/** Runs until stopped; returns the exit code. */
+/** Runs until stopped; returns the process's exit code. */
 int LeasedCompanion_Run(const Options *options);
 
 #endif
--- a/daemon/leased_entry.c
+++ b/daemon/leased_entry.c
@@ -7,51 +7,56 @@
 #include "lease/store_wait.h"
 #include "platform/callers.h"
 
-/* The loop wakes up every PROCESS_TICK_MS; a longer gap means that the
- * process stood still, and input that waited is read before anything is
- * started. */
-#define STILL_MS 200
-#define RESUME_MS 40
-#define STARTING_MS 2000
+/* The loop wakes up every PROCESS_TICK_MS. A gap longer than this means that
+ * the process was stalled; the input that waited meanwhile is then read before
+ * any task is started. */
+#define STALL_MS 200
+/* Dispatching resumes this long after a stall was noticed. */
+#define RESUME_DELAY_MS 40
+/* An entry counts as ready without companions for this long after its start.
+ */
+#define STARTUP_READY_MS 2000
 #define STORE_CONNECTIONS 4
-/* New connections come for some time after the balancer was told not to. */
-#define STOP_LEAST_MS 2500
+/* Least duration of a planned stop: new connections still arrive for some time
+ * after the load balancer has been told that this entry is not ready. */
+#define STOP_MIN_MS 2500
+/* A planned stop ends this long before the kill. */
 #define STOP_MARGIN_MS 500
-/* Jobs still open so long before that end are given up. Chosen: four ticks, so
- * that the answers have left. */
-#define LAST_ANSWERS_MS 200
-#define OK_STATUS 200
+/* Jobs still open this long before that end are given up: four ticks, so that
+ * their answers are sent in time. */
+#define FINAL_ANSWERS_MS 200
+#define STATUS_OK 200
 
 static void
 on_resume(uv_timer_t *timer)
 {
     Leased_Entry *self = timer->data;
 
-    self->still = false;
-    self->awake_ms = Process_Now().mono_ms;
+    self->stalled = false;
+    self->last_input_ms = Process_Now().mono_ms;
     Dispatcher_Resume(self->dispatcher);
 }
 
-/* Time now; notices that the process stood still. */
 int64_t
-LeasedEntry_Awake(Leased_Entry *self)
+LeasedEntry_OnInput(Leased_Entry *self)
 {
     int64_t now = Process_Now().mono_ms;
 
-    if (now - self->awake_ms > STILL_MS) {
-        Event_Log(EVENT_STOOD_STILL, "for %d ms", (int)(now - self->awake_ms));
+    if (now - self->last_input_ms > STALL_MS) {
+        Event_Log(EVENT_STOOD_STILL, "for %d ms",
+                  (int)(now - self->last_input_ms));
         Dispatcher_Pause(self->dispatcher);
-        self->still = true;
-        uv_timer_start(&self->resume_timer, on_resume, RESUME_MS, 0);
+        self->stalled = true;
+        uv_timer_start(&self->resume_timer, on_resume, RESUME_DELAY_MS, 0);
     }
-    self->awake_ms = now;
+    self->last_input_ms = now;
     return now;
 }
 
-/* Tells the dispatcher what else than its starts has left since the last time:
- * answers, renewals, gossip. */
+/* Reports to the dispatcher the bytes sent since the last call for anything
+ * but starts of tasks: answers, lease renewals, gossip. */
 static void
-note_sent(Leased_Entry *self)
+report_sent_bytes(Leased_Entry *self)
 {
     const Rpc_Traffic *traffic = Rpc_GetTraffic(self->process.rpc);
     const Counters *counters = Dispatcher_Counters(self->dispatcher);
@@ -61,40 +66,40 @@
                       traffic->call_bytes_out[MSG_RUNS];
     uint64_t others = all > starts ? all - starts : 0;
 
-    if (others > self->other_bytes) {
+    if (others > self->non_start_bytes) {
         Dispatcher_NoteSent(self->dispatcher,
-                            (int64_t)(others - self->other_bytes));
-        self->other_bytes = others;
+                            (int64_t)(others - self->non_start_bytes));
+        self->non_start_bytes = others;
     }
 }
 
 static void
-on_link_free(uv_timer_t *timer)
+on_link_timer(uv_timer_t *timer)
 {
-    (void)timer; /* on_settled comes behind it */
+    (void)timer; /* on_after_poll runs after this */
 }
 
-/* Wakes the loop when starts that wait for the link may leave. */
+/* Wakes the loop when starts that wait for the link may be sent. */
 static void
 arm_link_timer(Leased_Entry *self)
 {
     int64_t due_ms = Dispatcher_DueMs(self->dispatcher);
 
     if (due_ms < INT64_MAX) {
-        int64_t wait_ms = MAX(due_ms - self->awake_ms, 1);
-        uv_timer_start(&self->link_timer, on_link_free, (uint64_t)wait_ms, 0);
+        int64_t wait_ms = MAX(due_ms - self->last_input_ms, 1);
+        uv_timer_start(&self->link_timer, on_link_timer, (uint64_t)wait_ms, 0);
     }
 }
 
-/* All input at hand has been taken. The process may have stood still since. */
+/* All input at hand has been read. The process may have been stalled since. */
 static void
-on_settled(uv_check_t *check)
+on_after_poll(uv_check_t *check)
 {
     Leased_Entry *self = check->data;
 
-    Dispatcher_Settle(self->dispatcher, LeasedEntry_Awake(self));
+    Dispatcher_Settle(self->dispatcher, LeasedEntry_OnInput(self));
     arm_link_timer(self);
-    Keeper_Settle(self->keeper, self->awake_ms);
+    Keeper_Settle(self->durable_jobs, self->last_input_ms);
 }
 
 /* ---- ports of the dispatcher ---- */
@@ -105,12 +110,12 @@
     Leased_Entry *self = context;
     char *body = Callers_Body(answer);
 
-    Http_RespondText(self->callers, request, Callers_Status(answer),
+    Http_RespondJson(self->callers, request, Callers_Status(answer),
                      answer->retry_ms, body);
     g_free(body);
 }
 
-/* What decided a request is read beside the routes that were in force. */
+/* Adds the version of the routes in force, on which the decision rests. */
 static void
 port_event(void *context, Event_Id id, json_t *fields)
 {
@@ -118,7 +123,7 @@
 
     json_object_set_new(fields, "routes_version",
                         json_integer(LeasedRoutes_Version(self)));
-    Process_PortFields(context, id, fields);
+    Process_PortEventFields(context, id, fields);
 }
 
 static const Dispatcher_Ports dispatch_ports = {
@@ -126,30 +131,32 @@
     .reset = Process_PortReset,
     .answer = port_answer,
     .event = port_event,
-    .kept_end = LeasedKept_End,
-    .kept_crash = LeasedKept_Crash,
-    .kept_over = LeasedKept_Over,
+    .kept_end = LeasedDurable_OnRunEnd,
+    .kept_crash = LeasedDurable_OnUpstreamCrash,
+    .kept_over = LeasedDurable_OnJobEnd,
     .runs = Process_PortRuns,
     .reply = Process_PortReply,
 };
 
 static const Http_Route caller_routes[] = {
-    {"/", LeasedCallers_Serve},
+    {"/", LeasedJobsApi_Serve},
     {NULL, NULL},
 };
 
 /* ---- readiness ---- */
 
-/* Companions report a moment after the start; who knows the routes by then
- * need not be passed over for a second by the balancer. */
+/* Companions report a moment after the start: an entry that has the routes by
+ * then is ready without them, as the load balancer would otherwise skip it for
+ * a second. */
 static bool
 is_ready(const Leased_Entry *self)
 {
-    bool starting = self->awake_ms - self->started_ms < STARTING_MS;
+    bool starting = self->last_input_ms - self->started_ms < STARTUP_READY_MS;
 
-    return self->stop_ms == 0 && self->routes != NULL && !self->still &&
+    return self->stop_requested_ms == 0 && self->routes != NULL &&
+           !self->stalled &&
            (starting ||
-            Dispatcher_WellHosts(self->dispatcher, self->awake_ms) > 0);
+            Dispatcher_WellHosts(self->dispatcher, self->last_input_ms) > 0);
 }
 
 static void
@@ -157,14 +164,14 @@
 {
     Leased_Entry *self = context;
 
-    LeasedEntry_Awake(self);
+    LeasedEntry_OnInput(self);
     if (is_ready(self)) {
-        Http_RespondText(self->ready, request->id, OK_STATUS, 0, "{}");
+        Http_RespondJson(self->ready, request->id, STATUS_OK, 0, "{}");
     }
     else {
         Http_RespondError(self->ready, request->id, ERR_NO_ROUTES,
                           "routes or companions are not known yet, or the "
-                          "process is being stopped",
+                          "process is stopping",
                           DISPATCHER_RETRY_MS);
     }
 }
@@ -175,12 +182,12 @@
 };
 
 QueueCounts *
-LeasedEntry_Waiting(const Leased_Entry *self)
+LeasedEntry_CountWaiting(const Leased_Entry *self)
 {
     QueueCounts *counts = QueueCounts_New();
 
     Dispatcher_AddWaiting(self->dispatcher, counts);
-    Keeper_AddWaiting(self->keeper, counts);
+    Keeper_AddWaiting(self->durable_jobs, counts);
     return counts;
 }
 
@@ -193,13 +200,13 @@
 }
 
 static void
-take_report(Leased_Entry *self, int64_t now, const lc_report_args *args)
+apply_report(Leased_Entry *self, int64_t now, const lc_report_args *args)
 {
     uint64_t before = incarnation_of(self, args->host.node.address);
 
     Dispatcher_OnReport(self->dispatcher, now, args);
     if (incarnation_of(self, args->host.node.address) != before) {
-        Keeper_OnHost(self->keeper, now);
+        Keeper_OnHost(self->durable_jobs, now);
     }
 }
 
@@ -208,12 +215,12 @@
               const lc_report_args *args)
 {
     Msg_Reply reply = {.kind = MSG_REPORT};
-    GArray *live = LeasedGossip_Known(self);
+    GArray *live = LeasedGossip_LiveEntries(self);
 
     reply.u.report.entry = Dispatcher_Node(self->dispatcher);
     reply.u.report.gap_ms = Dispatcher_ReportGapMs(self->dispatcher);
     reply.u.report.hall = (char *)(uintptr_t)self->process.options->hall;
-    reply.u.report.all = Keeper_NeedsAll(self->keeper);
+    reply.u.report.all = Keeper_NeedsAll(self->durable_jobs);
     if (args->known != Peers_Digest(live)) {
         reply.u.report.entries.entries_len = live->len;
         reply.u.report.entries.entries_val = (u_quad_t *)(void *)live->data;
@@ -222,26 +229,27 @@
                   &reply.u.report.closures);
     Process_PortReply(&self->process, reply_id, &reply);
     g_array_unref(live);
-    take_report(self, now, args);
+    apply_report(self, now, args);
 }
 
 /* ---- the role ---- */
 
 static void
-note_ready(Leased_Entry *self)
+log_readiness(Leased_Entry *self)
 {
     bool ready = is_ready(self);
 
-    if (ready != self->was_ready) {
-        self->was_ready = ready;
-        Event_Log(EVENT_READY, "%s: routes version %lld, %u companions",
-                  ready ? "yes" : "no", (long long)LeasedRoutes_Version(self),
-                  Dispatcher_ReadyHosts(self->dispatcher, self->awake_ms));
+    if (ready != self->logged_ready) {
+        self->logged_ready = ready;
+        Event_Log(
+            EVENT_READY, "%s: routes version %lld, %u companions",
+            ready ? "yes" : "no", (long long)LeasedRoutes_Version(self),
+            Dispatcher_ReadyHosts(self->dispatcher, self->last_input_ms));
     }
 }
 
 static void
-offer_delegates(Leased_Entry *self, int64_t now)
+set_delegate_candidates(Leased_Entry *self, int64_t now)
 {
     GArray *live;
 
@@ -258,22 +266,22 @@
 role_tick(Process *process)
 {
     Leased_Entry *self = (Leased_Entry *)process;
-    int64_t now = LeasedEntry_Awake(self);
+    int64_t now = LeasedEntry_OnInput(self);
 
     Seeds_Refresh(&self->seeds, &self->peers, now);
-    LeasedRegistry_Tick(&self->registry, now);
+    RegistrySync_Tick(&self->registry, now);
     Peers_Forget(&self->peers, now);
     LeasedGossip_Tick(self, now);
     LeasedRoutes_Tick(self, now);
     LeasedStore_Tick(self, now);
-    Keeper_Tick(self->keeper, now);
-    KeyedLog_SetQuiet(self->kept_log, Keeper_IsQuiet(self->keeper),
+    Keeper_Tick(self->durable_jobs, now);
+    KeyedLog_SetQuiet(self->durable_log, Keeper_IsQuiet(self->durable_jobs),
                       StoreWait_Quiet(Peers_CountLive(&self->peers, now)));
-    note_sent(self);
-    offer_delegates(self, now);
+    report_sent_bytes(self);
+    set_delegate_candidates(self, now);
     Dispatcher_SetWall(self->dispatcher, Process_Now().wall_ms - now);
     Dispatcher_Tick(self->dispatcher, now);
-    note_ready(self);
+    log_readiness(self);
 }
 
 static void
@@ -282,25 +290,27 @@
     Leased_Entry *self = (Leased_Entry *)process;
 
     Event_Log(EVENT_STOPPING, "entry of leased jobs");
-    self->stop_ms = LeasedEntry_Awake(self);
-    process->end_by_ms = self->stop_ms + process->options->grace_ms -
-                         STOP_MARGIN_MS;
-    Dispatcher_EndBy(self->dispatcher, process->end_by_ms - LAST_ANSWERS_MS);
-    Http_CloseAfterAnswers(self->callers);
-    Keeper_Leave(self->keeper, self->stop_ms);
+    self->stop_requested_ms = LeasedEntry_OnInput(self);
+    process->stop_deadline_ms = self->stop_requested_ms +
+                                process->options->grace_ms - STOP_MARGIN_MS;
+    Dispatcher_EndBy(self->dispatcher,
+                     process->stop_deadline_ms - FINAL_ANSWERS_MS);
+    Http_CloseAfterResponses(self->callers);
+    Keeper_Leave(self->durable_jobs, self->stop_requested_ms);
 }
 
 static bool
 role_is_drained(const Process *process)
 {
     const Leased_Entry *self = (const Leased_Entry *)process;
-    int64_t since = Process_Now().mono_ms - self->stop_ms;
+    int64_t since = Process_Now().mono_ms - self->stop_requested_ms;
 
-    if (self->stop_ms == 0 || since < STOP_LEAST_MS) {
+    if (self->stop_requested_ms == 0 || since < STOP_MIN_MS) {
         return false;
     }
-    return Http_Unanswered(self->callers) == 0 &&
-           Keeper_IsIdle(self->keeper) && Dispatcher_IsIdle(self->dispatcher);
+    return Http_UnansweredCount(self->callers) == 0 &&
+           Keeper_IsIdle(self->durable_jobs) &&
+           Dispatcher_IsIdle(self->dispatcher);
 }
 
 static json_t *
@@ -309,8 +319,8 @@
     const Leased_Entry *self = (const Leased_Entry *)process;
     json_t *state = Dispatcher_Dump(self->dispatcher, Process_Now().mono_ms);
 
-    json_object_set_new(state, "kept",
-                        Keeper_Dump(self->keeper, Process_Now().mono_ms));
+    json_object_set_new(
+        state, "kept", Keeper_Dump(self->durable_jobs, Process_Now().mono_ms));
     json_object_set_new(state, "routes_version",
                         json_integer(LeasedRoutes_Version(self)));
     json_object_set_new(state, "ready", json_boolean(is_ready(self)));
@@ -330,7 +340,7 @@
     int64_t now = Process_Now().mono_ms;
 
     Dispatcher_Metrics(self->dispatcher, now, out);
-    Keeper_Metrics(self->keeper, now, out);
+    Keeper_Metrics(self->durable_jobs, now, out);
     g_string_append_printf(out,
                            "levercove_ready %d\n"
                            "levercove_routes_version %lld\n"
@@ -339,7 +349,7 @@
                            "levercove_entries_known %u\n",
                            is_ready(self),
                            (long long)LeasedRoutes_Version(self),
-                           (long long)(now - self->routes_ms) / 1000,
+                           (long long)(now - self->routes_applied_ms) / 1000,
                            self->store_answers, self->peers.rows->len);
 }
 
@@ -347,20 +357,20 @@
 role_call(Process *process, uint64_t reply_id, const Msg_Call *call)
 {
     Leased_Entry *self = (Leased_Entry *)process;
-    int64_t now = LeasedEntry_Awake(self);
+    int64_t now = LeasedEntry_OnInput(self);
 
     switch (call->kind) {
     case MSG_REPORT:
         answer_report(self, now, reply_id, &call->u.report);
         return true;
     case MSG_GOSSIP:
-        LeasedGossip_Answer(self, reply_id, &call->u.gossip);
+        LeasedGossip_OnCall(self, reply_id, &call->u.gossip);
         return true;
     case MSG_ROUTES:
-        LeasedRoutes_Answer(self, reply_id, &call->u.routes);
+        LeasedRoutes_OnCall(self, reply_id, &call->u.routes);
         return true;
     case MSG_STORE:
-        LeasedStore_AnswerCall(self, reply_id, &call->u.store);
+        LeasedStore_OnCall(self, reply_id, &call->u.store);
         return true;
     case MSG_FORWARD:
         Dispatcher_OnForward(
@@ -373,7 +383,7 @@
         Dispatcher_OnExtend(self->dispatcher, now, reply_id, &call->u.extend);
         return true;
     case MSG_WITHDRAW:
-        LeasedCallers_AnswerWithdraw(self, now, reply_id, &call->u.withdraw);
+        LeasedJobsApi_OnWithdraw(self, now, reply_id, &call->u.withdraw);
         return true;
     default:
         return false;
@@ -384,30 +394,30 @@
 role_reply(Process *process, uint64_t call_id, const Msg_Reply *reply)
 {
     Leased_Entry *self = (Leased_Entry *)process;
-    int64_t now = LeasedEntry_Awake(self);
+    int64_t now = LeasedEntry_OnInput(self);
     Peers_Row *peer;
 
-    if ((call_id & LEASED_KEEPER_CALL) != 0) {
-        Keeper_OnReply(self->keeper, now, call_id & ~LEASED_KEEPER_CALL,
-                       reply);
+    if ((call_id & LEASED_DURABLE_CALL_FLAG) != 0) {
+        Keeper_OnReply(self->durable_jobs, now,
+                       call_id & ~LEASED_DURABLE_CALL_FLAG, reply);
         return;
     }
-    if ((call_id & LEASED_OWN_CALL) == 0) {
+    if ((call_id & LEASED_ENTRY_CALL_FLAG) == 0) {
         Dispatcher_OnReply(self->dispatcher, now, call_id, reply);
         return;
     }
-    if (LeasedStore_TakeReply(self, call_id, reply) ||
-        LeasedRoutes_TakeReply(self, now, call_id, reply)) {
+    if (LeasedStore_OnReply(self, call_id, reply) ||
+        LeasedRoutes_OnReply(self, now, call_id, reply)) {
         return;
     }
     peer = Peers_OfCall(&self->peers, call_id);
     if (peer == NULL) {
-        LeasedCallers_TakeWithdraw(self, call_id, reply);
+        LeasedJobsApi_OnWithdrawReply(self, call_id, reply);
         return;
     }
     peer->call_id = 0;
     if (reply != NULL && reply->kind == MSG_GOSSIP) {
-        LeasedGossip_Take(self, peer->asked_ms, &reply->u.gossip);
+        LeasedGossip_OnReply(self, peer->asked_ms, &reply->u.gossip);
     }
 }
 
@@ -430,9 +440,9 @@
     if (!Term_Plan(&bounds, &config.term)) {
         return NULL;
     }
-    self->awake_ms = Process_Now().mono_ms;
-    self->started_ms = self->awake_ms;
-    return Dispatcher_New(&config, &dispatch_ports, self, self->awake_ms);
+    self->last_input_ms = Process_Now().mono_ms;
+    self->started_ms = self->last_input_ms;
+    return Dispatcher_New(&config, &dispatch_ports, self, self->last_input_ms);
 }
 
 static Err_Kind
@@ -444,7 +454,7 @@
     if (self->callers == NULL) {
         return status->kind;
     }
-    Http_WatchCallers(self->callers, LeasedCallers_Gone);
+    Http_SetDisconnectHandler(self->callers, LeasedJobsApi_OnCallerGone);
     self->ready = Http_NewServer(loop, options->ready, ready_routes, self,
                                  status);
     if (self->ready == NULL) {
@@ -462,51 +472,52 @@
     Status status = {ERR_OK, ""};
     int code = Err_Exit(ERR_IO);
 
-    self->cancels = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-                                          NULL);
-    self->relayed = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-                                          g_free);
-    self->store_back_ms = INT64_MIN / 2;
+    self->pending_cancels = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+                                                  g_free, NULL);
+    self->relayed_calls = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+                                                g_free, g_free);
+    self->store_recovered_ms = INT64_MIN / 2;
     Peers_Init(&self->peers, options->rpc);
     Seeds_Init(&self->seeds, options);
     uv_timer_init(loop, &self->resume_timer);
     self->resume_timer.data = self;
     uv_timer_init(loop, &self->link_timer);
-    uv_check_init(loop, &self->settled);
-    self->settled.data = self;
-    uv_check_start(&self->settled, on_settled);
+    uv_check_init(loop, &self->after_poll);
+    self->after_poll.data = self;
+    uv_check_start(&self->after_poll, on_after_poll);
     self->dispatcher = new_dispatcher(self, options);
     if (self->dispatcher == NULL) {
-        Event_Log(EVENT_BAD_SETTINGS, "times.resubmit_ms leaves no time for "
-                                      "leases");
+        Event_Log(EVENT_BAD_SETTINGS, "times.resubmit_ms is too short for any "
+                                      "lease");
         code = Err_Exit(ERR_BAD_SETTINGS);
         goto done;
     }
     self->http = Http_NewClient(loop);
     Http_CountSilent(self->http, role_counters(&self->process));
     Http_KeepAlive(self->http, options->store, STORE_CONNECTIONS, true);
-    LeasedKept_Open(self, options);
+    LeasedDurable_Open(self, options);
     if (open_servers(self, loop, options, &status) != ERR_OK) {
         Event_Log(EVENT_LISTEN_FAILED, "%s", status.message);
         goto done;
     }
     LeasedRoutes_Open(self, options);
-    LeasedRegistry_Open(&self->registry, loop, options->rpc, options->store,
-                        options->hall, &self->peers);
-    LeasedRegistry_Tick(&self->registry, self->awake_ms);
-    Rpc_KeepAlive(self->process.rpc, PROCESS_SILENCE_MS);
+    RegistrySync_Open(&self->registry, loop, options->rpc, options->store,
+                      options->hall, &self->peers);
+    RegistrySync_Tick(&self->registry, self->last_input_ms);
+    Rpc_KeepAlive(self->process.rpc, PROCESS_IDLE_TIMEOUT_MS);
     code = Process_Run(&self->process);
 done:
-    if (self->keeper != NULL) {
-        Keeper_Free(self->keeper);
+    if (self->durable_jobs != NULL) {
+        Keeper_Free(self->durable_jobs);
     }
     if (self->dispatcher != NULL) {
         Dispatcher_Free(self->dispatcher);
     }
     LeasedRoutes_Close(self);
     Peers_Clear(&self->peers);
-    g_hash_table_unref(self->cancels);
-    g_hash_table_unref(self->relayed);
-    /* The loop's handles live in `self`; the process ends here. */
+    g_hash_table_unref(self->pending_cancels);
+    g_hash_table_unref(self->relayed_calls);
+    /* `self` is not freed: it holds the loop's handles, and the process ends
+     * here. */
     return code;
 }
--- a/daemon/leased_entry_state.h
+++ b/daemon/leased_entry_state.h
@@ -1,9 +1,10 @@
 /**
  * @file leased_entry_state.h
  * @brief State of an entry process of leased jobs, shared by the files that
- * make it up: the process, what callers ask for, and talk with other entries.
+ * implement it: the process, callers' requests, durable jobs, routes, access
+ * to the store, and gossip with other entries.
  *
- * For daemon/leased_*.c alone.
+ * Private to daemon/leased_*.c.
  */
 #ifndef LC_DAEMON_LEASED_ENTRY_STATE_H
 #define LC_DAEMON_LEASED_ENTRY_STATE_H
@@ -22,146 +23,157 @@
 #include "platform/keyed_log.h"
 #include "platform/store.h"
 
-/** Calls of the process itself; the dispatcher numbers its own without this
- * bit. */
-#define LEASED_OWN_CALL (1ULL << 63)
-/** Calls of the keeper. */
-#define LEASED_KEEPER_CALL (1ULL << 62)
+/** Flag in the ids of calls of the process itself; ids of the dispatcher's
+ * calls lack it. */
+#define LEASED_ENTRY_CALL_FLAG (1ULL << 63)
+/** Flag in the ids of calls of the durable jobs. */
+#define LEASED_DURABLE_CALL_FLAG (1ULL << 62)
 
-/** The process. */
+/** An entry process. */
 typedef struct {
     Process process; /* first, see Process */
     Dispatcher *dispatcher;
-    Keeper *keeper;
-    Keyed_Log *kept_log;
-    GHashTable *relayed; /* call id -> Leased_Relay, see leased_store.c */
-    bool store_away;     /* it does not answer this entry */
-    int64_t store_probed_ms;
-    int64_t probe_pause_ms;
-    int64_t store_back_ms; /* when a probe went well last */
+    Keeper *durable_jobs;
+    Keyed_Log *durable_log;
+    GHashTable *relayed_calls; /* call id -> relayed_call */
+    bool store_unreachable;    /* a request of this entry failed, and no probe
+                              succeeded since */
+    int64_t last_probe_ms;
+    int64_t probe_interval_ms;
+    int64_t store_recovered_ms; /* when a probe last succeeded */
     Route_Table *routes;
-    Store_Follower *follower; /* of the operators' records */
+    Store_Follower *follower; /* of the operators' records in the store */
     uint64_t random;
-    Routes_Fetch fetch;  /* of newer ones from other entries */
-    uint64_t fetch_call; /* call on its way, or 0 */
+    Routes_Fetch fetch;            /* of newer routes from other entries */
+    uint64_t routes_fetch_call_id; /* call without a reply yet, or 0 */
     Http_Client *http;
     Http_Server *callers;
     Http_Server *ready;
     Peers peers;
     Seeds seeds;
-    Leased_Registry registry;
+    Registry_Sync registry;
     uv_timer_t resume_timer;
-    uv_timer_t link_timer; /* starts may leave then */
-    uv_check_t settled;
-    GHashTable *cancels; /* call id -> Leased_Cancel */
-    uint64_t next_call;
-    uint64_t other_bytes; /* sent besides starts, as told the dispatcher */
+    uv_timer_t link_timer;       /* expires when waiting starts may be sent */
+    uv_check_t after_poll;       /* runs after each poll for input */
+    GHashTable *pending_cancels; /* call id -> pending_cancel */
+    uint64_t last_call_id;
+    uint64_t non_start_bytes; /* sent besides starts, as reported to the
+                             dispatcher */
     int64_t started_ms;
-    int64_t routes_ms; /* when the routes in force were taken */
+    int64_t routes_applied_ms; /* when the routes in force were applied */
     bool store_answers;
-    int64_t awake_ms; /* last time that anything was done */
-    int64_t stop_ms;  /* when the planned stop was asked for */
-    bool still;
-    bool was_ready;
+    int64_t last_input_ms;     /* time of the last input */
+    int64_t stop_requested_ms; /* when the planned stop was requested, or 0 */
+    bool stalled;              /* stalled; input that waited is being read */
+    bool logged_ready;         /* readiness as last logged */
 } Leased_Entry;
 
-/* The process: leased_entry.c. */
+/* The process: daemon/leased_entry.c. */
 
-/** Jobs at this entry of which no task was started, by queue. Names are
- * borrowed; free it before anything is done about the jobs. */
-QueueCounts *LeasedEntry_Waiting(const Leased_Entry *self);
+/** Number of jobs at this entry of which no task has started, by queue. The
+ * names are borrowed from the jobs: free it before anything changes them. */
+QueueCounts *LeasedEntry_CountWaiting(const Leased_Entry *self);
 
-/** Time now; to be asked at every input, as it notices that the process stood
- * still, and pauses the dispatcher until all input has been read. */
-int64_t LeasedEntry_Awake(Leased_Entry *self);
+/** Must be called at every input; returns the current monotonic time in ms.
+ * Detects that the process was stalled, and then pauses the dispatcher until
+ * the input that waited has been read. */
+int64_t LeasedEntry_OnInput(Leased_Entry *self);
 
-/* Callers: leased_callers.c. */
+/* Requests of callers: the HTTP interface to leased jobs. */
 
-/** Serves a request of a caller. @p context is the process. */
-void LeasedCallers_Serve(void *context, const Http_Request *request);
+/** Serves a caller's HTTP request. @p context is the Leased_Entry. */
+void LeasedJobsApi_Serve(void *context, const Http_Request *request);
 
-/** A caller has gone before its answer. */
-void LeasedCallers_Gone(void *context, uint64_t request);
+/** A caller has disconnected before its answer. @p context is the
+ * Leased_Entry. */
+void LeasedJobsApi_OnCallerGone(void *context, uint64_t request);
 
-/** Another entry cancels a job for its caller. */
-void LeasedCallers_AnswerWithdraw(Leased_Entry *self, int64_t now,
-                                  uint64_t reply_id,
-                                  const lc_withdraw_args *args);
+/** Another entry asks to cancel a job for its caller: answers whether the job
+ * is known here. */
+void LeasedJobsApi_OnWithdraw(Leased_Entry *self, int64_t now,
+                              uint64_t reply_id, const lc_withdraw_args *args);
 
-/** Another entry has cancelled a job for us, or cannot be reached. */
-void LeasedCallers_TakeWithdraw(Leased_Entry *self, uint64_t call_id,
-                                const Msg_Reply *reply);
+/** Another entry has answered a request to cancel a job, or cannot be reached
+ * (@p reply is NULL). */
+void LeasedJobsApi_OnWithdrawReply(Leased_Entry *self, uint64_t call_id,
+                                   const Msg_Reply *reply);
 
-/* Kept jobs: leased_kept.c. */
+/* Durable jobs. */
 
-/** Makes the keeper, and follows its records from now on. */
-void LeasedKept_Open(Leased_Entry *self, const Options *options);
+/** Creates the manager of durable jobs and starts to follow its log. */
+void LeasedDurable_Open(Leased_Entry *self, const Options *options);
 
-/** Ports of the dispatcher. */
-void LeasedKept_End(void *context, const lc_run_id *id, uint32_t task,
-                    lc_node host, bool done);
-void LeasedKept_Crash(void *context, const lc_run_id *id, uint32_t task);
-void LeasedKept_Over(void *context, uint64_t job, Dispatcher_Outcome outcome);
+/** Ports of the dispatcher; @p context is the Leased_Entry. */
+void LeasedDurable_OnRunEnd(void *context, const lc_run_id *id, uint32_t task,
+                            lc_node host, bool done);
+void LeasedDurable_OnUpstreamCrash(void *context, const lc_run_id *id,
+                                   uint32_t task);
+void LeasedDurable_OnJobEnd(void *context, uint64_t job,
+                            Dispatcher_Outcome outcome);
 
-/** Takes a job that must be kept. */
-void LeasedKept_Submit(Leased_Entry *self, int64_t now,
-                       const Http_Request *request,
-                       const Dispatcher_Submit *submit);
+/** Submits a job that must be durable; rejects a body that does not fit one
+ * record of the store. */
+void LeasedDurable_Submit(Leased_Entry *self, int64_t now,
+                          const Http_Request *request,
+                          const Dispatcher_Submit *submit);
 
-/* Routes, from the store or other entries: leased_routes.c. */
+/* Routes, from the store or other entries: daemon/leased_routes.c. */
 
-/** Follows the store's record of routes from now on. */
+/** Starts to follow the store's record of routes. */
 void LeasedRoutes_Open(Leased_Entry *self, const Options *options);
 void LeasedRoutes_Close(Leased_Entry *self);
 
 /** Version of the routes in force, or -1. */
 int64_t LeasedRoutes_Version(const Leased_Entry *self);
 
-/** Asks another entry for newer routes, if that is due. */
+/** Requests newer routes from another entry, if that is due. */
 void LeasedRoutes_Tick(Leased_Entry *self, int64_t now);
 
-/** Another entry asks for a chunk of the routes. */
-void LeasedRoutes_Answer(Leased_Entry *self, uint64_t reply_id,
+/** Another entry requests a chunk of the routes: answers it. */
+void LeasedRoutes_OnCall(Leased_Entry *self, uint64_t reply_id,
                          const lc_routes_args *args);
 
-/** Another entry has answered, or cannot be reached; false if @p call_id is
- * not of such a call. */
-bool LeasedRoutes_TakeReply(Leased_Entry *self, int64_t now, uint64_t call_id,
-                            const Msg_Reply *reply);
+/** Another entry has answered a request for routes, or cannot be reached
+ * (@p reply is NULL); returns false if @p call_id is not of such a request. */
+bool LeasedRoutes_OnReply(Leased_Entry *self, int64_t now, uint64_t call_id,
+                          const Msg_Reply *reply);
 
-/* The store, directly or through another entry: leased_store.c. */
+/* The store, directly or through another entry: daemon/leased_store.c. */
 
-/** Sends a request to the store. While it does not answer this entry, others
- * are asked to call it. @p context is the process. */
+/** Sends a request to the store; while the store does not answer this entry,
+ * relays it through another entry. @p context is the Leased_Entry. */
 void LeasedStore_Send(void *context, const Http_ClientRequest *request,
                       Http_ClientDone done, void *done_context);
 
-/** Another entry cannot reach the store. */
-void LeasedStore_AnswerCall(Leased_Entry *self, uint64_t reply_id,
-                            const lc_store_args *args);
+/** Another entry cannot reach the store: sends its request there. */
+void LeasedStore_OnCall(Leased_Entry *self, uint64_t reply_id,
+                        const lc_store_args *args);
 
-/** Another entry has called the store for us; false if @p call_id is not of
- * such a call. */
-bool LeasedStore_TakeReply(Leased_Entry *self, uint64_t call_id,
-                           const Msg_Reply *reply);
+/** Another entry has relayed a request to the store, or cannot be reached
+ * (@p reply is NULL); returns false if @p call_id is not of such a request. */
+bool LeasedStore_OnReply(Leased_Entry *self, uint64_t call_id,
+                         const Msg_Reply *reply);
 
-/** Gives up calls that others have not answered. */
+/** Gives up relayed requests whose time is over, and probes the store if that
+ * is due. */
 void LeasedStore_Tick(Leased_Entry *self, int64_t now);
 
-/* Other entries: leased_gossip.c. */
+/* Gossip with other entries: daemon/leased_gossip.c. */
 
-/** Entries that spoke lately, and this one; free the array. */
-GArray *LeasedGossip_Known(const Leased_Entry *self);
+/** Addresses of live entries, and of this one; the caller frees the array. */
+GArray *LeasedGossip_LiveEntries(const Leased_Entry *self);
 
-/** Tells other entries what is due, and gives up on those that are silent. */
+/** Sends the gossip that is due, and closes connections to entries that have
+ * not answered in time. */
 void LeasedGossip_Tick(Leased_Entry *self, int64_t now);
 
-/** Another entry tells us of itself. */
-void LeasedGossip_Answer(Leased_Entry *self, uint64_t reply_id,
+/** Another entry has sent gossip: applies and answers it. */
+void LeasedGossip_OnCall(Leased_Entry *self, uint64_t reply_id,
                          const lc_gossip_args *args);
 
-/** Another entry has answered what we told it at @p asked_ms. */
-void LeasedGossip_Take(Leased_Entry *self, int64_t asked_ms,
-                       const lc_gossip_res *result);
+/** Another entry has answered the gossip sent at @p asked_ms: applies the
+ * answer. */
+void LeasedGossip_OnReply(Leased_Entry *self, int64_t asked_ms,
+                          const lc_gossip_res *result);
 
 #endif
--- a/daemon/leased_gossip.c
+++ b/daemon/leased_gossip.c
@@ -2,35 +2,37 @@
 
 #include "base/event.h"
 
-/* Entries talk to each other so often, times their number, within bounds. */
-#define GOSSIP_MS 75
-#define GOSSIP_LEAST_MS 300
-#define GOSSIP_MOST_MS 1500
-/* Likewise where there is nothing new to tell: no jobs wait, and none did when
- * the other was told last. Chosen: twice within the time after which a silent
- * entry leaves the others' lists (8 s). */
-#define GOSSIP_QUIET_MOST_MS 4000
-
-/* Who expects to be called waits longer by so much before it calls itself.
- * Chosen: a tick and a slow call of the other are within it, and waiting jobs
- * are told within the 2 s that their count may be old. */
-#define WAIT_FOR_CALL_PERCENT 125
+/* Interval of gossip with an entry: this times the number of entries, within
+ * the bounds below. */
+#define GOSSIP_PER_ENTRY_MS 75
+#define GOSSIP_MIN_MS 300
+#define GOSSIP_MAX_MS 1500
+/* Upper bound while there is nothing new to send: no jobs wait, and none did
+ * at the last message. Half of the time after which a silent entry leaves the
+ * others' lists (8 s). */
+#define GOSSIP_IDLE_MAX_MS 4000
+
+/* The entry of a pair that expects to be called waits for this much of the
+ * interval before it calls itself: enough for a tick and a slow call of the
+ * other, and counts of waiting jobs are still sent within the 2 s for which
+ * they may be used. */
+#define CALLEE_WAIT_PERCENT 125
 #define PERCENT 100
 
-/* Entries that spoke lately, and this one; free the array. */
 GArray *
-LeasedGossip_Known(const Leased_Entry *self)
+LeasedGossip_LiveEntries(const Leased_Entry *self)
 {
-    return Peers_Live(&self->peers, self->awake_ms,
+    return Peers_Live(&self->peers, self->last_input_ms,
                       self->process.options->rpc);
 }
 
-/* Texts are borrowed from the jobs; free the array. */
+/* Waiting jobs by queue, as lc_queue_count. The names are borrowed from the
+ * jobs; the caller frees the array. */
 static GArray *
-own_counts(const Leased_Entry *self)
+own_waiting(const Leased_Entry *self)
 {
     GArray *rows = g_array_new(FALSE, TRUE, sizeof(lc_queue_count));
-    QueueCounts *counts = LeasedEntry_Waiting(self);
+    QueueCounts *counts = LeasedEntry_CountWaiting(self);
     GHashTableIter iter;
     gpointer queue;
     gpointer waiting;
@@ -47,8 +49,8 @@
 }
 
 static void
-note_told(const Leased_Entry *self, int64_t now, Peers_Row *peer,
-          const GArray *counts)
+record_sent(const Leased_Entry *self, int64_t now, Peers_Row *peer,
+            const GArray *counts)
 {
     peer->told_ms = now;
     peer->told_waiting = counts->len > 0;
@@ -58,12 +60,12 @@
 static void
 send_gossip(Leased_Entry *self, int64_t now, Peers_Row *peer)
 {
-    GArray *live = LeasedGossip_Known(self);
-    GArray *counts = own_counts(self);
+    GArray *live = LeasedGossip_LiveEntries(self);
+    GArray *counts = own_waiting(self);
     Msg_Call call = {.kind = MSG_GOSSIP};
 
     call.u.gossip.from = Dispatcher_Node(self->dispatcher);
-    call.u.gossip.kept = Keeper_Identity(self->keeper, now);
+    call.u.gossip.kept = Keeper_Identity(self->durable_jobs, now);
     call.u.gossip.routes_version = LeasedRoutes_Version(self);
     call.u.gossip.known = Peers_Digest(live);
     if (peer->digest != call.u.gossip.known) {
@@ -74,9 +76,9 @@
     call.u.gossip.waiting.waiting_val = (lc_queue_count *)(void *)counts->data;
     Closures_Tell(Dispatcher_Closures(self->dispatcher), now,
                   &call.u.gossip.closures);
-    peer->call_id = ++self->next_call | LEASED_OWN_CALL;
+    peer->call_id = ++self->last_call_id | LEASED_ENTRY_CALL_FLAG;
     peer->asked_ms = now;
-    note_told(self, now, peer, counts);
+    record_sent(self, now, peer, counts);
     Rpc_Call(self->process.rpc, peer->address, peer->call_id, &call);
     g_array_unref(live);
     g_array_unref(counts);
@@ -87,63 +89,65 @@
 {
     Counter_Add(Dispatcher_Counters(self->dispatcher), COUNTER_GOSSIP_GIVEN_UP,
                 1);
-    Event_Log(EVENT_PEER_SILENT, "%s, asked %lld ms ago, routes version %lld",
+    Event_Log(EVENT_PEER_SILENT,
+              "%s has not answered for %lld ms, routes version %lld",
               Address_Text(peer->address), (long long)since_ms,
               (long long)LeasedRoutes_Version(self));
 }
 
-/* Jobs wait here, or other entries have to know soon that this one lives. */
+/* Whether jobs wait here, or other entries must soon learn that this one is
+ * alive. */
 static bool
-has_news(const Leased_Entry *self)
+is_urgent(const Leased_Entry *self)
 {
     GArray *counts;
     bool waiting;
 
-    if (Keeper_NeedsAll(self->keeper)) {
+    if (Keeper_NeedsAll(self->durable_jobs)) {
         return true;
     }
-    counts = own_counts(self);
+    counts = own_waiting(self);
     waiting = counts->len > 0;
     g_array_unref(counts);
     return waiting;
 }
 
 static int64_t
-spaced_ms(const Leased_Entry *self, int64_t now, const Peers_Row *peer,
-          bool news)
+gossip_interval_ms(const Leased_Entry *self, int64_t now,
+                   const Peers_Row *peer, bool urgent)
 {
-    bool quiet = !news && !peer->told_waiting &&
-                 peer->told_routes == LeasedRoutes_Version(self);
-    int64_t spaced = Peers_SpacedMs(&self->peers, GOSSIP_MS, GOSSIP_LEAST_MS,
-                                    quiet ? GOSSIP_QUIET_MOST_MS
-                                          : GOSSIP_MOST_MS);
+    bool idle = !urgent && !peer->told_waiting &&
+                peer->told_routes == LeasedRoutes_Version(self);
+    int64_t interval = Peers_SpacedMs(
+        &self->peers, GOSSIP_PER_ENTRY_MS, GOSSIP_MIN_MS,
+        idle ? GOSSIP_IDLE_MAX_MS : GOSSIP_MAX_MS);
 
     if (!Peers_IsLive(peer, now)) {
-        return MIN(spaced, Peers_PatienceMs(peer, now));
+        return MIN(interval, Peers_PatienceMs(peer, now));
     }
-    /* An answer tells as much as a call: of a pair the one with the lower
+    /* A reply carries as much as a call: of a pair the entry with the lower
      * address calls, and one connection serves both. */
     return peer->address < self->process.options->rpc
-               ? spaced * WAIT_FOR_CALL_PERCENT / PERCENT
-               : spaced;
+               ? interval * CALLEE_WAIT_PERCENT / PERCENT
+               : interval;
 }
 
 void
 LeasedGossip_Tick(Leased_Entry *self, int64_t now)
 {
-    bool news = has_news(self);
+    bool urgent = is_urgent(self);
     guint i;
 
     for (i = 0; i < self->peers.rows->len; i++) {
         Peers_Row *peer = g_ptr_array_index(self->peers.rows, i);
-        int64_t spaced = spaced_ms(self, now, peer, news);
-        int64_t patience = Peers_PatienceMs(peer, now);
+        int64_t interval = gossip_interval_ms(self, now, peer, urgent);
+        int64_t timeout = Peers_PatienceMs(peer, now);
         int64_t since = now - peer->asked_ms;
-        int64_t untold = now - MAX(peer->told_ms, peer->asked_ms);
-        if (peer->call_id == 0 && untold >= spaced) {
+        int64_t since_sent = now - MAX(peer->told_ms, peer->asked_ms);
+        if (peer->call_id == 0 && since_sent >= interval) {
             send_gossip(self, now, peer);
         }
-        else if (peer->call_id != 0 && since >= patience) {
+        else if (peer->call_id != 0 && since >= timeout) {
             log_silent(self, peer, since);
             Rpc_Reset(self->process.rpc, peer->address);
         }
@@ -151,11 +155,11 @@
 }
 
 static void
-take_news(Leased_Entry *self, Address from, int64_t routes_version,
-          uint64_t digest, const u_quad_t *entries, u_int entry_count,
-          const lc_queue_count *counts, u_int count)
+apply_gossip(Leased_Entry *self, Address from, int64_t routes_version,
+             uint64_t digest, const u_quad_t *entries, u_int entry_count,
+             const lc_queue_count *counts, u_int count)
 {
-    int64_t now = self->awake_ms;
+    int64_t now = self->last_input_ms;
     Peers_Row *peer;
     u_int i;
 
@@ -180,25 +184,26 @@
 }
 
 void
-LeasedGossip_Answer(Leased_Entry *self, uint64_t reply_id,
+LeasedGossip_OnCall(Leased_Entry *self, uint64_t reply_id,
                     const lc_gossip_args *args)
 {
     Msg_Reply reply = {.kind = MSG_GOSSIP};
     lc_gossip_res *result = &reply.u.gossip;
     Peers_Row *peer;
     GArray *live;
-    GArray *counts = own_counts(self);
+    GArray *counts = own_waiting(self);
 
-    Keeper_OnPeer(self->keeper, self->awake_ms, args->from.address,
+    Keeper_OnPeer(self->durable_jobs, self->last_input_ms, args->from.address,
                   args->kept);
-    Dispatcher_TakeClosures(self->dispatcher, self->awake_ms, CLOSURES_UNASKED,
-                            &args->closures, Address_Text(args->from.address));
-    take_news(self, args->from.address, args->routes_version, args->known,
-              args->entries.entries_val, args->entries.entries_len,
-              args->waiting.waiting_val, args->waiting.waiting_len);
-    live = LeasedGossip_Known(self);
+    Dispatcher_TakeClosures(self->dispatcher, self->last_input_ms,
+                            CLOSURES_UNASKED, &args->closures,
+                            Address_Text(args->from.address));
+    apply_gossip(self, args->from.address, args->routes_version, args->known,
+                 args->entries.entries_val, args->entries.entries_len,
+                 args->waiting.waiting_val, args->waiting.waiting_len);
+    live = LeasedGossip_LiveEntries(self);
     result->from = Dispatcher_Node(self->dispatcher);
-    result->kept = Keeper_Identity(self->keeper, self->awake_ms);
+    result->kept = Keeper_Identity(self->durable_jobs, self->last_input_ms);
     result->routes_version = LeasedRoutes_Version(self);
     result->known = Peers_Digest(live);
     if (args->known != result->known) {
@@ -207,11 +212,11 @@
     }
     result->waiting.waiting_len = counts->len;
     result->waiting.waiting_val = (lc_queue_count *)(void *)counts->data;
-    Closures_Tell(Dispatcher_Closures(self->dispatcher), self->awake_ms,
+    Closures_Tell(Dispatcher_Closures(self->dispatcher), self->last_input_ms,
                   &result->closures);
     peer = Peers_Find(&self->peers, args->from.address);
     if (peer != NULL) {
-        note_told(self, self->awake_ms, peer, counts);
+        record_sent(self, self->last_input_ms, peer, counts);
     }
     Process_PortReply(&self->process, reply_id, &reply);
     g_array_unref(live);
@@ -219,16 +224,16 @@
 }
 
 void
-LeasedGossip_Take(Leased_Entry *self, int64_t asked_ms,
-                  const lc_gossip_res *result)
+LeasedGossip_OnReply(Leased_Entry *self, int64_t asked_ms,
+                     const lc_gossip_res *result)
 {
-    Keeper_OnPeer(self->keeper, self->awake_ms, result->from.address,
-                  result->kept);
-    Dispatcher_TakeClosures(self->dispatcher, self->awake_ms, asked_ms,
+    Keeper_OnPeer(self->durable_jobs, self->last_input_ms,
+                  result->from.address, result->kept);
+    Dispatcher_TakeClosures(self->dispatcher, self->last_input_ms, asked_ms,
                             &result->closures,
                             Address_Text(result->from.address));
-    take_news(self, result->from.address, result->routes_version,
-              result->known, result->entries.entries_val,
-              result->entries.entries_len, result->waiting.waiting_val,
-              result->waiting.waiting_len);
+    apply_gossip(self, result->from.address, result->routes_version,
+                 result->known, result->entries.entries_val,
+                 result->entries.entries_len, result->waiting.waiting_val,
+                 result->waiting.waiting_len);
 }
--- a/daemon/leased_kept.c
+++ b/daemon/leased_kept.c
@@ -6,8 +6,9 @@
 #include "platform/callers.h"
 
 #define TOPIC "levercove.jobs"
-/* With what is written beside it, a body fits one record of the store. */
-#define MOST_BODY 200000U
+/* A body of this size and what is written with it fit one record of the store.
+ */
+#define MAX_BODY_BYTES 200000U
 
 /* ---- the log ---- */
 
@@ -18,7 +19,7 @@
     Kept_Record record = {read->offset, read->key, read->key_length,
                           read->value, read->length};
 
-    Keeper_OnRecord(self->keeper, LeasedEntry_Awake(self), &record);
+    Keeper_OnRecord(self->durable_jobs, LeasedEntry_OnInput(self), &record);
 }
 
 static void
@@ -27,7 +28,7 @@
     Leased_Entry *self = context;
 
     (void)end;
-    Keeper_OnRead(self->keeper, LeasedEntry_Awake(self), asked_ms);
+    Keeper_OnRead(self->durable_jobs, LeasedEntry_OnInput(self), asked_ms);
 }
 
 static void
@@ -35,7 +36,7 @@
 {
     Leased_Entry *self = context;
 
-    Keeper_OnWritten(self->keeper, LeasedEntry_Awake(self), number);
+    Keeper_OnWritten(self->durable_jobs, LeasedEntry_OnInput(self), number);
 }
 
 static void
@@ -52,14 +53,14 @@
     .refused = on_refused,
 };
 
-/* ---- ports of the keeper ---- */
+/* ---- ports of the durable jobs ---- */
 
 static uint64_t
 port_put(void *context, const char *key, const uint8_t *value, size_t length)
 {
     Leased_Entry *self = context;
 
-    return KeyedLog_Put(self->kept_log, key, value, length);
+    return KeyedLog_Put(self->durable_log, key, value, length);
 }
 
 static void
@@ -74,18 +75,18 @@
         return;
     }
     body = Callers_Body(answer);
-    Http_RespondText(self->callers, request, Callers_Status(answer),
+    Http_RespondJson(self->callers, request, Callers_Status(answer),
                      answer->retry_ms, body);
     g_free(body);
 }
 
 static void
-port_tell(void *context, uint64_t request, Keeper_State state)
+port_state(void *context, uint64_t request, Keeper_State state)
 {
     Leased_Entry *self = context;
     char *body = Callers_KeptBody(state);
 
-    Http_RespondText(self->callers, request, Callers_KeptStatus(state), 0,
+    Http_RespondJson(self->callers, request, Callers_KeptStatus(state), 0,
                      body);
     g_free(body);
 }
@@ -95,7 +96,7 @@
 {
     Leased_Entry *self = context;
 
-    Rpc_Call(self->process.rpc, to, call_id | LEASED_KEEPER_CALL, call);
+    Rpc_Call(self->process.rpc, to, call_id | LEASED_DURABLE_CALL_FLAG, call);
 }
 
 static const Route *
@@ -130,13 +131,13 @@
     Event_Log(id, "%s", detail);
 }
 
-static const Keeper_Ports keeper_ports = {
-    port_put,   port_answer, port_tell,  port_call,
+static const Keeper_Ports durable_ports = {
+    port_put,   port_answer, port_state, port_call,
     port_route, port_parse,  port_event,
 };
 
 void
-LeasedKept_Open(Leased_Entry *self, const Options *options)
+LeasedDurable_Open(Leased_Entry *self, const Options *options)
 {
     Keeper_Config config = {.node = Dispatcher_Node(self->dispatcher),
                             .max_jobs = (uint32_t)options->max_jobs,
@@ -144,58 +145,61 @@
                             .keep_ms = options->keep_ms};
     char writer[64];
 
-    self->keeper = Keeper_New(&config, &keeper_ports, self, self->dispatcher,
-                              self->awake_ms);
+    self->durable_jobs = Keeper_New(&config, &durable_ports, self,
+                                    self->dispatcher, self->last_input_ms);
     g_snprintf(writer, sizeof(writer), "%" PRIx64 "-%" PRIx64,
                (uint64_t)config.node.address,
                (uint64_t)config.node.incarnation);
-    self->kept_log = KeyedLog_Open(uv_default_loop(), TOPIC, writer,
-                                   &log_ports, self);
+    self->durable_log = KeyedLog_Open(uv_default_loop(), TOPIC, writer,
+                                      &log_ports, self);
 }
 
 void
-LeasedKept_End(void *context, const lc_run_id *id, uint32_t task, lc_node host,
-               bool done)
+LeasedDurable_OnRunEnd(void *context, const lc_run_id *id, uint32_t task,
+                       lc_node host, bool done)
 {
     Leased_Entry *self = context;
 
-    Keeper_OnRunEnd(self->keeper, id, task, host, done);
+    Keeper_OnRunEnd(self->durable_jobs, id, task, host, done);
 }
 
 void
-LeasedKept_Crash(void *context, const lc_run_id *id, uint32_t task)
+LeasedDurable_OnUpstreamCrash(void *context, const lc_run_id *id,
+                              uint32_t task)
 {
     Leased_Entry *self = context;
 
-    Keeper_OnCrash(self->keeper, id, task);
+    Keeper_OnCrash(self->durable_jobs, id, task);
 }
 
 void
-LeasedKept_Over(void *context, uint64_t job, Dispatcher_Outcome outcome)
+LeasedDurable_OnJobEnd(void *context, uint64_t job, Dispatcher_Outcome outcome)
 {
     Leased_Entry *self = context;
 
-    Keeper_OnJobOver(self->keeper, job, outcome);
+    Keeper_OnJobOver(self->durable_jobs, job, outcome);
 }
 
 /* ---- callers ---- */
 
 void
-LeasedKept_Submit(Leased_Entry *self, int64_t now, const Http_Request *request,
-                  const Dispatcher_Submit *submit)
+LeasedDurable_Submit(Leased_Entry *self, int64_t now,
+                     const Http_Request *request,
+                     const Dispatcher_Submit *submit)
 {
-    Keeper_Submit keep = {.request_id = request->id,
-                          .route = submit->route,
-                          .job = &submit->job};
+    Keeper_Submit durable = {.request_id = request->id,
+                             .route = submit->route,
+                             .job = &submit->job};
     char *body;
 
-    if (request->length > MOST_BODY) {
-        Http_RespondError(self->callers, request->id, ERR_TOO_LARGE,
-                          "a kept job's body is longer than 200000 bytes", 0);
+    if (request->length > MAX_BODY_BYTES) {
+        Http_RespondError(
+            self->callers, request->id, ERR_TOO_LARGE,
+            "the body of a durable job is longer than 200000 bytes", 0);
         return;
     }
     body = g_strndup(request->body, request->length);
-    keep.body = body;
-    Keeper_OnSubmit(self->keeper, now, &keep);
+    durable.body = body;
+    Keeper_OnSubmit(self->durable_jobs, now, &durable);
     g_free(body);
 }
--- a/daemon/leased_registry.c
+++ b/daemon/leased_registry.c
@@ -6,19 +6,19 @@
 static void
 on_read(void *context, const GArray *entries)
 {
-    Leased_Registry *registry = context;
+    Registry_Sync *registry = context;
 
     Registry_OnRead(&registry->state, Process_Now().mono_ms, entries,
                     registry->peers);
-    if (entries != NULL && registry->named != NULL) {
-        registry->named(registry->context);
+    if (entries != NULL && registry->on_entries != NULL) {
+        registry->on_entries(registry->context);
     }
 }
 
 static void
 on_written(void *context, bool confirmed)
 {
-    Leased_Registry *registry = context;
+    Registry_Sync *registry = context;
 
     Registry_OnWritten(&registry->state, Process_Now().mono_ms, confirmed);
 }
@@ -26,8 +26,8 @@
 static const Members_Ports ports = {.read = on_read, .written = on_written};
 
 void
-LeasedRegistry_Open(Leased_Registry *registry, uv_loop_t *loop, Address self,
-                    Address store, const char *hall, Peers *peers)
+RegistrySync_Open(Registry_Sync *registry, uv_loop_t *loop, Address self,
+                  Address store, const char *hall, Peers *peers)
 {
     registry->peers = peers;
     registry->hall = hall;
@@ -39,7 +39,7 @@
 }
 
 void
-LeasedRegistry_Tick(Leased_Registry *registry, int64_t now_ms)
+RegistrySync_Tick(Registry_Sync *registry, int64_t now_ms)
 {
     Address gone = 0;
 
--- a/daemon/leased_registry.h
+++ b/daemon/leased_registry.h
@@ -1,7 +1,7 @@
 /**
  * @file leased_registry.h
- * @brief Carries out what lease/registry.h decides, for entries and
- * companions alike.
+ * @brief Reads and writes the registry of entries in the platform's store, as
+ * Registry_Next decides; for entries and companions alike.
  */
 #ifndef LC_DAEMON_LEASED_REGISTRY_H
 #define LC_DAEMON_LEASED_REGISTRY_H
@@ -9,25 +9,25 @@
 #include "lease/registry.h"
 #include "platform/members.h"
 
-/** A process towards the register of entries. */
+/** A process's access to the registry of entries. */
 typedef struct {
     Registry state;
-    Members *members; /**< NULL: no store is known, seeds alone are used */
+    Members *members; /**< NULL without a store: only seeds are used */
     Peers *peers;
-    const char *hall;             /**< of this process; borrowed for good */
-    void (*named)(void *context); /**< entries were named to the peers */
+    const char *hall; /**< of this process; must outlive the registry */
+    void (*on_entries)(void *context); /**< the list of entries was read;
+                                        may be NULL */
     void *context;
-} Leased_Registry;
+} Registry_Sync;
 
-/** @p self is the entry in @p hall to be registered, or 0 for a process that
- * reads;
- * @p store may be 0. Its few calls go over connections of their own, so that
- * one without an answer leaves those of others as they are. */
-void LeasedRegistry_Open(Leased_Registry *registry, uv_loop_t *loop,
-                         Address self, Address store, const char *hall,
-                         Peers *peers);
+/** Starts access to the registry at @p store; 0 for none. @p self is the entry
+ * to register, which is in @p hall, or 0 for a process that only reads. Its
+ * few requests use connections of their own, so that one without an answer
+ * does not close the connections of other requests. */
+void RegistrySync_Open(Registry_Sync *registry, uv_loop_t *loop, Address self,
+                       Address store, const char *hall, Peers *peers);
 
-/** To be called at every tick. */
-void LeasedRegistry_Tick(Leased_Registry *registry, int64_t now_ms);
+/** Sends what is due; must be called at every tick. */
+void RegistrySync_Tick(Registry_Sync *registry, int64_t now_ms);
 
 #endif
--- a/daemon/leased_routes.c
+++ b/daemon/leased_routes.c
@@ -5,13 +5,13 @@
 #include "lease/store_wait.h"
 #include "platform/routes.h"
 
-/* ---- taking ---- */
+/* ---- applying ---- */
 
-/* Versions alone decide: what is older than the routes in force never returns,
- * whoever tells it. */
+/* The version alone decides, whatever the source: routes that are not newer
+ * than those in force are dropped. */
 static void
-take_record(Leased_Entry *self, const char *record, size_t length,
-            const char *source)
+apply_record(Leased_Entry *self, const char *record, size_t length,
+             const char *source)
 {
     Status status = {ERR_OK, ""};
     Route_Table *table = Routes_Read(record, length, &status);
@@ -26,7 +26,7 @@
     }
     Route_FreeTable(self->routes);
     self->routes = table;
-    self->routes_ms = self->awake_ms;
+    self->routes_applied_ms = self->last_input_ms;
     Event_Log(EVENT_ROUTES, "version %lld from %s, %u queues, %zu bytes",
               (long long)table->version, source, table->routes->len, length);
 }
@@ -44,17 +44,17 @@
 {
     Leased_Entry *self = context;
 
-    LeasedEntry_Awake(self);
-    take_record(self, record, length, "the store");
+    LeasedEntry_OnInput(self);
+    apply_record(self, record, length, "the store");
 }
 
 static void
-on_closures(void *context, int64_t asked_ms, const lc_closures *told)
+on_closures(void *context, int64_t asked_ms, const lc_closures *received)
 {
     Leased_Entry *self = context;
 
-    Dispatcher_TakeClosures(self->dispatcher, LeasedEntry_Awake(self),
-                            asked_ms, told, "the store");
+    Dispatcher_TakeClosures(self->dispatcher, LeasedEntry_OnInput(self),
+                            asked_ms, received, "the store");
 }
 
 static void
@@ -62,7 +62,7 @@
 {
     Leased_Entry *self = context;
 
-    LeasedEntry_Awake(self);
+    LeasedEntry_OnInput(self);
     self->store_answers = answers;
     Event_Log(answers ? EVENT_LOG_UP : EVENT_LOG_DOWN, "store");
 }
@@ -94,7 +94,7 @@
 /* ---- from other entries ---- */
 
 static uint32_t
-store_wait(Leased_Entry *self, int64_t now)
+store_wait_ms(Leased_Entry *self, int64_t now)
 {
     if (StoreWait_IsWatcher(&self->peers, now)) {
         return StoreWait_Watcher();
@@ -108,18 +108,18 @@
     Msg_Call call = {.kind = MSG_ROUTES};
     RoutesFetch_Call wanted;
 
-    Store_SetWait(self->follower, store_wait(self, now));
+    Store_SetWait(self->follower, store_wait_ms(self, now));
     if (!RoutesFetch_Next(&self->fetch, now, LeasedRoutes_Version(self),
                           self->store_answers, &self->peers, &wanted)) {
         return;
     }
     call.u.routes = wanted.args;
-    self->fetch_call = ++self->next_call | LEASED_OWN_CALL;
-    Rpc_Call(self->process.rpc, wanted.to, self->fetch_call, &call);
+    self->routes_fetch_call_id = ++self->last_call_id | LEASED_ENTRY_CALL_FLAG;
+    Rpc_Call(self->process.rpc, wanted.to, self->routes_fetch_call_id, &call);
 }
 
 void
-LeasedRoutes_Answer(Leased_Entry *self, uint64_t reply_id,
+LeasedRoutes_OnCall(Leased_Entry *self, uint64_t reply_id,
                     const lc_routes_args *args)
 {
     Msg_Reply reply = {.kind = MSG_ROUTES};
@@ -141,17 +141,17 @@
 }
 
 bool
-LeasedRoutes_TakeReply(Leased_Entry *self, int64_t now, uint64_t call_id,
-                       const Msg_Reply *reply)
+LeasedRoutes_OnReply(Leased_Entry *self, int64_t now, uint64_t call_id,
+                     const Msg_Reply *reply)
 {
     RoutesFetch_Step step;
 
-    if (call_id != self->fetch_call) {
+    if (call_id != self->routes_fetch_call_id) {
         return false;
     }
-    self->fetch_call = 0;
+    self->routes_fetch_call_id = 0;
     if (!self->fetch.asking) {
-        return true; /* the store has given them meanwhile */
+        return true; /* they have come from the store meanwhile */
     }
     if (reply == NULL) {
         RoutesFetch_Fail(&self->fetch);
@@ -159,8 +159,8 @@
     }
     step = RoutesFetch_Take(&self->fetch, &reply->u.routes);
     if (step == ROUTES_FETCH_WHOLE) {
-        take_record(self, (const char *)self->fetch.bytes->data,
-                    self->fetch.bytes->len, Address_Text(self->fetch.from));
+        apply_record(self, (const char *)self->fetch.bytes->data,
+                     self->fetch.bytes->len, Address_Text(self->fetch.from));
     }
     if (step != ROUTES_FETCH_FAILED) {
         LeasedRoutes_Tick(self, now);
--- a/daemon/leased_store.c
+++ b/daemon/leased_store.c
@@ -2,69 +2,71 @@
 
 #include "platform/store.h"
 
-/* After a call that failed others are asked to call the store, until it has
- * answered a probe; one is sent so often. */
-#define PROBE_MS 500
-/* Doubled up to the most with each failure so soon behind a probe that went
- * well: a store of which some connections are silent answers probes, and calls
- * over the others would be waited for in vain again and again (a gap of 2.3 s
- * in which jobs that must be kept were refused). */
+/* After a failed request to the store, requests are relayed through other
+ * entries until the store has answered a probe; this is the probe interval. */
+#define PROBE_INTERVAL_MS 500
+/* The interval doubles, up to its maximum, with each failure that comes this
+ * soon after a successful probe: a store of which some connections are silent
+ * answers probes, and requests over the silent ones would time out again and
+ * again (durable jobs were refused for 2.3 s that way). */
 #define RELAPSE_MS 10000
-#define PROBE_MOST_MS 8000
-#define PROBE_GIVE_UP_MS 400
-/* The other entry may need so much longer than the store. */
-#define GRACE_MS 200
-/* Of the time for the rest of an answer, so much is waited for another entry:
- * nothing tells here whether bytes come. A page of 1 MB comes in time over a
- * line of 5 Mbit/s. */
-#define TRANSFER_MOST_MS 1600
-#define BUSY_STATUS 503
-#define MANY_STATUS 429
-
-/* A request that another entry passes on. */
+#define PROBE_MAX_MS 8000
+#define PROBE_TIMEOUT_MS 400
+/* Time that the other entry may take in addition to the store's. */
+#define RELAY_GRACE_MS 200
+/* Of the time for the rest of an answer (transfer_ms), at most this much is
+ * allowed to a relayed request, as its progress cannot be seen here. A page
+ * of 1 MB arrives in time over a link of 5 Mbit/s. */
+#define RELAY_TRANSFER_MAX_MS 1600
+#define STATUS_UNAVAILABLE 503
+#define STATUS_TOO_MANY_REQUESTS 429
+
+/* A request that another entry relays. */
 typedef struct {
     Http_ClientDone done;
     void *done_context;
-    int64_t until_ms;
-} Leased_Relay;
+    int64_t deadline_ms;
+} relayed_call;
 
-/* A request on its way to the store itself. */
+/* A request that was sent to the store itself. */
 typedef struct {
     Leased_Entry *self;
-    Http_ClientDone done; /* NULL: it is passed on for another entry */
+    Http_ClientDone done; /* NULL: it is relayed for another entry */
     void *done_context;
     uint64_t reply_id;
-} store_call;
+} store_request;
 
 static bool
-is_turned_away(const Http_ClientAnswer *answer)
+is_unavailable(const Http_ClientAnswer *answer)
 {
     return answer->end != HTTP_CLIENT_ANSWERED ||
-           answer->status == BUSY_STATUS || answer->status == MANY_STATUS;
+           answer->status == STATUS_UNAVAILABLE ||
+           answer->status == STATUS_TOO_MANY_REQUESTS;
 }
 
 static void
-note_away(Leased_Entry *self)
+mark_unreachable(Leased_Entry *self)
 {
     int64_t now = Process_Now().mono_ms;
-    bool relapse = now - self->store_back_ms < RELAPSE_MS;
-
-    if (!self->store_away) {
-        self->probe_pause_ms =
-            relapse ? MIN(2 * self->probe_pause_ms, PROBE_MOST_MS) : PROBE_MS;
-        self->store_probed_ms = now;
-        self->store_away = true;
+    bool relapse = now - self->store_recovered_ms < RELAPSE_MS;
+
+    if (!self->store_unreachable) {
+        self->probe_interval_ms = relapse ? MIN(2 * self->probe_interval_ms,
+                                                PROBE_MAX_MS)
+                                          : PROBE_INTERVAL_MS;
+        self->last_probe_ms = now;
+        self->store_unreachable = true;
     }
 }
 
 static void
 on_direct(void *context, const Http_ClientAnswer *answer)
 {
-    store_call *call = context;
+    store_request *call = context;
     Leased_Entry *self = call->self;
 
-    if (is_turned_away(answer)) {
-        note_away(self);
+    if (is_unavailable(answer)) {
+        mark_unreachable(self);
     }
     call->done(call->done_context, answer);
     g_free(call);
@@ -74,7 +76,7 @@
 send_direct(Leased_Entry *self, const Http_ClientRequest *request,
             Http_ClientDone done, void *done_context)
 {
-    store_call *call = g_new0(store_call, 1);
+    store_request *call = g_new0(store_request, 1);
     Http_ClientRequest direct = *request;
 
     call->self = self;
@@ -85,20 +87,21 @@
 }
 
 static void
-send_by_peer(Leased_Entry *self, Address peer,
-             const Http_ClientRequest *request, Http_ClientDone done,
-             void *done_context)
+send_through_peer(Leased_Entry *self, Address peer,
+                  const Http_ClientRequest *request, Http_ClientDone done,
+                  void *done_context)
 {
-    uint64_t call_id = ++self->next_call | LEASED_OWN_CALL;
-    Leased_Relay *relay = g_new0(Leased_Relay, 1);
+    uint64_t call_id = ++self->last_call_id | LEASED_ENTRY_CALL_FLAG;
+    relayed_call *relay = g_new0(relayed_call, 1);
     Msg_Call call = {.kind = MSG_STORE};
 
     relay->done = done;
     relay->done_context = done_context;
-    relay->until_ms = self->awake_ms + request->timeout_ms +
-                      MIN(request->transfer_ms, TRANSFER_MOST_MS) + GRACE_MS;
-    g_hash_table_insert(self->relayed, g_memdup2(&call_id, sizeof(call_id)),
-                        relay);
+    relay->deadline_ms = self->last_input_ms + request->timeout_ms +
+                         MIN(request->transfer_ms, RELAY_TRANSFER_MAX_MS) +
+                         RELAY_GRACE_MS;
+    g_hash_table_insert(self->relayed_calls,
+                        g_memdup2(&call_id, sizeof(call_id)), relay);
     call.u.store.method = (char *)(uintptr_t)request->method;
     call.u.store.path = (char *)(uintptr_t)request->path;
     call.u.store.body.body_val = (char *)(uintptr_t)request->body;
@@ -113,28 +116,28 @@
                  Http_ClientDone done, void *done_context)
 {
     Leased_Entry *self = context;
-    Address peer = Keeper_SomePeer(self->keeper, Process_Now().mono_ms);
+    Address peer = Keeper_SomePeer(self->durable_jobs, Process_Now().mono_ms);
 
-    if (self->store_away && peer != 0) {
-        send_by_peer(self, peer, request, done, done_context);
+    if (self->store_unreachable && peer != 0) {
+        send_through_peer(self, peer, request, done, done_context);
         return;
     }
     send_direct(self, request, done, done_context);
 }
 
 bool
-LeasedStore_TakeReply(Leased_Entry *self, uint64_t call_id,
-                      const Msg_Reply *reply)
+LeasedStore_OnReply(Leased_Entry *self, uint64_t call_id,
+                    const Msg_Reply *reply)
 {
-    Leased_Relay *found = g_hash_table_lookup(self->relayed, &call_id);
+    relayed_call *pending = g_hash_table_lookup(self->relayed_calls, &call_id);
     Http_ClientAnswer answer = {.end = HTTP_CLIENT_BROKEN};
-    Leased_Relay relay;
+    relayed_call relay;
 
-    if (found == NULL) {
+    if (pending == NULL) {
         return false;
     }
-    relay = *found;
-    g_hash_table_remove(self->relayed, &call_id);
+    relay = *pending;
+    g_hash_table_remove(self->relayed_calls, &call_id);
     if (reply != NULL && reply->u.store.answered) {
         answer.end = HTTP_CLIENT_ANSWERED;
         answer.status = (int)reply->u.store.status;
@@ -150,9 +153,9 @@
 {
     Leased_Entry *self = context;
 
-    if (self->store_away && !is_turned_away(answer)) {
-        self->store_away = false;
-        self->store_back_ms = Process_Now().mono_ms;
+    if (self->store_unreachable && !is_unavailable(answer)) {
+        self->store_unreachable = false;
+        self->store_recovered_ms = Process_Now().mono_ms;
     }
 }
 
@@ -162,11 +165,11 @@
     Http_ClientRequest request = {.to = self->process.options->store,
                                   .method = "GET",
                                   .path = store_probe_path,
-                                  .timeout_ms = PROBE_GIVE_UP_MS};
+                                  .timeout_ms = PROBE_TIMEOUT_MS};
 
-    if (self->store_away &&
-        now - self->store_probed_ms >= self->probe_pause_ms) {
-        self->store_probed_ms = now;
+    if (self->store_unreachable &&
+        now - self->last_probe_ms >= self->probe_interval_ms) {
+        self->last_probe_ms = now;
         Http_Send(self->http, &request, on_probe, self);
     }
 }
@@ -174,29 +177,29 @@
 void
 LeasedStore_Tick(Leased_Entry *self, int64_t now)
 {
-    GArray *late = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    GArray *expired = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     GHashTableIter iter;
     gpointer key;
     gpointer item;
     guint i;
 
-    g_hash_table_iter_init(&iter, self->relayed);
+    g_hash_table_iter_init(&iter, self->relayed_calls);
     while (g_hash_table_iter_next(&iter, &key, &item)) {
-        if (now >= ((const Leased_Relay *)item)->until_ms) {
-            g_array_append_val(late, *(uint64_t *)key);
+        if (now >= ((const relayed_call *)item)->deadline_ms) {
+            g_array_append_val(expired, *(uint64_t *)key);
         }
     }
-    for (i = 0; i < late->len; i++) {
-        LeasedStore_TakeReply(self, g_array_index(late, uint64_t, i), NULL);
+    for (i = 0; i < expired->len; i++) {
+        LeasedStore_OnReply(self, g_array_index(expired, uint64_t, i), NULL);
     }
-    g_array_unref(late);
+    g_array_unref(expired);
     probe(self, now);
 }
 
 static void
-on_passed_on(void *context, const Http_ClientAnswer *answer)
+on_relayed(void *context, const Http_ClientAnswer *answer)
 {
-    store_call *call = context;
+    store_request *call = context;
     Msg_Reply reply = {.kind = MSG_STORE};
 
     reply.u.store.answered = answer->end == HTTP_CLIENT_ANSWERED &&
@@ -211,10 +214,10 @@
 }
 
 void
-LeasedStore_AnswerCall(Leased_Entry *self, uint64_t reply_id,
-                       const lc_store_args *args)
+LeasedStore_OnCall(Leased_Entry *self, uint64_t reply_id,
+                   const lc_store_args *args)
 {
-    store_call *call = g_new0(store_call, 1);
+    store_request *call = g_new0(store_request, 1);
     Http_ClientRequest request = {.to = self->process.options->store,
                                   .method = args->method,
                                   .path = args->path,
@@ -225,5 +228,5 @@
 
     call->self = self;
     call->reply_id = reply_id;
-    Http_Send(self->http, &request, on_passed_on, call);
+    Http_Send(self->http, &request, on_relayed, call);
 }
--- a/daemon/main.c
+++ b/daemon/main.c
@@ -1,4 +1,4 @@
-/* levercoved: one process of the system, in the role its settings give. */
+/* levercoved: runs an entry or a companion, as its settings file says. */
 
 #include <glib.h>
 #include <signal.h>
@@ -50,9 +50,9 @@
         bool leased;
         int (*run)(const Options *options);
     } roles[] = {
-        {"entry", false, EntryProcess_Run},
+        {"entry", false, OwnedEntry_Run},
         {"entry", true, LeasedEntry_Run},
-        {"companion", false, CompanionProcess_Run},
+        {"companion", false, OwnedCompanion_Run},
         {"companion", true, LeasedCompanion_Run},
     };
     size_t i;
@@ -94,7 +94,8 @@
     int code;
 
     signal(SIGPIPE, SIG_IGN);
-    /* Until the loop has a handler of its own; the default ends us. */
+    /* Until the loop has its own handler: the default action ends the process.
+     */
     signal(SIGHUP, SIG_IGN);
     Event_UseStdout(NULL);
     code = parse_arguments(&argc, &argv);
--- a/daemon/options.c
+++ b/daemon/options.c
@@ -6,8 +6,8 @@
 #include "wire/levercove.h"
 
 #define DAY_MS 86400000
-#define MOST_MBPS 1000000
-#define MOST_BYTES (4LL * 1024 * 1024 * 1024)
+#define MAX_LINK_MBPS 1000000
+#define MAX_LIMIT_BYTES (4LL * 1024 * 1024 * 1024)
 
 #define ADDRESS(name, required)                                               \
     {                                                                         \
@@ -24,15 +24,15 @@
         (name), SETTING_GROUP, 0, 0, 0, 0, NULL                               \
     }
 /* NOLINTBEGIN(bugprone-macro-parentheses): the literals are joined. */
-#define INTEGER(group, name, least, most)                                     \
+#define INTEGER(group, name, min, max)                                        \
     {                                                                         \
-        group #name, SETTING_INTEGER, offsetof(Options, name), 0, (least),    \
-            (most), NULL                                                      \
+        group #name, SETTING_INTEGER, offsetof(Options, name), 0, (min),      \
+            (max), NULL                                                       \
     }
-#define NUMBER(group, name, least, most)                                      \
+#define NUMBER(group, name, min, max)                                         \
     {                                                                         \
-        group #name, SETTING_NUMBER, offsetof(Options, name), 0, (least),     \
-            (most), NULL                                                      \
+        group #name, SETTING_NUMBER, offsetof(Options, name), 0, (min),       \
+            (max), NULL                                                       \
     }
 /* NOLINTEND(bugprone-macro-parentheses) */
 
@@ -79,12 +79,12 @@
     INTEGER("times.", grace_ms, 500, 600000),
     GROUP("limits"),
     INTEGER("limits.", snapshot_records, 1, 1000000),
-    /* A SETTLE names all keys an entry holds in one message. */
+    /* One SETTLE message lists all keys that an entry holds. */
     INTEGER("limits.", max_jobs, 1, LC_MAX_KEYS),
-    NUMBER("limits.", link_mbps, 0, MOST_MBPS),
-    INTEGER("limits.", max_answer_bytes, 0, MOST_BYTES),
+    NUMBER("limits.", link_mbps, 0, MAX_LINK_MBPS),
+    INTEGER("limits.", max_answer_bytes, 0, MAX_LIMIT_BYTES),
     INTEGER("limits.", max_records, 1, 100000000),
-    INTEGER("limits.", max_result_bytes, 0, MOST_BYTES),
+    INTEGER("limits.", max_result_bytes, 0, MAX_LIMIT_BYTES),
     {NULL, SETTING_GROUP, 0, 0, 0, 0, NULL},
 };
 
@@ -126,8 +126,8 @@
 }
 
 static void
-require(GString *errors, const char *file, const char *role, const char *name,
-        Address address)
+require_address(GString *errors, const char *file, const char *role,
+                const char *name, Address address)
 {
     if (address == 0) {
         g_string_append_printf(errors, "%s: %s: missing, role %s needs it\n",
@@ -139,13 +139,14 @@
 check_leased(const Options *options, const char *file, GString *errors)
 {
     if (strcmp(options->role, "entry") == 0) {
-        require(errors, file, "entry", "callers", options->callers);
-        require(errors, file, "entry", "ready", options->ready);
-        require(errors, file, "entry", "store", options->store);
+        require_address(errors, file, "entry", "callers", options->callers);
+        require_address(errors, file, "entry", "ready", options->ready);
+        require_address(errors, file, "entry", "store", options->store);
     }
     else if (strcmp(options->role, "companion") == 0) {
-        require(errors, file, "companion", "upstream", options->upstream);
-        require(errors, file, "companion", "beats", options->beats);
+        require_address(errors, file, "companion", "upstream",
+                        options->upstream);
+        require_address(errors, file, "companion", "beats", options->beats);
     }
 }
 
@@ -157,12 +158,13 @@
         return;
     }
     if (strcmp(options->role, "entry") == 0) {
-        require(errors, file, "entry", "callers", options->callers);
-        require(errors, file, "entry", "log", options->log);
-        require(errors, file, "entry", "hosts", options->hosts);
+        require_address(errors, file, "entry", "callers", options->callers);
+        require_address(errors, file, "entry", "log", options->log);
+        require_address(errors, file, "entry", "hosts", options->hosts);
     }
     else if (strcmp(options->role, "companion") == 0) {
-        require(errors, file, "companion", "upstream", options->upstream);
+        require_address(errors, file, "companion", "upstream",
+                        options->upstream);
     }
     if (options->suspect_ms < 2 * options->ping_entry_ms) {
         g_string_append_printf(errors,
@@ -181,15 +183,15 @@
 Err_Kind
 Options_Load(const char *file, Options *options, char **errors)
 {
-    GString *all;
-    char *form;
+    GString *all_errors;
+    char *format_errors;
 
     set_defaults(options);
     options->file = file;
-    Settings_Load(file, option_table, options, &form);
-    all = g_string_new(form);
-    g_free(form);
-    check_role(options, file, all);
-    *errors = g_string_free(all, FALSE);
+    Settings_Load(file, option_table, options, &format_errors);
+    all_errors = g_string_new(format_errors);
+    g_free(format_errors);
+    check_role(options, file, all_errors);
+    *errors = g_string_free(all_errors, FALSE);
     return (*errors)[0] == '\0' ? ERR_OK : ERR_BAD_SETTINGS;
 }
--- a/daemon/process.c
+++ b/daemon/process.c
@@ -8,7 +8,8 @@
 
 #include "base/clock.h"
 
-/* A drained process stays this long for answers on their way out. */
+/* A drained process keeps running this long, so that answers that have been
+ * written still reach their callers. */
 #define LINGER_MS 300
 #define NS_PER_MS 1000000
 #define US_PER_S 1000000
@@ -73,7 +74,7 @@
 }
 
 void
-Process_PortFields(void *process, Event_Id id, json_t *fields)
+Process_PortEventFields(void *process, Event_Id id, json_t *fields)
 {
     (void)process;
     Event_Write(id, fields);
@@ -168,7 +169,8 @@
 {
     int64_t now_ms = Process_Now().mono_ms;
 
-    if (process->end_by_ms != 0 && now_ms >= process->end_by_ms) {
+    if (process->stop_deadline_ms != 0 &&
+        now_ms >= process->stop_deadline_ms) {
         stop(process);
         return;
     }
@@ -201,7 +203,7 @@
 
     if (process->stopping) {
         Event_Log(EVENT_STOP_FORCED, "signal %d", number);
-        process->exit_code = PROCESS_FORCED;
+        process->exit_code = PROCESS_EXIT_FORCED;
         uv_stop(process->loop);
         return;
     }
@@ -209,7 +211,7 @@
     process->role->drain(process);
 }
 
-/* Settings that may change are read again by themselves. */
+/* Nothing to do but log: settings that may change are re-read periodically. */
 static void
 on_hangup(uv_signal_t *handle, int number)
 {
--- a/daemon/seeds.c
+++ b/daemon/seeds.c
@@ -2,7 +2,7 @@
 
 #include <glib.h>
 
-#define READ_EVERY_MS 2000
+#define REREAD_INTERVAL_MS 2000
 #define PORT_MASK 0xFFFFU
 
 void
@@ -12,7 +12,7 @@
     seeds->read_ms = INT64_MIN / 2;
 }
 
-/* Peers listen on the same port on every host. */
+/* Peers listen on the same port on every host: that of this process. */
 static Address
 peer_at(Address seed, Address own)
 {
@@ -20,7 +20,7 @@
 }
 
 static void
-use(Peers *peers, const Options *options, int64_t now_ms)
+apply_seeds(Peers *peers, const Options *options, int64_t now_ms)
 {
     Address list[SETTING_MAX_ADDRESSES];
     uint32_t i;
@@ -37,12 +37,12 @@
     Options fresh;
     char *errors = NULL;
 
-    if (now_ms - seeds->read_ms < READ_EVERY_MS) {
+    if (now_ms - seeds->read_ms < REREAD_INTERVAL_MS) {
         return;
     }
     seeds->read_ms = now_ms;
     if (Options_Load(seeds->options->file, &fresh, &errors) == ERR_OK) {
-        use(peers, &fresh, now_ms);
+        apply_seeds(peers, &fresh, now_ms);
     }
     g_free(errors);
 }
--- a/daemon/table_api.c
+++ b/daemon/table_api.c
@@ -63,7 +63,8 @@
     respond_json(server, request->id, body, row->version);
 }
 
-/* Version an edit is based on: If-Match, or none for a new row. */
+/* Reads the version that an edit is based on: that of If-Match, or of the
+ * tombstone (0 if there is none) for a new row. */
 static Err_Kind
 read_base(Entry *entry, const Http_Request *request, uint64_t *base,
           Status *status)
@@ -77,7 +78,7 @@
             return Err_Set(status, ERR_NEED_MATCH,
                            "the group exists: send its ETag as If-Match");
         }
-        /* A new row follows the tombstone, if there is one. */
+        /* A new row succeeds the tombstone, if there is one. */
         *base = Table_Version(table, request->rest);
         return ERR_OK;
     }
--- a/daemon/table_api.h
+++ b/daemon/table_api.h
@@ -1,7 +1,8 @@
 /**
  * @file table_api.h
- * @brief The operators' interface to the table: `GET /v1/table`,
- * `GET`, `PUT` and `DELETE /v1/table/groups/{name}` with ETag and If-Match.
+ * @brief The operators' HTTP interface to the table of groups:
+ * `GET /v1/table`, and `GET`, `PUT` and `DELETE /v1/table/groups/{name}` with
+ * ETag and If-Match.
  */
 #ifndef LC_DAEMON_TABLE_API_H
 #define LC_DAEMON_TABLE_API_H
@@ -9,15 +10,15 @@
 #include "core/entry.h"
 #include "daemon/http_server.h"
 
-/** Whole table as JSON. */
+/** Serves the whole table as JSON. */
 void TableApi_ServeAll(Http_Server *server, Entry *entry,
                        const Http_Request *request);
 
-/** One row. Edits are answered later, through TableApi_Edited. */
+/** Serves one row. Edits are answered later, through TableApi_Edited. */
 void TableApi_ServeRow(Http_Server *server, Entry *entry, Node_Time now,
                        const Http_Request *request);
 
-/** Ends an edit. */
+/** Answers an edit with its result: an error, or the row's new version. */
 void TableApi_Edited(Http_Server *server, uint64_t request,
                      const Status *status, uint64_t version);
 
