--- a/tests/standin_platform.c
+++ b/tests/standin_platform.c
@@ -1,9 +1,9 @@
 /*
- * Stand-in for the platform: the log service and the host list in one
- * process, with faults on request.
+ * Stand-in for the platform: serves the log service and the host list, and
+ * injects faults on request.
  *
  * POST /control takes {"log": "up" or "down", "lose_confirmations": N,
- * "expire_before": OFFSET}; PUT /hosts replaces the list.
+ * "expire_before": OFFSET}; PUT /hosts replaces the host list.
  */
 
 #include <glib.h>
@@ -17,7 +17,7 @@
 
 typedef struct {
     Http_Server *server;
-    GPtrArray *records; /* texts; offset = place + 1 */
+    GPtrArray *records; /* texts; offset = index + 1 */
     uint64_t first;
     bool down;
     json_int_t lose_confirmations;
@@ -128,14 +128,14 @@
     platform *self = context;
     json_t *body = json_loadb(request->body, request->length, 0, NULL);
     const char *log = json_string_value(json_object_get(body, "log"));
-    const json_t *lose = json_object_get(body, "lose_confirmations");
+    const json_t *to_lose = json_object_get(body, "lose_confirmations");
     const json_t *expire = json_object_get(body, "expire_before");
 
     if (log != NULL) {
         self->down = strcmp(log, "down") == 0;
     }
-    if (lose != NULL) {
-        self->lose_confirmations = json_integer_value(lose);
+    if (to_lose != NULL) {
+        self->lose_confirmations = json_integer_value(to_lose);
     }
     if (expire != NULL) {
         self->first = (uint64_t)json_integer_value(expire);
--- a/tests/standin_ports.c
+++ b/tests/standin_ports.c
@@ -1,4 +1,4 @@
-/* Prints N TCP ports that were free on loopback a moment ago. */
+/* Prints N distinct TCP ports that are free on loopback at the time. */
 
 #include <arpa/inet.h>
 #include <stdio.h>
@@ -26,7 +26,8 @@
             return 1;
         }
         printf("%d\n", ntohs(local.sin_port));
-        /* Kept open until the end, so that no port is printed twice. */
+        /* The socket stays open until exit, so that no port is printed twice.
+         */
     }
     return 0;
 }
--- a/tests/standin_upstream.c
+++ b/tests/standin_upstream.c
@@ -1,9 +1,10 @@
 /*
- * Stand-in for an upstream: POST /run takes a payload {"ms": N, "status":
- * N, "echo": "..."}, waits that long and answers; GET /starts tells every
- * start it has seen, as lines "KEY INDEX". It refuses more than its slots
- * at once with status 599 and counts that at GET /excess; GET /usage tells the
- * slot time of ended tasks by group.
+ * Stand-in for an upstream. POST /run takes a payload {"ms": N, "status": N,
+ * "echo": "..."}, waits for that many ms and answers with that status and
+ * text; tasks beyond its slots are refused with status 599. GET /starts lists
+ * all starts received, refused ones too, as lines "KEY INDEX"; GET /excess
+ * returns the number of refused tasks; GET /usage lists the slot time in ms of
+ * ended tasks by group.
  */
 
 #include <glib.h>
@@ -103,7 +104,7 @@
                            request->levercove_index);
     if (self->running >= self->slots) {
         self->excess++;
-        respond_text(self, request, 599, "more than my slots");
+        respond_text(self, request, 599, "more tasks than slots");
     }
     else {
         start_task(self, request, payload);
--- a/tests/suspended_clock.c
+++ b/tests/suspended_clock.c
@@ -1,8 +1,8 @@
 /*
- * Preloaded into a program under test: plays a machine that was suspended.
- * The steady clock of the process stands still by as many ms as the file
- * SUSPENDED/PID holds (a decimal number); the clock that counts suspended time
- * and the time of day go on.
+ * Preloaded into a program under test (LD_PRELOAD): simulates a machine that
+ * was suspended. CLOCK_MONOTONIC lags by the number of ms in the file
+ * $SUSPENDED/PID (a decimal number); CLOCK_BOOTTIME, which counts suspended
+ * time, and CLOCK_REALTIME are not changed.
  */
 #include <dlfcn.h>
 #include <stdio.h>
@@ -18,47 +18,47 @@
 typedef int (*clock_function)(clockid_t id, struct timespec *now);
 
 static long
-lost_ms(void)
+lag_ms(void)
 {
-    const char *folder = getenv("SUSPENDED");
+    const char *directory = getenv("SUSPENDED");
     char path[256];
-    long lost = 0;
+    long lag = 0;
     FILE *file;
 
-    if (folder == NULL) {
+    if (directory == NULL) {
         return 0;
     }
-    snprintf(path, sizeof(path), "%s/%ld", folder, (long)getpid());
+    snprintf(path, sizeof(path), "%s/%ld", directory, (long)getpid());
     file = fopen(path, "r");
     if (file == NULL) {
         return 0;
     }
-    if (fscanf(file, "%ld", &lost) != 1) {
-        lost = 0;
+    if (fscanf(file, "%ld", &lag) != 1) {
+        lag = 0;
     }
     fclose(file);
-    return lost;
+    return lag;
 }
 
 int
 clock_gettime(clockid_t clock_id, struct timespec *tp)
 {
-    static clock_function real;
+    static clock_function real_clock_gettime;
     int result;
-    long lost;
+    long lag;
 
-    if (real == NULL) {
+    if (real_clock_gettime == NULL) {
         void *symbol = dlsym(RTLD_NEXT, "clock_gettime");
-        memcpy(&real, &symbol, sizeof(real));
+        memcpy(&real_clock_gettime, &symbol, sizeof(real_clock_gettime));
     }
-    result = real(clock_id, tp);
+    result = real_clock_gettime(clock_id, tp);
     if (result != 0 ||
         (clock_id != CLOCK_MONOTONIC && clock_id != CLOCK_MONOTONIC_COARSE)) {
         return result;
     }
-    lost = lost_ms();
-    tp->tv_sec -= lost / MS_PER_S;
-    tp->tv_nsec -= lost % MS_PER_S * NS_PER_MS;
+    lag = lag_ms();
+    tp->tv_sec -= lag / MS_PER_S;
+    tp->tv_nsec -= lag % MS_PER_S * NS_PER_MS;
     if (tp->tv_nsec < 0) {
         tp->tv_nsec += NS_PER_S;
         tp->tv_sec--;
