--- a/core/admission.c
+++ b/core/admission.c
@@ -9,7 +9,7 @@
 #include "core/ownership.h"
 
 #define MINT_TRIES 64
-#define SOON_MS 500
+#define RETRY_MS 500
 #define MS_PER_S 1000.0
 
 static void
@@ -54,14 +54,14 @@
     return true;
 }
 
-/* Work in front of a new job of the group, by the rate of the last while. */
+/* Time to work off the group's queue at the recent rate of task ends. */
 static int64_t
 expected_wait_ms(const Board *board, const Group *group)
 {
-    if (board->done_rate < 1.0) {
+    if (board->tasks_ended_per_s < 1.0) {
         return 0;
     }
-    return (int64_t)(group->waiting / board->done_rate * MS_PER_S);
+    return (int64_t)(group->waiting / board->tasks_ended_per_s * MS_PER_S);
 }
 
 static bool
@@ -82,13 +82,13 @@
     if (group->queue->len >= Limits_MaxQueued(board, spec->group)) {
         Outcome_Refuse(board, waiter, &spec->key, ERR_QUEUE_FULL,
                        "the group's queue is full",
-                       wait_ms > SOON_MS ? wait_ms : SOON_MS);
+                       wait_ms > RETRY_MS ? wait_ms : RETRY_MS);
         return false;
     }
     if (row->max_wait_ms > 0 && wait_ms > row->max_wait_ms) {
         Outcome_Refuse(board, waiter, &spec->key, ERR_WAIT_TOO_LONG,
                        "the group's queue is longer than its max_wait_ms",
-                       wait_ms - row->max_wait_ms + SOON_MS);
+                       wait_ms - row->max_wait_ms + RETRY_MS);
         return false;
     }
     return true;
@@ -126,9 +126,10 @@
     Job *job;
 
     if (!Ownership_HasEvidence(board)) {
-        Outcome_Refuse(board, waiter, &spec->key, ERR_NO_EVIDENCE,
-                       "this entry cannot tell whether it is in the view",
-                       SOON_MS);
+        Outcome_Refuse(
+            board, waiter, &spec->key, ERR_NO_EVIDENCE,
+            "this entry has no current evidence that it is in the view",
+            RETRY_MS);
         return;
     }
     if (!has_room(board, waiter, spec)) {
@@ -149,17 +150,18 @@
     Dispatch_Run(board);
 }
 
-/* Goes on with a job whose entry is gone, from what companions told. */
+/* Continues a job of a gone entry from what companions have reported. */
 static void
-resume(Board *board, Job *job, const Job_Waiter *waiter,
-       const Admission_Spec *spec)
+resume_recovered(Board *board, Job *job, const Job_Waiter *waiter,
+                 const Admission_Spec *spec)
 {
     uint32_t i;
 
     if (!Ownership_HasEvidence(board)) {
-        Outcome_Refuse(board, waiter, &spec->key, ERR_NO_EVIDENCE,
-                       "this entry cannot tell whether it is in the view",
-                       SOON_MS);
+        Outcome_Refuse(
+            board, waiter, &spec->key, ERR_NO_EVIDENCE,
+            "this entry has no current evidence that it is in the view",
+            RETRY_MS);
         return;
     }
     Ledger_Reopen(board->ledger, job);
@@ -167,13 +169,13 @@
     activate(board, job, spec, waiter);
     for (i = 0; i < job->total; i++) {
         if (job->tasks[i].state == TASK_SENT) {
-            Dispatch_Follow(board, job, i);
+            Dispatch_AdoptTask(board, job, i);
         }
     }
     Dispatch_Run(board);
 }
 
-/* Another entry may own the key by now and have gone on with the job. */
+/* Another entry may own the key by now and have continued the job. */
 static void
 resume_if_owner(Board *board, Job *job, const Job_Waiter *waiter,
                 const Admission_Spec *spec)
@@ -182,11 +184,12 @@
     Own_Verdict verdict = Ownership_Judge(board, &spec->key, &owner);
 
     if (verdict == OWN_CLEAN || verdict == OWN_UNSURE) {
-        resume(board, job, waiter, spec);
+        resume_recovered(board, job, waiter, spec);
         return;
     }
     Outcome_Refuse(board, waiter, &spec->key, ERR_UNSETTLED,
-                   "the key's range is being taken over", SOON_MS);
+                   "ownership of the key's range is being transferred",
+                   RETRY_MS);
 }
 
 static bool
@@ -196,7 +199,7 @@
            (job->total == spec->count && strcmp(job->group, spec->group) == 0);
 }
 
-/* The key is in the ledger. */
+/* A request for a key that is in the ledger. */
 static void
 attach(Board *board, Job *job, const Job_Waiter *waiter,
        const Admission_Spec *spec)
@@ -206,8 +209,10 @@
         return;
     }
     if (!is_same_job(job, spec)) {
-        Outcome_Refuse(board, waiter, &spec->key, ERR_KEY_REUSED,
-                       "the key belongs to a job of another form", 0);
+        Outcome_Refuse(
+            board, waiter, &spec->key, ERR_KEY_REUSED,
+            "the key belongs to a job with another group or number of tasks",
+            0);
         return;
     }
     Counter_Add(&board->counters, COUNTER_JOBS_ATTACHED, 1);
@@ -215,9 +220,10 @@
         Outcome_Running(board, waiter, &spec->key);
     }
     else if (job->state == JOB_RECOVERED && spec->look) {
-        Outcome_Refuse(board, waiter, &spec->key, ERR_OWNER_LOST,
-                       "the job's entry was lost; send the job again",
-                       SOON_MS);
+        Outcome_Refuse(
+            board, waiter, &spec->key, ERR_OWNER_LOST,
+            "the entry that ran the job was lost; submit the job again",
+            RETRY_MS);
     }
     else if (job->state == JOB_RECOVERED) {
         resume_if_owner(board, job, waiter, spec);
@@ -234,27 +240,29 @@
 
     if (job == NULL) {
         Outcome_Refuse(board, waiter, key, ERR_LOST,
-                       "it may have run where nobody can tell", 0);
+                       "the job may have run, and its outcome is lost", 0);
         return;
     }
     Job_AddWaiter(job, waiter);
     Outcome_Fail(board, job, ERR_LOST,
-                 "it may have run where nobody can tell");
+                 "the job may have run, and its outcome is lost");
 }
 
-/* The key is not in the ledger and the verdict says it is ours. */
+/* A request for a key that is not in the ledger and that this entry owns. */
 static void
-take_new(Board *board, const Job_Waiter *waiter, const Admission_Spec *spec,
-         Own_Verdict verdict)
+handle_new_key(Board *board, const Job_Waiter *waiter,
+               const Admission_Spec *spec, Own_Verdict verdict)
 {
     if (verdict == OWN_UNSETTLED) {
         Outcome_Refuse(board, waiter, &spec->key, ERR_UNSETTLED,
-                       "the key's range is being taken over", SOON_MS);
+                       "ownership of the key's range is being transferred",
+                       RETRY_MS);
     }
     else if (verdict == OWN_UNSURE && !Ownership_HasEvidence(board)) {
-        Outcome_Refuse(board, waiter, &spec->key, ERR_NO_EVIDENCE,
-                       "this entry cannot tell whether it is in the view",
-                       SOON_MS);
+        Outcome_Refuse(
+            board, waiter, &spec->key, ERR_NO_EVIDENCE,
+            "this entry has no current evidence that it is in the view",
+            RETRY_MS);
     }
     else if (verdict == OWN_UNSURE) {
         record_lost(board, waiter, &spec->key);
@@ -289,10 +297,10 @@
     }
     else if (verdict == OWN_NOBODY) {
         Outcome_Refuse(board, &waiter, &spec->key, ERR_UNSETTLED,
-                       "no entry has joined the view yet", SOON_MS);
+                       "no entry has joined the view yet", RETRY_MS);
     }
     else {
-        take_new(board, &waiter, spec, verdict);
+        handle_new_key(board, &waiter, spec, verdict);
     }
 }
 
@@ -325,7 +333,7 @@
         Outcome_NotOwner(board, reply_id);
         return;
     }
-    take_new(board, &waiter, &spec, verdict);
+    handle_new_key(board, &waiter, &spec, verdict);
 }
 
 void
@@ -338,9 +346,10 @@
         return;
     }
     if (reply == NULL) {
-        Outcome_Refuse(board, &call->waiter, &call->key, ERR_OWNER_LOST,
-                       "the entry that has the job was lost; ask again",
-                       SOON_MS);
+        Outcome_Refuse(
+            board, &call->waiter, &call->key, ERR_OWNER_LOST,
+            "the entry that has the job was lost; retry the request",
+            RETRY_MS);
         return;
     }
     if (peer->node.incarnation != 0) {
@@ -348,7 +357,7 @@
         peer->wants_relay = reply->position.offset < Fold_Next(board->fold);
     }
     Outcome_Refuse(board, &call->waiter, &call->key, ERR_UNSETTLED,
-                   "entries do not yet agree on the view", SOON_MS);
+                   "entries do not yet agree on the view", RETRY_MS);
 }
 
 Key
--- a/core/arbiter.c
+++ b/core/arbiter.c
@@ -5,7 +5,7 @@
 #include "base/random.h"
 #include "core/vtime.h"
 
-/* Tasks of one group that wait at one entry. */
+/* Waiting tasks of one group at one entry. */
 typedef struct {
     lc_node entry;
     char group[NODE_MAX_GROUP + 1];
@@ -94,13 +94,13 @@
 }
 
 static demand_row *
-demand_at(const Arbiter *arbiter, guint place)
+demand_at(const Arbiter *arbiter, guint index)
 {
-    return &g_array_index(arbiter->demand, demand_row, place);
+    return &g_array_index(arbiter->demand, demand_row, index);
 }
 
 static void
-drop_demand(Arbiter *arbiter, const lc_node *entry)
+remove_demand(Arbiter *arbiter, const lc_node *entry)
 {
     guint i;
 
@@ -133,7 +133,7 @@
     if (count == 0) {
         return;
     }
-    drop_demand(arbiter, entry);
+    remove_demand(arbiter, entry);
     for (i = 0; i < count; i++) {
         demand_row row;
         group_row *group;
@@ -169,9 +169,9 @@
     }
 }
 
-/* Removes a grant; false if it has lapsed. */
+/* Removes a grant of an entry; false if it has expired. */
 static bool
-spend_grant(Arbiter *arbiter, const lc_node *entry, uint64_t id)
+consume_grant(Arbiter *arbiter, const lc_node *entry, uint64_t id)
 {
     guint i;
 
@@ -192,7 +192,7 @@
 {
     group_row *row;
 
-    if ((grant == 0 || !spend_grant(arbiter, entry, grant)) &&
+    if ((grant == 0 || !consume_grant(arbiter, entry, grant)) &&
         Arbiter_FreeSlots(arbiter) == 0) {
         return false;
     }
@@ -243,12 +243,12 @@
     return best;
 }
 
-/* Place of the demand that a lot over its waiting tasks falls on. */
+/* Index of a demand row, drawn by lottery: one ticket per waiting task. */
 static guint
 draw_demand(Arbiter *arbiter, const char *group)
 {
     uint64_t total = 0;
-    uint64_t lot;
+    uint64_t ticket;
     guint chosen = 0;
     guint i;
 
@@ -257,17 +257,17 @@
             total += demand_at(arbiter, i)->waiting;
         }
     }
-    lot = total == 0 ? 0 : Random_Next(&arbiter->random) % total;
+    ticket = total == 0 ? 0 : Random_Next(&arbiter->random) % total;
     for (i = 0; i < arbiter->demand->len; i++) {
         const demand_row *row = demand_at(arbiter, i);
         if (strcmp(row->group, group) != 0) {
             continue;
         }
         chosen = i;
-        if (lot < row->waiting) {
+        if (ticket < row->waiting) {
             break;
         }
-        lot -= row->waiting;
+        ticket -= row->waiting;
     }
     return chosen;
 }
@@ -277,35 +277,35 @@
 {
     const group_row *group;
     demand_row *row;
-    guint place;
+    guint index;
 
     if (arbiter->demand->len == 0 || Arbiter_FreeSlots(arbiter) == 0) {
         return false;
     }
     group = choose_group(arbiter);
-    place = draw_demand(arbiter, group->name);
-    row = demand_at(arbiter, place);
+    index = draw_demand(arbiter, group->name);
+    row = demand_at(arbiter, index);
     memset(grant, 0, sizeof(*grant));
     grant->id = ++arbiter->last_grant;
     grant->entry = row->entry;
-    grant->lapses_ms = mono_ms + arbiter->grant_ms;
+    grant->expires_ms = mono_ms + arbiter->grant_ms;
     g_strlcpy(grant->group, row->group, sizeof(grant->group));
     g_array_append_val(arbiter->grants, *grant);
     row->waiting--;
     if (row->waiting == 0) {
-        g_array_remove_index_fast(arbiter->demand, place);
+        g_array_remove_index_fast(arbiter->demand, index);
     }
     return true;
 }
 
-/* The grant at a place was of no use: its entry waits for nothing here. */
+/* Removes an unused grant and its entry's demand: nothing waits there. */
 static void
-drop_grant(Arbiter *arbiter, guint place)
+remove_unused_grant(Arbiter *arbiter, guint index)
 {
-    lc_node entry = g_array_index(arbiter->grants, Arbiter_Grant, place).entry;
+    lc_node entry = g_array_index(arbiter->grants, Arbiter_Grant, index).entry;
 
-    g_array_remove_index_fast(arbiter->grants, place);
-    drop_demand(arbiter, &entry);
+    g_array_remove_index_fast(arbiter->grants, index);
+    remove_demand(arbiter, &entry);
 }
 
 void
@@ -315,7 +315,7 @@
 
     for (i = 0; i < arbiter->grants->len; i++) {
         if (g_array_index(arbiter->grants, Arbiter_Grant, i).id == id) {
-            drop_grant(arbiter, i);
+            remove_unused_grant(arbiter, i);
             return;
         }
     }
@@ -324,15 +324,15 @@
 uint32_t
 Arbiter_Lapse(Arbiter *arbiter, int64_t mono_ms)
 {
-    uint32_t lapsed = 0;
+    uint32_t expired = 0;
     guint i;
 
     for (i = arbiter->grants->len; i-- > 0;) {
-        if (g_array_index(arbiter->grants, Arbiter_Grant, i).lapses_ms <=
+        if (g_array_index(arbiter->grants, Arbiter_Grant, i).expires_ms <=
             mono_ms) {
-            drop_grant(arbiter, i);
-            lapsed++;
+            remove_unused_grant(arbiter, i);
+            expired++;
         }
     }
-    return lapsed;
+    return expired;
 }
--- a/core/board.c
+++ b/core/board.c
@@ -37,7 +37,7 @@
 static void
 free_edit(gpointer item)
 {
-    Edit *edit = item;
+    Table_Edit *edit = item;
 
     free(edit->record);
     g_free(edit);
@@ -61,7 +61,7 @@
     board->ledger = Ledger_New(config->max_jobs, config->max_answer_bytes);
     board->active = g_hash_table_new(NULL, NULL);
     board->groups = Groups_New(config->order);
-    board->silent = g_queue_new();
+    board->lost_starts = g_queue_new();
     board->settle.entries = g_hash_table_new_full(g_int64_hash, g_int64_equal,
                                                   NULL, g_free);
     board->settle.companions = g_hash_table_new_full(
@@ -97,7 +97,7 @@
     g_hash_table_unref(board->active);
     Groups_Free(board->groups);
     Ledger_Free(board->ledger);
-    g_queue_free_full(board->silent, g_free);
+    g_queue_free_full(board->lost_starts, g_free);
     g_hash_table_unref(board->settle.entries);
     g_hash_table_unref(board->settle.companions);
     if (board->settle.found != NULL) {
@@ -143,15 +143,15 @@
 uint64_t
 Board_Call(Board *board, const Msg_Call *call, const Call *info)
 {
-    Call *kept = g_new(Call, 1);
+    Call *pending = g_new(Call, 1);
     uint64_t call_id;
 
-    *kept = *info;
-    kept->kind = call->kind;
-    kept->sent_ms = board->now.mono_ms;
-    call_id = Handle_Add(board->calls, kept);
-    kept->id = call_id;
-    board->ports.call(board->context, kept->to, call_id, call);
+    *pending = *info;
+    pending->kind = call->kind;
+    pending->sent_ms = board->now.mono_ms;
+    call_id = Handle_Add(board->calls, pending);
+    pending->id = call_id;
+    board->ports.call(board->context, pending->to, call_id, call);
     return call_id;
 }
 
@@ -200,7 +200,7 @@
     if (peer == NULL) {
         return false;
     }
-    /* Incarnations rise with time; only a later one proves anything. */
+    /* Incarnations rise with time: only a later one proves it gone. */
     if (peer->node.incarnation > node->incarnation) {
         return true;
     }
--- a/core/board.h
+++ b/core/board.h
@@ -1,11 +1,11 @@
 /**
  * @file board.h
- * @brief The blackboard of one entry: everything its controllers read and
- * write. Controllers (members, ownership, admission, dispatch, limits,
- * edits, drain) share no state but this.
+ * @brief The blackboard of one entry: all state that its controllers read
+ * and write. The controllers (members, ownership, admission, dispatch,
+ * limits, edits, drain) share no other state.
  *
- * Ownership: the board owns all tables in it. Peers live as long as the
- * board; jobs as long as the ledger keeps them.
+ * Ownership: the blackboard owns all tables in it. Peers live as long as the
+ * blackboard; jobs live until the ledger removes them.
  */
 #ifndef LC_CORE_BOARD_H
 #define LC_CORE_BOARD_H
@@ -16,14 +16,14 @@
 #include "core/job.h"
 #include "core/node.h"
 
-/** Placement policies; X(NAME, text, choose function, tells demand) */
+/** Placement policies; X(NAME, text, choose function, sends demand) */
 #define PLACEMENT_LIST(X)                                                     \
     X(RANDOM, "random", choose_random, false)                                 \
     X(TWO, "two_choices", choose_of_two, false)                               \
     X(GRANTS, "grants", choose_granted, true)
 
 typedef enum {
-#define X(name, text, choose, tells_demand) PLACEMENT_##name,
+#define X(name, text, choose, sends_demand) PLACEMENT_##name,
     PLACEMENT_LIST(X)
 #undef X
         PLACEMENT_COUNT
@@ -33,14 +33,14 @@
 typedef struct {
     lc_node self;
     uint64_t seed;
-    int64_t evidence_ms; /**< L: how long evidence of membership holds */
-    int64_t skew_ms;     /**< bound on differences of wall clocks */
-    int64_t window_ms;   /**< dedupe window */
+    int64_t evidence_ms; /**< L: how long evidence of membership is valid */
+    int64_t skew_ms;     /**< bound on the difference of two wall clocks */
+    int64_t window_ms;   /**< deduplication window of keys */
     int64_t ping_entry_ms;
     int64_t ping_companion_ms;
     int64_t suspect_ms;   /**< silence after which a peer is suspected */
     int64_t patience_ms;  /**< silence after which a started task is lost */
-    int64_t inventory_ms; /**< wait for a companion's inventory */
+    int64_t inventory_ms; /**< longest wait for a companion's inventory */
     int64_t hosts_lag_ms; /**< bound on the lag of the host list */
     int64_t snapshot_ms;
     uint32_t snapshot_records;
@@ -54,10 +54,10 @@
 /** Fills a configuration with defaults for @p self. */
 Board_Config Board_Defaults(lc_node self);
 
-/** What the host list says of an address. */
+/** State of an address in the host list. */
 typedef enum { HOST_UNLISTED, HOST_LIVE, HOST_LEAVING, HOST_GONE } Host_State;
 
-/** A process known by its address. */
+/** An entry or companion, identified by its address. */
 typedef struct {
     Address address;
     lc_node node; /**< last incarnation that answered; 0 if none */
@@ -69,16 +69,16 @@
     uint32_t slots;
     uint64_t ping_call; /**< pending ping, or 0 */
     int64_t next_ping_ms;
-    int64_t silent_since_ms; /**< first ping unanswered since, or 0 */
+    int64_t silent_since_ms; /**< time of first unanswered ping, or 0 */
     bool relaying;
     bool wants_relay;
     int64_t behind_since_ms; /**< since when it lacks records, or 0 */
     /* Companions only. */
-    uint32_t running;        /**< starts of ours in flight */
-    double others;           /**< slots busy for others, a moving mean */
-    int64_t probe_ms;        /**< when to risk a start on a full one again */
-    int64_t queued_until_ms; /**< it was full, knows our demand and calls */
-    int64_t not_before_ms;   /**< no starts before */
+    uint32_t running;        /**< starts of this entry in flight */
+    double others;           /**< slots in use by others, moving mean */
+    int64_t next_probe_ms;   /**< when to probe it again while it seems full */
+    int64_t queued_until_ms; /**< until then: has our demand, sends grants */
+    int64_t not_before_ms;   /**< send no starts before this time */
     uint64_t sequence;       /**< of the last start sent */
     uint64_t demand_sent;    /**< signature of the demand last sent */
 } Peer;
@@ -97,25 +97,25 @@
     Job_Waiter waiter; /**< for SUBMIT */
 } Call;
 
-/** A settle this entry completed. */
+/** A settlement of the key ranges that this entry completed. */
 typedef struct {
     uint64_t epoch;
-    int64_t unsure_before_ms; /**< keys minted before may have run unseen */
+    int64_t unsure_before_ms; /**< jobs of older keys may have run unseen */
 } Settled;
 
-/** Progress towards knowing the ranges of the current epoch. */
+/** Progress of settling the key ranges of the current epoch. */
 typedef struct {
     uint64_t epoch;
     bool active;
-    bool full; /**< ask for all starts, not only new ones */
+    bool full; /**< request all starts, not only new ones */
     int64_t started_ms;
-    int64_t applied_ms;     /**< when all members had applied it, or 0 */
-    GHashTable *entries;    /**< Address -> Settle_Peer */
+    int64_t applied_ms;  /**< when all members had applied the epoch, or 0 */
+    GHashTable *entries; /**< Address -> Settle_Peer */
     GHashTable *companions; /**< Address -> Settle_Peer */
-    GPtrArray *found;       /**< lc_started copies out of inventories */
+    GPtrArray *found;       /**< copies of lc_started from inventories */
 } Settle;
 
-/** Progress of one peer in a settle. */
+/** Progress of one peer in a settlement. */
 typedef struct {
     Address address;
     uint64_t call; /**< pending call, or 0 */
@@ -124,17 +124,17 @@
     bool done;
 } Settle_Peer;
 
-/** An edit of the table that waits for its record to be read back. */
+/** A table edit whose record has not been read back from the log yet. */
 typedef struct {
     uint64_t request;
     char id[40];
     char *record;
-    uint64_t append;   /**< append in flight or last ended */
+    uint64_t append;   /**< the append in flight, or the last that ended */
     int64_t sent_ms;   /**< when it was first sent */
     int64_t failed_ms; /**< when its append ended unconfirmed, or 0 */
-} Edit;
+} Table_Edit;
 
-/** Blackboard of one entry. */
+/** The shared state of one entry's controllers. */
 typedef struct {
     Board_Config config;
     Node_Ports ports;
@@ -144,58 +144,58 @@
     Counters counters;
     Fold *fold;
     GHashTable *peers; /**< Address -> Peer */
-    GPtrArray *usable; /**< Peer: companions that may be sent work */
+    GPtrArray *usable; /**< Peer: companions that may be sent tasks */
     bool usable_dirty;
-    uint32_t open_slots; /**< believed free, less what was sent since */
+    uint32_t free_slots; /**< estimate, less the tasks sent since */
     Handle_Table *calls;
     Ledger *ledger;
-    GHashTable *active; /**< set of Job that are JOB_ACTIVE */
+    GHashTable *active; /**< set of Job in state JOB_ACTIVE */
     Groups *groups;
-    GQueue *silent; /**< Silent_Task: started, call lost, to ask again */
+    GQueue *lost_starts; /**< Lost_Start: START calls to send again */
     Settle settle;
-    GArray *settles;        /**< Settled, oldest first */
-    GHashTable *discharged; /**< set of lc_node that admit nothing any more */
-    int64_t overflow_before_ms; /**< wall; what was minted before may be
-                                     missing from the full ledger */
+    GArray *settles;            /**< Settled, oldest first */
+    GHashTable *discharged;     /**< set of lc_node that admit no more jobs */
+    int64_t overflow_before_ms; /**< wall time; jobs of older keys may be
+                                     missing, as the ledger was full */
     int64_t evidence_until_ms;
     bool log_up;
     int64_t log_tail_ms;     /**< last time the log's tail was reached */
     uint64_t append_pending; /**< view or snapshot append in flight */
-    int64_t append_ms;       /**< when it was sent */
-    int64_t append_end_ms;   /**< when the last one ended */
-    int64_t proposal_ms;     /**< since when a view change is wanted, or 0 */
+    int64_t append_ms;       /**< when that append was sent */
+    int64_t append_end_ms;   /**< when the last append ended */
+    int64_t proposal_ms;     /**< since when a view change is due, or 0 */
     int64_t snapshot_ms;     /**< when the last snapshot was applied */
-    GPtrArray *edits;        /**< Edit */
+    GPtrArray *edits;        /**< Table_Edit */
     uint64_t next_append;
-    uint64_t shares_epoch; /**< epoch whose shares are in use, see limits.h */
-    int64_t all_complied_ms; /**< since when nobody exceeds the new shares */
+    uint64_t shares_epoch;   /**< epoch whose shares of caps apply */
+    int64_t all_complied_ms; /**< since when no entry exceeds its new share */
     uint64_t last_borrow;
-    uint64_t complied; /**< epoch to whose shares this entry keeps */
-    bool joined;       /**< was a member of the view once */
+    uint64_t complied; /**< epoch whose shares this entry does not exceed */
+    bool joined;       /**< has been a member of the view */
     bool deposed;      /**< removed from the view while running */
     bool draining;
-    int64_t drain_ms;       /**< since when */
-    int64_t drain_retry_ms; /**< when to append the next step */
-    double done_rate;       /**< tasks ended per second, moving mean */
-    uint32_t done_recent;
+    int64_t drain_ms;         /**< when draining began */
+    int64_t drain_retry_ms;   /**< when to append the next step */
+    double tasks_ended_per_s; /**< tasks ended per second, moving mean */
+    uint32_t tasks_ended;     /**< since `done_ms` */
     int64_t done_ms;
 } Board;
 
-/** A started task whose call was lost. */
+/** A task whose START call was lost; the call is sent again. */
 typedef struct {
     Handle job;
     uint32_t index;
-} Silent_Task;
+} Lost_Start;
 
 Board *Board_New(const Board_Config *config, const Node_Ports *ports,
                  void *context);
 void Board_Free(Board *board);
 
-/** Folded view and table. */
+/** View and table folded from the log. Borrowed. */
 const View *Board_View(const Board *board);
 const Table *Board_Table(const Board *board);
 
-/** Peer at an address, made if needed. */
+/** Peer at an address, created if needed. */
 Peer *Board_Peer(Board *board, Address address);
 
 /** Peer at an address, or NULL. */
@@ -214,21 +214,24 @@
 /** Whether this entry is a member of the view, leaving or not. */
 bool Board_IsMember(const Board *board);
 
-/** Whether this entry owns keys in the view. */
+/** Whether this entry owns keys in the view: a member not leaving. */
 bool Board_IsOwner(const Board *board);
 
 /**
- * Whether a process certainly no longer runs: by the log, because a later
- * incarnation answers at its address, or because the host list lacks it and
- * it was added longer ago than that list may lag.
+ * Whether a process certainly no longer runs: the log says so, a later
+ * incarnation answers at its address, or the host list lacks it and it was
+ * added longer ago than the list may lag.
  */
 bool Board_IsGone(const Board *board, const lc_node *node,
                   int64_t added_wall_ms);
 
-/** What came from a peer found no place: keys minted by now are unsure. */
+/**
+ * A job that a peer reported did not fit into the ledger: for keys minted up
+ * to now it is unknown whether their jobs have run.
+ */
 void Board_Overflow(Board *board);
 
-/** A time to come back around @p base_ms, spread by half of it. */
+/** Retry delay in ms: @p base_ms plus a random part of up to half of it. */
 uint32_t Board_RetryMs(Board *board, int64_t base_ms);
 
 #endif
--- a/core/demand.h
+++ b/core/demand.h
@@ -1,7 +1,7 @@
 /**
  * @file demand.h
- * @brief What an entry has waiting, as it tells companions so that they grant
- * it slots.
+ * @brief Demand of an entry: its waiting tasks by group, which it sends to
+ * companions so that they grant it slots.
  */
 #ifndef LC_CORE_DEMAND_H
 #define LC_CORE_DEMAND_H
@@ -9,8 +9,9 @@
 #include "core/board.h"
 
 /**
- * Fills @p rows (LC_MAX_DEMAND of them) with the demand to tell a companion;
- * no rows where it was told the same before.
+ * Fills @p rows (room for LC_MAX_DEMAND) with the demand to send to a
+ * companion; sets @p count to 0 if the demand last sent still holds, or if
+ * the placement policy sends none.
  */
 void Demand_Fill(Board *board, Peer *peer, lc_demand *rows, u_int *count);
 
--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -8,8 +8,8 @@
 #include "core/outcome.h"
 #include "core/placement.h"
 
-#define RESEND_MS 200
-#define REFUSED_MS 100
+#define RESEND_INTERVAL_MS 200
+#define REFUSAL_BACKOFF_MS 100
 
 static void
 call_start(Board *board, Job *job, uint32_t index, Peer *peer, uint64_t grant)
@@ -27,7 +27,7 @@
     args->epoch = Board_View(board)->epoch;
     args->sequence = ++peer->sequence;
     args->target = peer->node.incarnation;
-    args->attach = task->followed;
+    args->attach = task->adopted;
     args->key = Node_WireKey(&job->key);
     args->index = index;
     args->total = job->total;
@@ -49,12 +49,12 @@
 {
     Task *task = &job->tasks[index];
 
-    if (board->open_slots > 0 && grant == 0) {
-        board->open_slots--;
+    if (board->free_slots > 0 && grant == 0) {
+        board->free_slots--;
     }
     task->state = TASK_SENT;
     task->sent_ms = board->now.mono_ms;
-    task->silent_ms = 0;
+    task->call_lost_ms = 0;
     job->progress_ms = board->now.mono_ms;
     Groups_TaskSent(board->groups, job);
     Limits_Started(board, group);
@@ -92,7 +92,7 @@
     if (Groups_Waiting(board->groups) == 0 || board->deposed) {
         return;
     }
-    board->open_slots = Placement_OpenSlots(board);
+    board->free_slots = Placement_FreeSlots(board);
     while (Groups_Waiting(board->groups) > 0) {
         Peer *peer = Placement_Choose(board);
         Group *group;
@@ -107,7 +107,7 @@
 }
 
 static void
-decline(Board *board, Peer *peer, uint64_t grant)
+decline_grant(Board *board, Peer *peer, uint64_t grant)
 {
     lc_demand demand[LC_MAX_DEMAND];
     Msg_Call call = {.kind = MSG_DECLINE};
@@ -123,7 +123,7 @@
     Board_Call(board, &call, &info);
 }
 
-/* Uses a grant for its group, else for whichever group's turn it is. */
+/* Uses a grant for its group, or else for the next group that may start. */
 static bool
 use_grant(Board *board, Peer *peer, uint64_t grant, const char *name)
 {
@@ -136,7 +136,7 @@
         !Limits_MayStart(board, group)) {
         group = Groups_Choose(board->groups, may_start, board);
     }
-    /* Each grant used up a part of the demand there: tell it anew. */
+    /* Each grant consumes demand at the companion: send the demand again. */
     peer->demand_sent = 0;
     return group != NULL && send_next(board, group, peer, grant);
 }
@@ -152,7 +152,7 @@
         reply.u.grant.used = use_grant(board, peer, args->grant, args->group);
     }
     if (reply.u.grant.used) {
-        Placement_Queued(board, peer);
+        Placement_MarkQueued(board, peer);
     }
     else {
         Counter_Add(&board->counters, COUNTER_WASTED_GRANT, 1);
@@ -181,9 +181,8 @@
     const char *message;
 } start_failures[] = {
     [LC_START_FAILED] = {ERR_UPSTREAM_FAILED, "the upstream failed a task"},
-    [LC_START_TIMEOUT] = {ERR_TASK_TIMEOUT, "a task exceeded its time"},
-    [LC_START_EVICTED] = {ERR_ANSWER_EVICTED,
-                          "a task's result is no longer kept"},
+    [LC_START_TIMEOUT] = {ERR_TASK_TIMEOUT, "a task exceeded its time limit"},
+    [LC_START_EVICTED] = {ERR_ANSWER_EVICTED, "a task's result was evicted"},
 };
 
 static void
@@ -192,7 +191,7 @@
     Task *task = &job->tasks[index];
 
     Groups_TaskEnded(board->groups, job, board->now.mono_ms - task->sent_ms);
-    board->done_recent++;
+    board->tasks_ended++;
     if (reply->status == LC_START_DONE) {
         task_done(board, job, index, reply);
         return;
@@ -214,18 +213,18 @@
 };
 
 static void
-note_refusal(Board *board, Peer *peer, const lc_start_res *reply)
+apply_refusal(Board *board, Peer *peer, const lc_start_res *reply)
 {
     Counter_Add(&board->counters, refusal_counters[reply->status], 1);
     switch (reply->status) {
     case LC_START_BEHIND:
         peer->position = reply->position;
         peer->wants_relay = true;
-        peer->not_before_ms = board->now.mono_ms + REFUSED_MS;
+        peer->not_before_ms = board->now.mono_ms + REFUSAL_BACKOFF_MS;
         break;
     case LC_START_GONE:
         peer->next_ping_ms = board->now.mono_ms;
-        peer->not_before_ms = board->now.mono_ms + REFUSED_MS;
+        peer->not_before_ms = board->now.mono_ms + REFUSAL_BACKOFF_MS;
         break;
     case LC_START_DRAINING:
         peer->draining = true;
@@ -233,14 +232,14 @@
         break;
     case LC_START_FENCED:
     case LC_START_DOWN:
-        peer->not_before_ms = board->now.mono_ms + REFUSED_MS;
+        peer->not_before_ms = board->now.mono_ms + REFUSAL_BACKOFF_MS;
         break;
     default:
         break;
     }
 }
 
-/* The companion refused: the task was not started and may go elsewhere. */
+/* The task was not started: it waits again, for any companion. */
 static void
 return_task(Board *board, Job *job, uint32_t index)
 {
@@ -248,7 +247,7 @@
 
     task->state = TASK_WAITING;
     task->companion.address = 0;
-    task->silent_ms = 0;
+    task->call_lost_ms = 0;
     if (index < job->first_waiting) {
         job->first_waiting = index;
     }
@@ -256,42 +255,42 @@
 }
 
 static void
-add_silent(Board *board, Job *job, uint32_t index)
+add_lost_start(Board *board, Job *job, uint32_t index)
 {
-    Silent_Task *silent = g_new(Silent_Task, 1);
+    Lost_Start *start = g_new(Lost_Start, 1);
 
-    silent->job = job->handle;
-    silent->index = index;
-    g_queue_push_tail(board->silent, silent);
+    start->job = job->handle;
+    start->index = index;
+    g_queue_push_tail(board->lost_starts, start);
 }
 
 void
-Dispatch_Follow(Board *board, Job *job, uint32_t index)
+Dispatch_AdoptTask(Board *board, Job *job, uint32_t index)
 {
     Task *task = &job->tasks[index];
 
-    Groups_TaskFollowed(board->groups, job);
+    Groups_TaskAdopted(board->groups, job);
     job->progress_ms = board->now.mono_ms;
-    task->followed = true;
+    task->adopted = true;
     task->sent_ms = board->now.mono_ms;
-    task->silent_ms = board->now.mono_ms;
+    task->call_lost_ms = board->now.mono_ms;
     task->retry_ms = board->now.mono_ms;
-    add_silent(board, job, index);
+    add_lost_start(board, job, index);
 }
 
 static void
-lose_call(Board *board, Job *job, uint32_t index)
+mark_call_lost(Board *board, Job *job, uint32_t index)
 {
     Task *task = &job->tasks[index];
 
-    if (task->silent_ms == 0) {
-        task->silent_ms = board->now.mono_ms;
+    if (task->call_lost_ms == 0) {
+        task->call_lost_ms = board->now.mono_ms;
     }
-    task->retry_ms = board->now.mono_ms + RESEND_MS;
-    add_silent(board, job, index);
+    task->retry_ms = board->now.mono_ms + RESEND_INTERVAL_MS;
+    add_lost_start(board, job, index);
 }
 
-/* Job and task that a call still speaks for, or NULL. */
+/* Job of a START call that its task still waits for, or NULL. */
 static Job *
 job_of_call(Board *board, const Call *call)
 {
@@ -305,9 +304,9 @@
     return job;
 }
 
-/* A reply for a job that is over: only the group's books change. */
+/* Reply for a task that no longer waits for it: updates the counts only. */
 static void
-close_books(Board *board, const Call *call, const lc_start_res *reply)
+account_late_reply(Board *board, const Call *call, const lc_start_res *reply)
 {
     Job *job = Ledger_Get(board->ledger, call->job);
 
@@ -324,16 +323,16 @@
 }
 
 static void
-hear_companion(Board *board, Peer *peer, const lc_start_res *reply)
+update_companion(Board *board, Peer *peer, const lc_start_res *reply)
 {
     Members_Heard(board, peer, &reply->position);
     Placement_HeardFree(peer, reply->free);
     if (reply->status == LC_START_BUSY) {
-        Placement_Queued(board, peer);
+        Placement_MarkQueued(board, peer);
     }
     if (reply->grant != 0 &&
         !use_grant(board, peer, reply->grant, reply->grant_group)) {
-        decline(board, peer, reply->grant);
+        decline_grant(board, peer, reply->grant);
     }
 }
 
@@ -343,33 +342,34 @@
     Peer *peer = Board_Peer(board, call->to);
     bool same = peer->node.incarnation == call->incarnation;
     Job *job = job_of_call(board, call);
-    bool was_silent = job != NULL && job->tasks[call->index].silent_ms != 0;
+    bool call_was_lost = job != NULL &&
+                         job->tasks[call->index].call_lost_ms != 0;
 
     if (same && peer->running > 0) {
         peer->running--;
     }
     if (job == NULL) {
-        close_books(board, call, reply);
+        account_late_reply(board, call, reply);
     }
     else if (reply == NULL) {
         peer->demand_sent = 0;
-        lose_call(board, job, call->index);
+        mark_call_lost(board, job, call->index);
     }
-    else if (reply->status == LC_START_GONE && was_silent) {
+    else if (reply->status == LC_START_GONE && call_was_lost) {
         Outcome_Lost(board, job);
     }
     else if (reply->status <= LC_START_EVICTED) {
         end_task(board, job, call->index, reply);
     }
     else {
-        /* Refused, or its only call came to the companion's successor. */
+        /* Refused, or its only call reached a later incarnation. */
         return_task(board, job, call->index);
     }
     if (reply != NULL && same) {
         if (reply->status >= LC_START_GONE) {
-            note_refusal(board, peer, reply);
+            apply_refusal(board, peer, reply);
         }
-        hear_companion(board, peer, reply);
+        update_companion(board, peer, reply);
     }
     Dispatch_Run(board);
 }
@@ -414,50 +414,50 @@
     g_ptr_array_unref(lost);
 }
 
-/* Asks again for a started task; false while it is not yet due. */
+/* Sends a START again whose call was lost; false while it is not due. */
 static bool
-ask_again(Board *board, const Silent_Task *silent)
+resend_lost_start(Board *board, const Lost_Start *start)
 {
-    Job *job = Ledger_Get(board->ledger, silent->job);
+    Job *job = Ledger_Get(board->ledger, start->job);
     Task *task;
     Peer *peer;
 
     if (job == NULL || job->state != JOB_ACTIVE ||
-        silent->index >= job->total ||
-        job->tasks[silent->index].state != TASK_SENT) {
+        start->index >= job->total ||
+        job->tasks[start->index].state != TASK_SENT) {
         return true;
     }
-    task = &job->tasks[silent->index];
+    task = &job->tasks[start->index];
     if (board->now.mono_ms < task->retry_ms) {
         return false;
     }
     peer = Board_Peer(board, task->companion.address);
     if (peer->node.incarnation > task->companion.incarnation ||
         Board_IsGone(board, &task->companion, 0) ||
-        board->now.mono_ms - task->silent_ms > board->config.patience_ms) {
+        board->now.mono_ms - task->call_lost_ms > board->config.patience_ms) {
         Outcome_Lost(board, job);
         return true;
     }
     if (!Node_Same(&peer->node, &task->companion)) {
-        task->retry_ms = board->now.mono_ms + RESEND_MS;
+        task->retry_ms = board->now.mono_ms + RESEND_INTERVAL_MS;
         return false;
     }
-    call_start(board, job, silent->index, peer, 0);
+    call_start(board, job, start->index, peer, 0);
     return true;
 }
 
 static void
-ask_all_again(Board *board)
+resend_lost_starts(Board *board)
 {
-    guint left = g_queue_get_length(board->silent);
+    guint left = g_queue_get_length(board->lost_starts);
 
     while (left-- > 0) {
-        Silent_Task *silent = g_queue_pop_head(board->silent);
-        if (ask_again(board, silent)) {
-            g_free(silent);
+        Lost_Start *start = g_queue_pop_head(board->lost_starts);
+        if (resend_lost_start(board, start)) {
+            g_free(start);
         }
         else {
-            g_queue_push_tail(board->silent, silent);
+            g_queue_push_tail(board->lost_starts, start);
         }
     }
 }
@@ -465,6 +465,6 @@
 void
 Dispatch_Tick(Board *board)
 {
-    ask_all_again(board);
+    resend_lost_starts(board);
     Dispatch_Run(board);
 }
--- a/core/edits.c
+++ b/core/edits.c
@@ -1,19 +1,19 @@
 #include "core/edits.h"
 
-#define PATIENCE_MS 5000
+#define CONFIRM_TIMEOUT_MS 5000
 
 static void
-end_edit(Board *board, guint place, const Status *status, uint64_t version)
+end_edit(Board *board, guint index, const Status *status, uint64_t version)
 {
-    Edit *edit = g_ptr_array_index(board->edits, place);
+    Table_Edit *edit = g_ptr_array_index(board->edits, index);
     uint64_t request = edit->request;
 
-    g_ptr_array_remove_index(board->edits, place);
+    g_ptr_array_remove_index(board->edits, index);
     board->ports.edited(board->context, request, status, version);
 }
 
 static void
-send_edit(Board *board, Edit *edit)
+send_edit(Board *board, Table_Edit *edit)
 {
     edit->append = ++board->next_append;
     edit->failed_ms = 0;
@@ -27,7 +27,7 @@
 {
     Status status = {ERR_OK, ""};
     uint64_t version = Table_Version(Board_Table(board), group);
-    Edit *edit;
+    Table_Edit *edit;
 
     if (base < version) {
         Err_Set(&status, ERR_STALE_ROW,
@@ -43,7 +43,7 @@
         board->ports.edited(board->context, request, &status, version);
         return;
     }
-    edit = g_new0(Edit, 1);
+    edit = g_new0(Table_Edit, 1);
     edit->request = request;
     edit->sent_ms = board->now.mono_ms;
     g_snprintf(edit->id, sizeof(edit->id), "%016llx%016llx",
@@ -60,17 +60,17 @@
     guint i;
 
     for (i = board->edits->len; i-- > 0;) {
-        const Edit *edit = g_ptr_array_index(board->edits, i);
-        const Fold_Edit *seen = Fold_FindEdit(board->fold, edit->id);
+        const Table_Edit *edit = g_ptr_array_index(board->edits, i);
+        const Fold_Edit *read_back = Fold_FindEdit(board->fold, edit->id);
         Status status = {ERR_OK, ""};
-        if (seen == NULL) {
+        if (read_back == NULL) {
             continue;
         }
-        if (!seen->accepted) {
+        if (!read_back->accepted) {
             Err_Set(&status, ERR_STALE_ROW,
                     "another edit of the row came first");
         }
-        end_edit(board, i, &status, seen->offset);
+        end_edit(board, i, &status, read_back->offset);
     }
 }
 
@@ -80,7 +80,7 @@
     guint i;
 
     for (i = 0; i < board->edits->len; i++) {
-        Edit *edit = g_ptr_array_index(board->edits, i);
+        Table_Edit *edit = g_ptr_array_index(board->edits, i);
         if (edit->append == append_id) {
             edit->failed_ms = confirmed ? 0 : board->now.mono_ms;
             return true;
@@ -112,13 +112,13 @@
             "not confirmed by the log in time; it may still take effect: "
             "read the row before trying again");
     for (i = board->edits->len; i-- > 0;) {
-        Edit *edit = g_ptr_array_index(board->edits, i);
-        if (board->now.mono_ms - edit->sent_ms > PATIENCE_MS) {
+        Table_Edit *edit = g_ptr_array_index(board->edits, i);
+        if (board->now.mono_ms - edit->sent_ms > CONFIRM_TIMEOUT_MS) {
             end_edit(board, i, &status, 0);
         }
         else if (edit->failed_ms != 0 &&
                  board->log_tail_ms > edit->failed_ms) {
-            /* The whole log was read since and does not hold it. */
+            /* The log has been read to its tail since, without this edit. */
             send_edit(board, edit);
         }
     }
--- a/core/edits.h
+++ b/core/edits.h
@@ -1,28 +1,29 @@
 /**
  * @file edits.h
- * @brief Controller of table edits: an edit is accepted only after its
- * record was read back from the log and applied.
+ * @brief Controller of edits of the group table: an edit is accepted only
+ * after its record was read back from the log and applied.
  *
- * An append whose confirmation was lost is first looked for by its id; sent
- * again, a second copy is refused by every reader, because it names a
- * version of the row that the first copy replaced.
+ * If the confirmation of an append was lost, the log is first searched for
+ * the edit's id before it is appended again. Should both copies be written,
+ * every reader refuses the second one, because it is based on a version of
+ * the row that the first one replaced.
  */
 #ifndef LC_CORE_EDITS_H
 #define LC_CORE_EDITS_H
 
 #include "core/board.h"
 
-/** Sets a row (@p row) or deletes it (NULL), if its version is @p base. */
+/** Sets a row, or deletes it if @p row is NULL, if its version is @p base. */
 void Edits_Submit(Board *board, uint64_t request, const char *group,
                   uint64_t base, const Table_Row *row);
 
-/** An edit record was applied or refused. */
+/** An edit record was applied or refused: ends the edits it decides. */
 void Edits_OnRecord(Board *board);
 
-/** An append ended; false if it is not one of this controller's. */
+/** An append ended; false if it belongs to another controller. */
 bool Edits_OnAppend(Board *board, uint64_t append_id, bool confirmed);
 
-/** Ends all pending edits as unknown. */
+/** Ends all pending edits with an unknown result. */
 void Edits_Abandon(Board *board);
 
 void Edits_Tick(Board *board);
--- a/core/group.c
+++ b/core/group.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#define CURRENT_MS 20
+#define CHOICE_REUSE_MS 20
 
 struct Groups {
     GHashTable *by_name;
@@ -29,7 +29,7 @@
     return -(double)job->waiting;
 }
 
-/* Highest response ratio next: waiting time over expected work. */
+/* Highest response ratio next: (time waited + expected work) / that work. */
 static double
 score_ratio(const Group *group, const Job *job, int64_t mono_ms)
 {
@@ -41,7 +41,7 @@
 static const struct {
     const char *text;
     score_function score;
-} order_rows[GROUP_ORDER_COUNT] = {
+} orders[GROUP_ORDER_COUNT] = {
 #define X(name, text, score) {text, score},
     GROUP_ORDER_LIST(X)
 #undef X
@@ -53,7 +53,7 @@
     int i;
 
     for (i = 0; i < GROUP_ORDER_COUNT; i++) {
-        if (strcmp(order_rows[i].text, text) == 0) {
+        if (strcmp(orders[i].text, text) == 0) {
             break;
         }
     }
@@ -139,7 +139,7 @@
 }
 
 static void
-drop_from_queue(Group *group, Job *job)
+remove_from_queue(Group *group, Job *job)
 {
     g_ptr_array_remove(group->queue, job);
     if (group->current == job) {
@@ -155,7 +155,7 @@
     if (job->waiting == 0) {
         return;
     }
-    drop_from_queue(group, job);
+    remove_from_queue(group, job);
     group->waiting -= job->waiting;
     groups->waiting -= job->waiting;
 }
@@ -173,12 +173,12 @@
     groups->vtime_ms = group->vtime.value_ms;
     Vtime_Start(&group->vtime, group->weight);
     if (job->waiting == 0) {
-        drop_from_queue(group, job);
+        remove_from_queue(group, job);
     }
 }
 
 void
-Groups_TaskFollowed(Groups *groups, Job *job)
+Groups_TaskAdopted(Groups *groups, Job *job)
 {
     job->sent++;
     Groups_Get(groups, job->group)->running++;
@@ -213,7 +213,7 @@
     Vtime_End(&group->vtime, group->weight, slot_ms);
 }
 
-/* Equal times go by name, so that a run can be repeated. */
+/* Equal times are ordered by name, so that a run is reproducible. */
 static bool
 is_before(const Group *a, const Group *b)
 {
@@ -247,7 +247,7 @@
 Job *
 Groups_ChooseJob(Groups *groups, Group *group, int64_t mono_ms)
 {
-    score_function score = order_rows[groups->order].score;
+    score_function score = orders[groups->order].score;
     double best = 0.0;
     guint i;
 
@@ -255,7 +255,7 @@
         return group->current;
     }
     group->current = NULL;
-    group->current_until_ms = mono_ms + CURRENT_MS;
+    group->current_until_ms = mono_ms + CHOICE_REUSE_MS;
     for (i = 0; i < group->queue->len; i++) {
         Job *job = g_ptr_array_index(group->queue, i);
         double value = score(group, job, mono_ms);
--- a/core/job.c
+++ b/core/job.c
@@ -9,7 +9,7 @@
     GHashTable *by_key;
     Handle_Table *handles;
     GQueue ended;        /* jobs, oldest end first */
-    GQueue with_answers; /* ended jobs whose results are kept */
+    GQueue with_answers; /* ended jobs whose results are kept, same order */
 };
 
 static const char *const job_state_texts[] = {
@@ -25,7 +25,7 @@
 }
 
 bool
-Job_Begun(const Job *job)
+Job_HasStarted(const Job *job)
 {
     return job->waiting < job->total;
 }
@@ -69,7 +69,7 @@
     task->result_length = length;
     task->code = code;
     task->state = TASK_DONE;
-    job->kept_bytes += length;
+    job->result_bytes += length;
 }
 
 void
@@ -89,7 +89,7 @@
     job->waiting = 0;
     job->done = 0;
     job->first_waiting = 0;
-    job->kept_bytes = 0;
+    job->result_bytes = 0;
 }
 
 void
@@ -101,18 +101,18 @@
     g_array_append_val(job->waiters, *waiter);
 }
 
-/* One result in a packed job; the bytes of all follow the last of them. */
+/* Header of one result in a packed job; all bytes follow the last header. */
 typedef struct {
     uint32_t code;
     uint32_t length;
 } packed_result;
 
-/* Puts all results into one piece: 8 bytes a task beside the results. */
+/* Copies all results into one block, with 8 bytes of header per task. */
 static void
-pack(Job *job)
+pack_results(Job *job)
 {
     uint32_t total = job->total;
-    size_t size = total * sizeof(packed_result) + job->kept_bytes;
+    size_t size = total * sizeof(packed_result) + job->result_bytes;
     packed_result *head = g_malloc(size);
     uint8_t *bytes = (uint8_t *)(head + total);
     uint32_t i;
@@ -130,7 +130,7 @@
     job->total = total;
     job->done = total;
     job->packed = head;
-    job->kept_bytes = size;
+    job->result_bytes = size;
 }
 
 void
@@ -220,13 +220,13 @@
 static void
 unlink_ended(Ledger *ledger, Job *job)
 {
-    if (job->place == NULL) {
+    if (job->ended_link == NULL) {
         return;
     }
-    g_queue_delete_link(&ledger->ended, job->place);
-    job->place = NULL;
-    if (job->kept_bytes > 0) {
-        ledger->bytes -= job->kept_bytes;
+    g_queue_delete_link(&ledger->ended, job->ended_link);
+    job->ended_link = NULL;
+    if (job->result_bytes > 0) {
+        ledger->bytes -= job->result_bytes;
         g_queue_remove(&ledger->with_answers, job);
     }
 }
@@ -244,11 +244,11 @@
 {
     Job *job = g_queue_pop_head(&ledger->with_answers);
 
-    ledger->bytes -= job->kept_bytes;
+    ledger->bytes -= job->result_bytes;
     Job_DropTasks(job);
     job->state = JOB_FAILED;
     job->kind = ERR_ANSWER_EVICTED;
-    job->message = "the job is done, its answer no longer kept";
+    job->message = "the job is done, but its answer was evicted";
 }
 
 void
@@ -256,18 +256,18 @@
 {
     job->ended_ms = mono_ms;
     g_queue_push_tail(&ledger->ended, job);
-    job->place = ledger->ended.tail;
+    job->ended_link = ledger->ended.tail;
     if (job->state == JOB_FAILED) {
         Job_DropTasks(job);
     }
     else if (job->state == JOB_DONE) {
-        pack(job);
+        pack_results(job);
     }
-    if (job->kept_bytes > 0) {
-        ledger->bytes += job->kept_bytes;
+    if (job->result_bytes > 0) {
+        ledger->bytes += job->result_bytes;
         g_queue_push_tail(&ledger->with_answers, job);
     }
-    /* The last answer stays for those who wait for it just now. */
+    /* This job's own answer stays: its waiters are about to get it. */
     while (ledger->bytes > ledger->max_bytes &&
            g_queue_peek_head(&ledger->with_answers) != job) {
         evict_oldest_answer(ledger);
--- a/core/limits.c
+++ b/core/limits.c
@@ -8,11 +8,11 @@
 
 #define MS_PER_S 1000.0
 #define BURST_S 0.1
-#define BORROW_MS 50
-#define BORROW_AGAIN_MS 200
-#define RESERVE_MS 300
+#define BORROW_INTERVAL_MS 50
+#define BORROW_RESEND_MS 200
+#define RESERVE_TIMEOUT_MS 300
 
-/* Number of entries in the view and this entry's place among them. */
+/* Number of entries in the view, and this entry's rank by address. */
 static uint32_t
 count_entries(const Board *board, uint32_t *rank)
 {
@@ -35,22 +35,22 @@
     return count;
 }
 
-/* Share of a cap; what does not divide goes round by the group's name. */
+/* Share of a cap; a hash of the group's name picks who gets the remainder. */
 static uint32_t
 share_of(const Board *board, const char *group, int64_t cap)
 {
     uint32_t rank;
     uint32_t count = count_entries(board, &rank);
-    uint64_t turn = XXH3_64bits(group, strlen(group));
+    uint64_t hash = XXH3_64bits(group, strlen(group));
 
     if (count == 0 || !Board_IsMember(board)) {
         return 0;
     }
     return (uint32_t)(cap / count) +
-           ((turn + rank) % count < (uint64_t)cap % count ? 1 : 0);
+           ((hash + rank) % count < (uint64_t)cap % count ? 1 : 0);
 }
 
-/* Whether every other member keeps to its share of this epoch. */
+/* Whether no other entry exceeds its shares of this epoch. */
 static bool
 members_complied(const Board *board)
 {
@@ -97,7 +97,7 @@
     }
 }
 
-/* Goes over to the shares of the epoch once nobody can exceed them. */
+/* Switches to the shares of the epoch once no entry can exceed them. */
 static void
 update_epoch(Board *board)
 {
@@ -115,7 +115,10 @@
         board->all_complied_ms = board->now.mono_ms;
     }
     if (removed_since(board, board->shares_epoch)) {
-        /* It may start tasks while its evidence lasts, and they may run. */
+        /*
+         * A removed entry may start tasks while its evidence is valid, and
+         * they may run until their time limit.
+         */
         wait_ms = board->config.evidence_ms * 11 / 10 +
                   board->config.task_timeout_ms;
     }
@@ -125,8 +128,8 @@
 }
 
 /*
- * Units follow the share by its difference, which leaves alone what was
- * borrowed and lent; a new epoch starts from its share.
+ * When a share changes, its difference is added to the units, so that units
+ * borrowed and lent still count. A new epoch starts with its share.
  */
 static void
 update_units(Board *board, Group *group, int64_t cap)
@@ -159,17 +162,17 @@
     uint32_t rank;
     uint32_t count = count_entries(board, &rank);
     double share = count == 0 ? 0.0 : (double)rate / count;
-    double most = share * BURST_S < 1.0 ? 1.0 : share * BURST_S;
+    double max_tokens = share * BURST_S < 1.0 ? 1.0 : share * BURST_S;
     int64_t passed_ms = board->now.mono_ms - group->tokens_ms;
 
     group->tokens += share * (double)passed_ms / MS_PER_S;
     group->tokens_ms = board->now.mono_ms;
-    if (group->tokens > most) {
-        group->tokens = most;
+    if (group->tokens > max_tokens) {
+        group->tokens = max_tokens;
     }
 }
 
-/* Units that may be used now: one may be kept for an older waiter. */
+/* Units usable now: one may be set aside for an entry that waits longer. */
 static int64_t
 usable_units(const Board *board, const Group *group)
 {
@@ -183,7 +186,7 @@
     const Table_Row *row = Table_Find(Board_Table(board), group->name);
 
     if (row == NULL) {
-        /* A deleted group: what it has queued still runs to its end. */
+        /* A deleted group: its queued jobs still run to their end. */
         return true;
     }
     group->weight = (uint32_t)row->weight;
@@ -242,7 +245,7 @@
     return oldest_ms;
 }
 
-/* Whether this very request was granted before. */
+/* Whether this same request was granted before (it was sent again). */
 static bool
 was_granted(const Group *group, const lc_borrow_args *args)
 {
@@ -254,7 +257,7 @@
 }
 
 static void
-note_granted(Group *group, const lc_borrow_args *args)
+record_grant(Group *group, const lc_borrow_args *args)
 {
     uint64_t *id = g_new(uint64_t, 1);
 
@@ -285,11 +288,11 @@
     if (group->running < group->units && older) {
         group->units--;
         group->reserved_until_ms = 0;
-        note_granted(group, args);
+        record_grant(group, args);
         return true;
     }
     if (older && group->units > 0) {
-        group->reserved_until_ms = board->now.mono_ms + RESERVE_MS;
+        group->reserved_until_ms = board->now.mono_ms + RESERVE_TIMEOUT_MS;
     }
     return false;
 }
@@ -306,7 +309,7 @@
     board->ports.reply(board->context, reply_id, &reply);
 }
 
-/* The next entry after the one asked last, in order of address. */
+/* The next entry by address after the one asked last, wrapping around. */
 static const View_Member *
 next_lender(const Board *board, Address after)
 {
@@ -395,7 +398,7 @@
 } borrow_search;
 
 static void
-find_borrower(Group *group, void *context)
+match_borrow_call(Group *group, void *context)
 {
     borrow_search *search = context;
 
@@ -410,16 +413,16 @@
     borrow_search search = {call, NULL};
     Group *group;
 
-    Groups_Each(board->groups, find_borrower, &search);
+    Groups_Each(board->groups, match_borrow_call, &search);
     group = search.group;
     if (group == NULL) {
         return;
     }
     group->borrow_call = 0;
-    group->borrow_ms = board->now.mono_ms + BORROW_MS;
+    group->borrow_ms = board->now.mono_ms + BORROW_INTERVAL_MS;
     if (reply == NULL) {
-        /* It may have been granted: the same request is sent again. */
-        group->borrow_ms = board->now.mono_ms + BORROW_AGAIN_MS;
+        /* It may have been granted: the same request id is sent again. */
+        group->borrow_ms = board->now.mono_ms + BORROW_RESEND_MS;
         return;
     }
     group->borrow_id = 0;
@@ -433,7 +436,7 @@
 
 typedef struct {
     Board *board;
-    bool kept;
+    bool within_shares;
 } comply_search;
 
 static void
@@ -445,11 +448,11 @@
     if (row != NULL && row->max_running > 0 &&
         group->running >
             share_of(search->board, group->name, row->max_running)) {
-        search->kept = false;
+        search->within_shares = false;
     }
 }
 
-/* Tells peers, by the next ping, once nothing here exceeds its share. */
+/* Reports to peers, with the next ping, that no share is exceeded here. */
 static void
 update_complied(Board *board)
 {
@@ -459,7 +462,7 @@
         return;
     }
     Groups_Each(board->groups, check_group, &search);
-    if (search.kept) {
+    if (search.within_shares) {
         board->complied = Board_View(board)->epoch;
     }
 }
--- a/core/outcome.c
+++ b/core/outcome.c
@@ -63,19 +63,19 @@
 }
 
 static lc_answer
-plain_answer(Err_Kind kind, const char *message, uint32_t retry_ms)
+make_answer(Err_Kind kind, const char *message, uint32_t retry_ms)
 {
     lc_answer answer;
 
     memset(&answer, 0, sizeof(answer));
-    /* The codec takes no const, but only reads while it encodes. */
+    /* The XDR codec takes no const, but encoding does not write. */
     answer.kind = (char *)(uintptr_t)Err_Text(kind);
     answer.message = (char *)(uintptr_t)message;
     answer.retry_ms = retry_ms;
     return answer;
 }
 
-/* Answer of an ended job; `results` is the caller's to free. */
+/* Answer of an ended job; the caller frees `results`. */
 static lc_answer
 job_answer(const Job *job, lc_result **results)
 {
@@ -83,9 +83,9 @@
 
     *results = NULL;
     if (job->state == JOB_FAILED) {
-        return plain_answer(job->kind, job->message, 0);
+        return make_answer(job->kind, job->message, 0);
     }
-    answer = plain_answer(ERR_OK, "", 0);
+    answer = make_answer(ERR_OK, "", 0);
     *results = g_new0(lc_result, job->total);
     Job_Results(job, *results);
     answer.results.results_len = job->total;
@@ -159,8 +159,8 @@
 Outcome_NotRun(Board *board, Job *job, Err_Kind kind, const char *message,
                int64_t retry_ms)
 {
-    lc_answer answer = plain_answer(kind, message,
-                                    Board_RetryMs(board, retry_ms));
+    lc_answer answer = make_answer(kind, message,
+                                   Board_RetryMs(board, retry_ms));
 
     Groups_Dequeue(board->groups, job);
     answer_waiters(board, job, &answer);
@@ -187,7 +187,7 @@
 Outcome_Refuse(Board *board, const Job_Waiter *waiter, const Key *key,
                Err_Kind kind, const char *message, int64_t retry_ms)
 {
-    lc_answer answer = plain_answer(
+    lc_answer answer = make_answer(
         kind, message, retry_ms > 0 ? Board_RetryMs(board, retry_ms) : 0);
 
     send_answer(board, waiter, key, &answer);
@@ -203,8 +203,8 @@
 void
 Outcome_Running(Board *board, const Job_Waiter *waiter, const Key *key)
 {
-    lc_answer answer = plain_answer(ERR_OK, "",
-                                    Board_RetryMs(board, RUNNING_RETRY_MS));
+    lc_answer answer = make_answer(ERR_OK, "",
+                                   Board_RetryMs(board, RUNNING_RETRY_MS));
 
     answer.running = TRUE;
     send_answer(board, waiter, key, &answer);
@@ -217,15 +217,15 @@
 
     reply.u.submit.accepted = FALSE;
     reply.u.submit.position = Fold_Position(board->fold);
-    reply.u.submit.answer = plain_answer(ERR_UNSETTLED, "not the owner", 0);
+    reply.u.submit.answer = make_answer(ERR_UNSETTLED, "not the owner", 0);
     board->ports.reply(board->context, reply_id, &reply);
 }
 
 void
 Outcome_AbandonAll(Board *board)
 {
-    lc_answer answer = plain_answer(
-        ERR_OWNER_LOST, "this entry left the view; ask again",
+    lc_answer answer = make_answer(
+        ERR_OWNER_LOST, "this entry left the view; retry the request",
         Board_RetryMs(board, board->config.evidence_ms));
     GHashTableIter iter;
     gpointer key;
--- a/core/outcome.h
+++ b/core/outcome.h
@@ -1,43 +1,46 @@
 /**
  * @file outcome.h
- * @brief Ends of jobs and answers to those who wait for them.
+ * @brief Ends jobs and answers the callers and peers that wait for them.
  */
 #ifndef LC_CORE_OUTCOME_H
 #define LC_CORE_OUTCOME_H
 
 #include "core/board.h"
 
-/** Every task is done: answers all waiters whole. */
+/** Every task is done: sends all results to all waiters. */
 void Outcome_Done(Board *board, Job *job);
 
-/** The job is over without an answer: tells all waiters at once. */
+/** Ends the job with an error, which all waiters get; keeps its key. */
 void Outcome_Fail(Board *board, Job *job, Err_Kind kind, const char *message);
 
-/** A companion was lost with a started task of the job. */
+/** Fails the job: a companion was lost that had started a task of it. */
 void Outcome_Lost(Board *board, Job *job);
 
-/** No task of the job was started: tells all waiters and forgets the job. */
+/** No task was started: answers all waiters and removes the job. */
 void Outcome_NotRun(Board *board, Job *job, Err_Kind kind, const char *message,
                     int64_t retry_ms);
 
-/** Answers one waiter from an ended job, or adds it to a running one. */
+/** Answers a waiter if the job has ended, else adds it to the job. */
 void Outcome_Attach(Board *board, Job *job, const Job_Waiter *waiter);
 
-/** Answers one waiter without a job. */
+/**
+ * Answers a waiter with an error, without a job. @p retry_ms: delay after
+ * which to retry, before jitter; 0 for none.
+ */
 void Outcome_Refuse(Board *board, const Job_Waiter *waiter, const Key *key,
                     Err_Kind kind, const char *message, int64_t retry_ms);
 
-/** Passes on the answer of another entry. */
+/** Forwards the answer of another entry to a waiter. */
 void Outcome_Forward(Board *board, const Job_Waiter *waiter, const Key *key,
                      const lc_answer *answer);
 
-/** Tells that a look found the job running. */
+/** Answers a state query: the job is running. */
 void Outcome_Running(Board *board, const Job_Waiter *waiter, const Key *key);
 
-/** Tells a peer that this entry is not the one to ask. */
+/** Rejects a peer's SUBMIT: this entry does not own the key. */
 void Outcome_NotOwner(Board *board, uint64_t reply_id);
 
-/** Tells all waiters of all jobs that this entry lost its place. */
+/** Answers all waiters of all jobs that this entry has left the view. */
 void Outcome_AbandonAll(Board *board);
 
 #endif
--- a/core/overdue.c
+++ b/core/overdue.c
@@ -2,9 +2,9 @@
 
 #include "core/outcome.h"
 
-#define SOON_MS 500
-#define RATE_MS 500
-#define RATE_SHARE 0.3
+#define RETRY_MS 500
+#define RATE_INTERVAL_MS 500
+#define RATE_EWMA_WEIGHT 0.3
 
 static int64_t
 max_wait_ms(const Board *board, const Job *job)
@@ -18,26 +18,27 @@
 end_overdue(Board *board, Job *job)
 {
     int64_t limit_ms = max_wait_ms(board, job);
-    int64_t hung_ms = board->config.task_timeout_ms +
-                      board->config.patience_ms;
+    int64_t hung_after_ms = board->config.task_timeout_ms +
+                            board->config.patience_ms;
 
     if (job->deadline_ms != 0 && board->now.mono_ms >= job->deadline_ms) {
-        if (Job_Begun(job)) {
+        if (Job_HasStarted(job)) {
             Outcome_Fail(board, job, ERR_DEADLINE, "the deadline has passed");
         }
         else {
             Outcome_NotRun(board, job, ERR_WAIT_TOO_LONG,
                            "the deadline passed before the first start",
-                           SOON_MS);
+                           RETRY_MS);
         }
         return;
     }
-    if (job->sent > 0 && board->now.mono_ms - job->progress_ms > hung_ms) {
-        /* Companions end every task in time: this one never answers. */
+    if (job->sent > 0 &&
+        board->now.mono_ms - job->progress_ms > hung_after_ms) {
+        /* A companion ends every task in time: this one will not answer. */
         Outcome_Lost(board, job);
         return;
     }
-    if (limit_ms > 0 && !Job_Begun(job) &&
+    if (limit_ms > 0 && !Job_HasStarted(job) &&
         board->now.mono_ms - job->arrived_ms > limit_ms) {
         Outcome_NotRun(board, job, ERR_WAIT_TOO_LONG,
                        "waited longer than the group's max_wait_ms", limit_ms);
@@ -68,12 +69,13 @@
     int64_t passed_ms = board->now.mono_ms - board->done_ms;
     double rate;
 
-    if (passed_ms < RATE_MS) {
+    if (passed_ms < RATE_INTERVAL_MS) {
         return;
     }
-    rate = board->done_recent * 1000.0 / (double)passed_ms;
-    board->done_rate += RATE_SHARE * (rate - board->done_rate);
-    board->done_recent = 0;
+    rate = board->tasks_ended * 1000.0 / (double)passed_ms;
+    board->tasks_ended_per_s += RATE_EWMA_WEIGHT *
+                                (rate - board->tasks_ended_per_s);
+    board->tasks_ended = 0;
     board->done_ms = board->now.mono_ms;
 }
 
--- a/core/overdue.h
+++ b/core/overdue.h
@@ -1,8 +1,8 @@
 /**
  * @file overdue.h
- * @brief Controller of time: jobs that waited too long, passed their
- * deadline or make no progress are answered at once; and the rate at which
- * tasks end here, from which admission expects waits.
+ * @brief Controller of job timeouts: ends jobs that waited too long, passed
+ * their deadline or make no progress. It also measures the rate at which
+ * tasks end here, from which admission estimates waiting times.
  */
 #ifndef LC_CORE_OVERDUE_H
 #define LC_CORE_OVERDUE_H
--- a/core/placement.c
+++ b/core/placement.c
@@ -4,16 +4,16 @@
 
 #include "core/members.h"
 
-#define OTHERS_SHARE 0.5
-#define PROBE_MS 50
-#define QUEUED_MS 2000
-#define PROBES 2
-#define MAX_PROBES 8
+#define OTHERS_EWMA_WEIGHT 0.5
+#define PROBE_INTERVAL_MS 50
+#define QUEUED_TIMEOUT_MS 2000
+#define CANDIDATES 2
+#define MAX_DRAWS 8
 
 typedef Peer *(*choose_function)(Board *board, const GPtrArray *usable);
 
 static uint32_t
-believed_free(const Peer *peer)
+estimated_free(const Peer *peer)
 {
     uint32_t busy = peer->running + (uint32_t)(peer->others + 0.5);
 
@@ -21,11 +21,11 @@
 }
 
 static bool
-is_open(const Board *board, const Peer *peer)
+has_free_slot(const Board *board, const Peer *peer)
 {
     return board->now.mono_ms >= peer->not_before_ms &&
            board->now.mono_ms >= peer->queued_until_ms &&
-           believed_free(peer) > 0 && Members_Usable(board, peer);
+           estimated_free(peer) > 0 && Members_Usable(board, peer);
 }
 
 static Peer *
@@ -34,13 +34,13 @@
     return g_ptr_array_index(usable, Board_Random(board) % usable->len);
 }
 
-/* Any companion that did not refuse just now, full or not. */
+/* Any companion that did not refuse a start lately, full or not. */
 static Peer *
 choose_random(Board *board, const GPtrArray *usable)
 {
     int i;
 
-    for (i = 0; i < MAX_PROBES; i++) {
+    for (i = 0; i < MAX_DRAWS; i++) {
         Peer *peer = random_peer(board, usable);
         if (board->now.mono_ms >= peer->not_before_ms) {
             return peer;
@@ -49,7 +49,10 @@
     return NULL;
 }
 
-/* The freer of two random open ones, so that entries do not choose alike. */
+/*
+ * The one with more free slots of two drawn at random, so that entries do not
+ * all choose the same companion.
+ */
 static Peer *
 choose_of_two(Board *board, const GPtrArray *usable)
 {
@@ -57,13 +60,13 @@
     int found = 0;
     int i;
 
-    for (i = 0; i < MAX_PROBES && found < PROBES; i++) {
+    for (i = 0; i < MAX_DRAWS && found < CANDIDATES; i++) {
         Peer *peer = random_peer(board, usable);
-        if (!is_open(board, peer)) {
+        if (!has_free_slot(board, peer)) {
             continue;
         }
         found++;
-        if (best == NULL || believed_free(peer) > believed_free(best)) {
+        if (best == NULL || estimated_free(peer) > estimated_free(best)) {
             best = peer;
         }
     }
@@ -71,20 +74,23 @@
 }
 
 /*
- * What is believed of others may be old: one start is risked on a companion
- * that seems full and does not know that work waits here. It either runs, or
- * its refusal leaves our demand there.
+ * The estimate of slots used by other entries may be out of date, so one start
+ * is sent to a companion that seems full and does not have our demand. Either
+ * the task runs, or the companion refuses it and registers the demand.
  */
 static bool
-is_worth_a_probe(const Board *board, const Peer *peer)
+may_probe(const Board *board, const Peer *peer)
 {
     return peer->running < peer->slots &&
            board->now.mono_ms >= peer->queued_until_ms &&
-           board->now.mono_ms >= peer->probe_ms &&
+           board->now.mono_ms >= peer->next_probe_ms &&
            board->now.mono_ms >= peer->not_before_ms;
 }
 
-/* As before; where random tries find none, the first open one in turn. */
+/*
+ * As choose_of_two; if the random draws find none, the first companion with a
+ * free slot from a random start, then the first that may be probed.
+ */
 static Peer *
 choose_granted(Board *board, const GPtrArray *usable)
 {
@@ -94,14 +100,14 @@
 
     for (i = 0; best == NULL && i < usable->len; i++) {
         Peer *peer = g_ptr_array_index(usable, (start + i) % usable->len);
-        if (is_open(board, peer)) {
+        if (has_free_slot(board, peer)) {
             best = peer;
         }
     }
     for (i = 0; best == NULL && i < usable->len; i++) {
         Peer *peer = g_ptr_array_index(usable, (start + i) % usable->len);
-        if (is_worth_a_probe(board, peer)) {
-            peer->probe_ms = board->now.mono_ms + PROBE_MS;
+        if (may_probe(board, peer)) {
+            peer->next_probe_ms = board->now.mono_ms + PROBE_INTERVAL_MS;
             peer->demand_sent = 0;
             best = peer;
         }
@@ -112,9 +118,9 @@
 static const struct {
     const char *text;
     choose_function choose;
-    bool tells_demand;
+    bool sends_demand;
 } policies[PLACEMENT_COUNT] = {
-#define X(name, text, choose, tells_demand) {text, choose, tells_demand},
+#define X(name, text, choose, sends_demand) {text, choose, sends_demand},
     PLACEMENT_LIST(X)
 #undef X
 };
@@ -144,25 +150,25 @@
 }
 
 uint32_t
-Placement_OpenSlots(Board *board)
+Placement_FreeSlots(Board *board)
 {
     const GPtrArray *usable = Members_AllUsable(board);
-    uint32_t open = 0;
+    uint32_t free_slots = 0;
     guint i;
 
     for (i = 0; i < usable->len; i++) {
         const Peer *peer = g_ptr_array_index(usable, i);
-        if (is_open(board, peer)) {
-            open += believed_free(peer);
+        if (has_free_slot(board, peer)) {
+            free_slots += estimated_free(peer);
         }
     }
-    return open;
+    return free_slots;
 }
 
 bool
-Placement_TellsDemand(const Board *board)
+Placement_SendsDemand(const Board *board)
 {
-    return policies[board->config.placement].tells_demand;
+    return policies[board->config.placement].sends_demand;
 }
 
 void
@@ -171,14 +177,14 @@
     uint32_t busy = peer->slots > free ? peer->slots - free : 0;
     double others = busy > peer->running ? busy - peer->running : 0;
 
-    peer->others += OTHERS_SHARE * (others - peer->others);
+    peer->others += OTHERS_EWMA_WEIGHT * (others - peer->others);
     if (free > 0) {
         peer->queued_until_ms = 0;
     }
 }
 
 void
-Placement_Queued(const Board *board, Peer *peer)
+Placement_MarkQueued(const Board *board, Peer *peer)
 {
-    peer->queued_until_ms = board->now.mono_ms + QUEUED_MS;
+    peer->queued_until_ms = board->now.mono_ms + QUEUED_TIMEOUT_MS;
 }
--- a/core/placement.h
+++ b/core/placement.h
@@ -1,27 +1,31 @@
 /**
  * @file placement.h
- * @brief Which companion a task is sent to, by a table of policies. The
- * others are baselines that the chosen one, `grants`, is measured against.
+ * @brief Chooses the companion that a task is sent to, by one of several
+ * policies. The default is `grants`; the others are baselines to compare it
+ * with.
  */
 #ifndef LC_CORE_PLACEMENT_H
 #define LC_CORE_PLACEMENT_H
 
 #include "core/board.h"
 
-/** Companion to send the next task to, or NULL to wait. */
+/** Companion for the next task; NULL if no companion has room. */
 Peer *Placement_Choose(Board *board);
 
-/** Slots believed free at all companions that may be sent work. */
-uint32_t Placement_OpenSlots(Board *board);
+/** Estimated free slots of all companions that may be sent tasks. */
+uint32_t Placement_FreeSlots(Board *board);
 
-/** Whether companions are told what waits, so that they grant slots. */
-bool Placement_TellsDemand(const Board *board);
+/** Whether the policy sends demand to companions, so that they grant slots. */
+bool Placement_SendsDemand(const Board *board);
 
-/** A companion told how many of its slots are free. */
+/** A companion reported @p free slots: updates the estimate. */
 void Placement_HeardFree(Peer *peer, uint32_t free);
 
-/** A companion was full, or granted a slot: it calls when one is free. */
-void Placement_Queued(const Board *board, Peer *peer);
+/**
+ * A companion was full, or granted a slot: it has our demand and will send a
+ * grant when a slot is free, so no start is sent to it until then.
+ */
+void Placement_MarkQueued(const Board *board, Peer *peer);
 
 /** Policy of that name, or PLACEMENT_COUNT. */
 Placement_Policy Placement_FromText(const char *text);
--- a/core/table.c
+++ b/core/table.c
@@ -10,15 +10,15 @@
 
 typedef struct {
     const char *name;
-    int64_t least;
-    int64_t most;
+    int64_t min;
+    int64_t max;
     int64_t initial;
-    size_t place;
+    size_t offset;
 } column;
 
-static const column columns[TABLE_COLUMN_COUNT] = {
-#define X(field, name, least, most, initial)                                  \
-    {name, least, most, initial, offsetof(Table_Row, field)},
+static const column columns[GROUP_TABLE_COLUMN_COUNT] = {
+#define X(field, name, min, max, initial)                                     \
+    {name, min, max, initial, offsetof(Table_Row, field)},
     TABLE_COLUMNS(X)
 #undef X
 };
@@ -26,7 +26,7 @@
 static int64_t *
 cell(Table_Row *row, const column *col)
 {
-    return (int64_t *)(void *)((char *)row + col->place);
+    return (int64_t *)(void *)((char *)row + col->offset);
 }
 
 Table *
@@ -87,7 +87,7 @@
 {
     int i;
 
-    for (i = 0; i < TABLE_COLUMN_COUNT; i++) {
+    for (i = 0; i < GROUP_TABLE_COLUMN_COUNT; i++) {
         if (strcmp(columns[i].name, name) == 0) {
             return &columns[i];
         }
@@ -96,8 +96,8 @@
 }
 
 static void
-read_cell(const char *name, const json_t *value, Table_Row *row,
-          GString *wrong)
+parse_cell(const char *name, const json_t *value, Table_Row *row,
+           GString *errors)
 {
     const column *col = find_column(name);
 
@@ -105,14 +105,14 @@
         return;
     }
     if (col == NULL) {
-        g_string_append_printf(wrong, "; %s: unknown column", name);
+        g_string_append_printf(errors, "; %s: unknown column", name);
         return;
     }
-    if (!json_is_integer(value) || json_integer_value(value) < col->least ||
-        json_integer_value(value) > col->most) {
-        g_string_append_printf(wrong, "; %s: expected an integer %lld to %lld",
-                               name, (long long)col->least,
-                               (long long)col->most);
+    if (!json_is_integer(value) || json_integer_value(value) < col->min ||
+        json_integer_value(value) > col->max) {
+        g_string_append_printf(errors,
+                               "; %s: expected an integer %lld to %lld", name,
+                               (long long)col->min, (long long)col->max);
         return;
     }
     *cell(row, col) = json_integer_value(value);
@@ -122,7 +122,7 @@
 Table_RowFromJson(const char *group, const json_t *value, Table_Row *row,
                   Status *status)
 {
-    GString *wrong = g_string_new(NULL);
+    GString *errors = g_string_new(NULL);
     Err_Kind kind = ERR_OK;
     const json_t *item;
     const char *name;
@@ -130,26 +130,26 @@
 
     memset(row, 0, sizeof(*row));
     row->present = true;
-    for (i = 0; i < TABLE_COLUMN_COUNT; i++) {
+    for (i = 0; i < GROUP_TABLE_COLUMN_COUNT; i++) {
         *cell(row, &columns[i]) = columns[i].initial;
     }
     if (!Table_ValidName(group)) {
-        g_string_append(wrong, "; group: expected 1 to 64 of [A-Za-z0-9._-]");
+        g_string_append(errors, "; group: expected 1 to 64 of [A-Za-z0-9._-]");
     }
     else {
         g_strlcpy(row->group, group, sizeof(row->group));
     }
     if (!json_is_object(value)) {
-        g_string_append(wrong, "; row: expected an object");
+        g_string_append(errors, "; row: expected an object");
     }
     json_object_foreach((json_t *)(uintptr_t)value, name, item)
     {
-        read_cell(name, item, row, wrong);
+        parse_cell(name, item, row, errors);
     }
-    if (wrong->len > 0) {
-        kind = Err_Set(status, ERR_BAD_REQUEST, "%s", wrong->str + 2);
+    if (errors->len > 0) {
+        kind = Err_Set(status, ERR_BAD_REQUEST, "%s", errors->str + 2);
     }
-    g_string_free(wrong, TRUE);
+    g_string_free(errors, TRUE);
     return kind;
 }
 
@@ -161,7 +161,7 @@
     int i;
 
     json_object_set_new(value, "group", json_string(row->group));
-    for (i = 0; i < TABLE_COLUMN_COUNT; i++) {
+    for (i = 0; i < GROUP_TABLE_COLUMN_COUNT; i++) {
         json_object_set_new(value, columns[i].name,
                             json_integer(*cell(&copy, &columns[i])));
     }
--- a/core/vtime.h
+++ b/core/vtime.h
@@ -1,7 +1,7 @@
 /**
  * @file vtime.h
- * @brief Weighted virtual time: slot time over weight, charged at the start
- * of a task by its expected length and corrected at its end.
+ * @brief Weighted virtual time: slot time divided by weight. The start of a
+ * task charges its expected duration; its end corrects the charge.
  */
 #ifndef LC_CORE_VTIME_H
 #define LC_CORE_VTIME_H
@@ -10,17 +10,17 @@
 
 /** Virtual time of one group. */
 typedef struct {
-    double value_ms; /**< slot-ms over weight */
-    double mean_ms;  /**< moving mean of task time */
+    double value_ms; /**< slot time divided by weight */
+    double mean_ms;  /**< moving mean of task durations */
 } Vtime;
 
-/** Begins at @p floor_ms, the virtual time of the group served last. */
+/** Starts at @p floor_ms, the virtual time of the group served last. */
 void Vtime_Init(Vtime *vtime, double floor_ms);
 
-/** A group that was idle earns no credit for it. */
+/** Raises an idle group's time to @p floor_ms: idling earns no credit. */
 void Vtime_Resume(Vtime *vtime, double floor_ms);
 
-/** Charges the start of a task. */
+/** Charges the expected duration of a task that starts. */
 void Vtime_Start(Vtime *vtime, uint32_t weight);
 
 /** Takes back the charge of a task that did not start. */
--- a/tests/rules.c
+++ b/tests/rules.c
@@ -1,6 +1,7 @@
 /*
- * Single rules of one node, each driven through its door with fake ports:
- * what the random schedules reach too seldom to prove.
+ * Unit tests of single rules of one entry or companion, each driven through
+ * its public functions with fake ports. They cover cases that the randomized
+ * schedules of prop_cluster reach too seldom.
  */
 
 #include <glib.h>
@@ -11,22 +12,22 @@
 #include "core/entry.h"
 
 #define WALL_MS 1700000000000LL
-#define SMALL_ANSWERS 64
+#define MAX_ANSWER_BYTES 64
 #define EVIDENCE_MS ((int64_t)3000)
 
-/* What a node did since the last look. */
+/* One node under test, and what it has done through its ports. */
 typedef struct {
     Entry *entry;
     Companion *companion;
     Node_Time now;
-    uint64_t records; /* applied so far */
+    uint64_t records; /* number applied so far */
     Err_Kind answer;
     int answers;
     uint64_t call_id[MSG_COUNT]; /* of the last call of each kind, or 0 */
     Address call_to[MSG_COUNT];
     int calls[MSG_COUNT];
-    uint64_t ping_worker; /* ids of the last pings */
-    uint64_t ping_other;
+    uint64_t companion_ping_id; /* ids of the last pings */
+    uint64_t other_ping_id;
     uint64_t settled; /* of the last INVENTORY */
     uint64_t target;  /* of the last START */
     lc_start_status status;
@@ -39,7 +40,7 @@
 static const lc_node third_node = {0x7f0000011b5b, 300};
 /* Started in the same microsecond as self_node. */
 static const lc_node twin_node = {0x7f0000011b5c, 100};
-static const lc_node worker_node = {0x7f0000011b63, 900};
+static const lc_node companion_node = {0x7f0000011b63, 900};
 
 static void
 port_call(void *context, Address to, uint64_t call_id, const Msg_Call *call)
@@ -52,11 +53,11 @@
     if (call->kind == MSG_INVENTORY) {
         fix->settled = call->u.inventory.settled;
     }
-    if (call->kind == MSG_PING && to == worker_node.address) {
-        fix->ping_worker = call_id;
+    if (call->kind == MSG_PING && to == companion_node.address) {
+        fix->companion_ping_id = call_id;
     }
     if (call->kind == MSG_PING && to == other_node.address) {
-        fix->ping_other = call_id;
+        fix->other_ping_id = call_id;
     }
     if (call->kind == MSG_START) {
         fix->target = call->u.start.target;
@@ -137,7 +138,7 @@
     fix->now.wall_ms = WALL_MS;
     config.evidence_ms = EVIDENCE_MS;
     config.inventory_ms = 500;
-    config.max_answer_bytes = SMALL_ANSWERS;
+    config.max_answer_bytes = MAX_ANSWER_BYTES;
     fix->entry = Entry_New(&config, &ports, fix, fix->now);
 }
 
@@ -149,7 +150,7 @@
 }
 
 static void
-pass(fixture *fix, int64_t ms)
+advance(fixture *fix, int64_t ms)
 {
     fix->now.mono_ms += ms;
     fix->now.wall_ms += ms;
@@ -168,7 +169,7 @@
     Entry_OnLog(fix->entry, fix->now, &read);
 }
 
-/* Reads the log again: it is at its tail and says nothing new. */
+/* Has the entry read the log at its tail, where there is no new record. */
 static void
 read_tail(fixture *fix)
 {
@@ -202,7 +203,7 @@
                      "\"base\":0,\"row\":{}}");
 }
 
-/* Answers the pending SETTLE: nothing held, or one key. */
+/* Answers the pending SETTLE: no key is held, or one. */
 static void
 answer_settle(fixture *fix, const lc_node *from, const Key *held)
 {
@@ -220,7 +221,7 @@
     Entry_OnReply(fix->entry, fix->now, fix->call_id[MSG_SETTLE], &reply);
 }
 
-/* Answers the pending INVENTORY: nothing, or the first of two tasks. */
+/* Answers the pending INVENTORY: no task, or the first of two as done. */
 static void
 answer_inventory(fixture *fix, const Key *started)
 {
@@ -229,7 +230,7 @@
     lc_started task;
 
     memset(&task, 0, sizeof(task));
-    reply.u.inventory.node = worker_node;
+    reply.u.inventory.node = companion_node;
     reply.u.inventory.position.offset = fix->records + 1;
     reply.u.inventory.position.epoch = Entry_View(fix->entry)->epoch;
     if (started != NULL) {
@@ -243,23 +244,23 @@
     Entry_OnReply(fix->entry, fix->now, fix->call_id[MSG_INVENTORY], &reply);
 }
 
-/* The worker answers the pending ping with free slots. */
+/* The companion answers the pending ping with free slots. */
 static void
-answer_ping(fixture *fix)
+answer_companion_ping(fixture *fix)
 {
     Msg_Reply reply = {.kind = MSG_PING};
 
-    reply.u.ping.node = worker_node;
+    reply.u.ping.node = companion_node;
     reply.u.ping.role = LC_ROLE_COMPANION;
     reply.u.ping.slots = 4;
     reply.u.ping.free = 4;
     reply.u.ping.position.offset = fix->records + 1;
-    Entry_OnReply(fix->entry, fix->now, fix->ping_worker, &reply);
+    Entry_OnReply(fix->entry, fix->now, fix->companion_ping_id, &reply);
 }
 
 /* The other entry answers the pending ping. */
 static void
-answer_other(fixture *fix, uint64_t complied)
+answer_other_ping(fixture *fix, uint64_t complied)
 {
     Msg_Reply reply = {.kind = MSG_PING};
 
@@ -269,7 +270,7 @@
     reply.u.ping.complied = complied;
     reply.u.ping.position.offset = fix->records + 1;
     reply.u.ping.position.epoch = Entry_View(fix->entry)->epoch;
-    Entry_OnReply(fix->entry, fix->now, fix->ping_other, &reply);
+    Entry_OnReply(fix->entry, fix->now, fix->other_ping_id, &reply);
 }
 
 static void
@@ -287,7 +288,7 @@
     Entry_Submit(fix->entry, fix->now, 1, &spec);
 }
 
-/* A key minted now that @p owner owns in the present view. */
+/* A key minted now that @p owner owns in the current view. */
 static Key
 key_owned_by(const fixture *fix, const lc_node *owner)
 {
@@ -313,13 +314,13 @@
     set_up_entry(&fix);
     change_view(&fix, "add", &self_node, true, false);
     add_group(&fix);
-    pass(&fix, 100);
+    advance(&fix, 100);
     read_tail(&fix);
-    pass(&fix, EVIDENCE_MS - 1);
+    advance(&fix, EVIDENCE_MS - 1);
     key = key_owned_by(&fix, &self_node);
     submit(&fix, &key, 1);
-    g_assert_cmpint(fix.answers, ==, 0); /* admitted, it waits */
-    /* As after a freeze: no tick has run since. */
+    g_assert_cmpint(fix.answers, ==, 0); /* admitted and waiting */
+    /* As after the process was frozen: no tick has run since. */
     fix.now.mono_ms += 2;
     fix.now.wall_ms += 2;
     key = Entry_MintKey(fix.entry, fix.now);
@@ -330,7 +331,7 @@
 }
 
 static void
-set_up_three(fixture *fix)
+set_up_three_entries(fixture *fix)
 {
     set_up_entry(fix);
     add_group(fix);
@@ -344,14 +345,14 @@
 {
     fixture fix;
 
-    set_up_three(&fix);
+    set_up_three_entries(&fix);
     change_view(&fix, "remove", &third_node, true, false);
-    pass(&fix, 100);
+    advance(&fix, 100);
     answer_settle(&fix, &other_node, NULL);
-    pass(&fix, 100); /* now every member is known to have applied it */
-    pass(&fix, EVIDENCE_MS - 200);
+    advance(&fix, 100); /* now every member is known to have applied it */
+    advance(&fix, EVIDENCE_MS - 200);
     g_assert_false(Entry_IsSettled(fix.entry));
-    pass(&fix, EVIDENCE_MS / 2);
+    advance(&fix, EVIDENCE_MS / 2);
     g_assert_true(Entry_IsSettled(fix.entry));
     tear_down(&fix);
 }
@@ -361,26 +362,29 @@
 {
     fixture fix;
 
-    set_up_three(&fix);
+    set_up_three_entries(&fix);
     change_view(&fix, "remove", &third_node, true, true);
-    pass(&fix, 100);
+    advance(&fix, 100);
     answer_settle(&fix, &other_node, NULL);
-    pass(&fix, 100);
+    advance(&fix, 100);
     g_assert_true(Entry_IsSettled(fix.entry));
     tear_down(&fix);
 }
 
-/* Two removed entries may vouch for each other: only "gone" frees them. */
+/*
+ * Two removed entries may give each other evidence of membership: only "gone"
+ * in the log discharges them.
+ */
 static void
 test_discharge_two(void)
 {
     fixture fix;
 
-    set_up_three(&fix);
+    set_up_three_entries(&fix);
     change_view(&fix, "remove", &third_node, true, false);
     change_view(&fix, "remove", &other_node, true, false);
-    pass(&fix, 100);
-    pass(&fix, EVIDENCE_MS * 20);
+    advance(&fix, 100);
+    advance(&fix, EVIDENCE_MS * 20);
     g_assert_false(Entry_IsSettled(fix.entry));
     tear_down(&fix);
 }
@@ -390,92 +394,92 @@
 {
     fixture fix;
 
-    set_up_three(&fix);
+    set_up_three_entries(&fix);
     change_view(&fix, "remove", &third_node, true, false);
-    pass(&fix, 100);
-    pass(&fix, EVIDENCE_MS * 20); /* the other member never answers */
+    advance(&fix, 100);
+    advance(&fix, EVIDENCE_MS * 20); /* the other member never answers */
     g_assert_false(Entry_IsSettled(fix.entry));
     tear_down(&fix);
 }
 
 static void
-set_up_worker(fixture *fix)
+set_up_with_companion(fixture *fix)
 {
-    Members_Host host = {worker_node.address, LC_ROLE_COMPANION, false};
+    Members_Host host = {companion_node.address, LC_ROLE_COMPANION, false};
 
     set_up_entry(fix);
     add_group(fix);
     change_view(fix, "add", &self_node, true, false);
-    change_view(fix, "add", &worker_node, false, false);
+    change_view(fix, "add", &companion_node, false, false);
     Entry_OnHosts(fix->entry, fix->now, &host, 1);
-    pass(fix, 100);
-    answer_ping(fix);
+    advance(fix, 100);
+    answer_companion_ping(fix);
     read_tail(fix);
 }
 
 static void
 test_leaving_by_list(void)
 {
-    Members_Host host = {worker_node.address, LC_ROLE_COMPANION, true};
+    Members_Host host = {companion_node.address, LC_ROLE_COMPANION, true};
     fixture fix;
     Key key;
 
-    set_up_worker(&fix);
+    set_up_with_companion(&fix);
     Entry_OnHosts(fix.entry, fix.now, &host, 1);
     key = key_owned_by(&fix, &self_node);
     submit(&fix, &key, 1);
     g_assert_cmpint(fix.calls[MSG_START], ==, 0);
     host.leaving = false;
     Entry_OnHosts(fix.entry, fix.now, &host, 1);
-    pass(&fix, 100);
+    advance(&fix, 100);
     g_assert_cmpint(fix.calls[MSG_START], ==, 1);
-    g_assert_cmpuint(fix.target, ==, worker_node.incarnation);
+    g_assert_cmpuint(fix.target, ==, companion_node.incarnation);
     tear_down(&fix);
 }
 
-/* A job recovered here, whose key went back to a new incarnation. */
+/* A recovered job whose key is now owned by its owner's next incarnation. */
 static void
 test_former_owner(void)
 {
-    lc_node again = {other_node.address, other_node.incarnation + 1};
+    lc_node new_other_node = {other_node.address, other_node.incarnation + 1};
     fixture fix;
     Key key;
 
-    set_up_worker(&fix);
+    set_up_with_companion(&fix);
     change_view(&fix, "add", &other_node, true, false);
-    pass(&fix, 100);
+    advance(&fix, 100);
     answer_settle(&fix, &other_node, NULL);
-    pass(&fix, 100);
+    advance(&fix, 100);
     key = key_owned_by(&fix, &other_node);
     change_view(&fix, "remove", &other_node, true, true);
-    pass(&fix, 100);
+    advance(&fix, 100);
     answer_inventory(&fix, &key);
-    pass(&fix, 100);
+    advance(&fix, 100);
     g_assert_true(Entry_IsSettled(fix.entry));
-    change_view(&fix, "add", &again, true, false);
+    change_view(&fix, "add", &new_other_node, true, false);
     read_tail(&fix);
     fix.calls[MSG_START] = 0;
     submit(&fix, &key, 2);
     g_assert_cmpint(fix.calls[MSG_START], ==, 0);
     g_assert_cmpint(fix.calls[MSG_SUBMIT], ==, 1);
-    g_assert_cmpuint(fix.call_to[MSG_SUBMIT], ==, again.address);
+    g_assert_cmpuint(fix.call_to[MSG_SUBMIT], ==, new_other_node.address);
     tear_down(&fix);
 }
 
-/* The same without the change: what was recovered is resumed. */
+/* As test_former_owner, without the new incarnation: the job is resumed. */
 static void
 test_resume(void)
 {
     fixture fix;
     Key key;
 
-    set_up_worker(&fix);
+    set_up_with_companion(&fix);
     change_view(&fix, "add", &other_node, true, false);
     key = key_owned_by(&fix, &other_node);
     change_view(&fix, "remove", &other_node, true, true);
-    pass(&fix, 100);
+    advance(&fix, 100);
     answer_inventory(&fix, &key);
-    pass(&fix, 100);
+    advance(&fix, 100);
     g_assert_true(Entry_IsSettled(fix.entry));
     read_tail(&fix);
     submit(&fix, &key, 2);
@@ -489,41 +493,41 @@
     fixture fix;
     Key key;
 
-    set_up_worker(&fix);
+    set_up_with_companion(&fix);
     change_view(&fix, "add", &other_node, true, false);
-    pass(&fix, 100);
+    advance(&fix, 100);
     key = key_owned_by(&fix, &self_node);
     answer_settle(&fix, &other_node, &key);
-    pass(&fix, 100);
+    advance(&fix, 100);
     g_assert_true(Entry_IsSettled(fix.entry));
     change_view(&fix, "remove", &other_node, true, true);
-    pass(&fix, 100);
+    advance(&fix, 100);
     g_assert_cmpint(fix.calls[MSG_INVENTORY], ==, 1);
     g_assert_cmpuint(fix.settled, ==, 0);
     answer_inventory(&fix, NULL);
-    pass(&fix, 100);
+    advance(&fix, 100);
     g_assert_true(Entry_IsSettled(fix.entry));
-    /* With nothing forgotten the next one asks for what is new only. */
+    /* With nothing removed, the next inventory requests new starts only. */
     change_view(&fix, "add", &third_node, true, false);
-    pass(&fix, 100);
+    advance(&fix, 100);
     g_assert_cmpuint(fix.settled, >, 0);
     tear_down(&fix);
 }
 
-/* An answer beyond what is kept still reaches the caller who waits. */
+/* An answer above the memory budget still reaches the waiting caller. */
 static void
 test_large_answer(void)
 {
-    static char result[2 * SMALL_ANSWERS];
-    static char nothing[] = "";
+    static char result[2 * MAX_ANSWER_BYTES];
+    static char empty[] = "";
     Msg_Reply reply = {.kind = MSG_START};
     fixture fix;
     Key key;
 
-    set_up_worker(&fix);
+    set_up_with_companion(&fix);
     key = key_owned_by(&fix, &self_node);
     submit(&fix, &key, 1);
-    reply.u.start.grant_group = nothing;
+    reply.u.start.grant_group = empty;
     reply.u.start.result.result_len = sizeof(result);
     reply.u.start.result.result_val = result;
     Entry_OnReply(fix.entry, fix.now, fix.call_id[MSG_START], &reply);
@@ -532,7 +536,7 @@
     tear_down(&fix);
 }
 
-/* A companion that answers pings but never a START. */
+/* A companion that answers pings but never a START: the job is lost. */
 static void
 test_hung_task(void)
 {
@@ -542,22 +546,22 @@
     fixture fix;
     Key key;
 
-    set_up_worker(&fix);
+    set_up_with_companion(&fix);
     key = key_owned_by(&fix, &self_node);
     submit(&fix, &key, 1);
     g_assert_cmpint(fix.calls[MSG_START], ==, 1);
     for (passed_ms = 0; passed_ms < limit_ms; passed_ms += 100) {
-        pass(&fix, 100);
-        answer_ping(&fix);
+        advance(&fix, 100);
+        answer_companion_ping(&fix);
     }
     g_assert_cmpint(fix.answers, ==, 0);
-    pass(&fix, 200);
+    advance(&fix, 200);
     g_assert_cmpint(fix.answers, ==, 1);
     g_assert_cmpstr(Err_Text(fix.answer), ==, "lost");
     tear_down(&fix);
 }
 
-/* A share of a cap is used only once the other entry keeps to its own. */
+/* A share of a cap is used only once the other entry stays within its own. */
 static void
 test_cap_waits(void)
 {
@@ -565,26 +569,26 @@
     uint64_t epoch;
     Key key;
 
-    set_up_worker(&fix);
+    set_up_with_companion(&fix);
     read_record(&fix, "{\"kind\":\"edit\",\"id\":\"y\",\"group\":\"g\","
                       "\"base\":1,\"row\":{\"max_running\":2}}");
     change_view(&fix, "add", &other_node, true, false);
     epoch = Entry_View(fix.entry)->epoch;
-    pass(&fix, 100);
+    advance(&fix, 100);
     answer_settle(&fix, &other_node, NULL);
-    answer_other(&fix, epoch - 1);
-    pass(&fix, 100);
+    answer_other_ping(&fix, epoch - 1);
+    advance(&fix, 100);
     read_tail(&fix);
     key = key_owned_by(&fix, &self_node);
     submit(&fix, &key, 2);
     g_assert_cmpint(fix.calls[MSG_START], ==, 0);
-    pass(&fix, 600);
-    answer_ping(&fix);
-    answer_other(&fix, epoch);
+    advance(&fix, 600);
+    answer_companion_ping(&fix);
+    answer_other_ping(&fix, epoch);
     read_tail(&fix);
-    pass(&fix, 100);
-    g_assert_cmpint(fix.calls[MSG_START], ==, 1); /* one unit of two */
-    pass(&fix, 100);
+    advance(&fix, 100);
+    g_assert_cmpint(fix.calls[MSG_START], ==, 1); /* one of two units */
+    advance(&fix, 100);
     g_assert_cmpint(fix.calls[MSG_START], ==, 1);
     g_assert_cmpint(fix.calls[MSG_BORROW], >, 0);
     tear_down(&fix);
@@ -593,7 +597,7 @@
 static void
 set_up_companion(fixture *fix)
 {
-    Companion_Config config = Companion_Defaults(worker_node);
+    Companion_Config config = Companion_Defaults(companion_node);
     Msg_Call call = {.kind = MSG_RELAY};
     lc_record record;
     char text[400];
@@ -620,8 +624,8 @@
 }
 
 static void
-start(fixture *fix, const lc_node *owner, uint64_t epoch, uint64_t sequence,
-      uint32_t index)
+send_start(fixture *fix, const lc_node *owner, uint64_t epoch,
+           uint64_t sequence, uint32_t index)
 {
     Msg_Call call = {.kind = MSG_START};
     static char group[] = "g";
@@ -629,7 +633,7 @@
     call.u.start.owner = *owner;
     call.u.start.epoch = epoch;
     call.u.start.sequence = sequence;
-    call.u.start.target = worker_node.incarnation;
+    call.u.start.target = companion_node.incarnation;
     call.u.start.index = index;
     call.u.start.total = 9;
     call.u.start.group = group;
@@ -644,14 +648,14 @@
     fixture fix;
 
     set_up_companion(&fix);
-    start(&fix, &self_node, 1, 5, 0);
+    send_start(&fix, &self_node, 1, 5, 0);
     g_assert_cmpint(fix.replies, ==, 0);
     g_assert_cmpuint(fix.run_id, !=, 0);
-    start(&fix, &self_node, 1, 4, 1); /* older than one seen before */
+    send_start(&fix, &self_node, 1, 4, 1); /* older than one received before */
     g_assert_cmpint(fix.status, ==, LC_START_STALE);
-    start(&fix, &self_node, 9, 6, 1); /* a view not applied here */
+    send_start(&fix, &self_node, 9, 6, 1); /* a view not applied here */
     g_assert_cmpint(fix.status, ==, LC_START_BEHIND);
-    start(&fix, &other_node, 1, 1, 1); /* not in the view */
+    send_start(&fix, &other_node, 1, 1, 1); /* not in the view */
     g_assert_cmpint(fix.status, ==, LC_START_FENCED);
     tear_down(&fix);
 }
@@ -662,55 +666,57 @@
     fixture fix;
 
     set_up_companion(&fix);
-    start(&fix, &self_node, 1, 5, 0);
+    send_start(&fix, &self_node, 1, 5, 0);
     g_assert_cmpuint(fix.run_id, !=, 0);
-    start(&fix, &self_node, 1, 7, 0); /* the record: no second run */
+    send_start(&fix, &self_node, 1, 7,
+               0); /* already recorded: no second run */
     g_assert_cmpint(fix.replies, ==, 0);
     g_assert_cmpuint(fix.run_id, ==, 0);
     Companion_Drain(fix.companion, fix.now);
-    start(&fix, &self_node, 1, 8, 1);
+    send_start(&fix, &self_node, 1, 8, 1);
     g_assert_cmpint(fix.status, ==, LC_START_DRAINING);
     g_assert_cmpuint(fix.run_id, ==, 0);
     g_assert_false(Companion_IsDrained(fix.companion));
     tear_down(&fix);
 }
 
-/* After a task that timed out one task at a time, until one ends well. */
+/* After a time-out the companion runs one task at a time until one succeeds.
+ */
 static void
 test_hanging_upstream(void)
 {
     fixture fix;
-    uint64_t hung;
+    uint64_t run_id;
 
     set_up_companion(&fix);
-    start(&fix, &self_node, 1, 1, 0);
-    hung = fix.run_id;
-    Companion_OnRun(fix.companion, fix.now, hung, COMPANION_RUN_TIMEOUT, 0,
+    send_start(&fix, &self_node, 1, 1, 0);
+    run_id = fix.run_id;
+    Companion_OnRun(fix.companion, fix.now, run_id, COMPANION_RUN_TIMEOUT, 0,
                     NULL, 0);
-    start(&fix, &self_node, 1, 2, 1);
-    hung = fix.run_id;
-    g_assert_cmpuint(hung, !=, 0);
-    start(&fix, &self_node, 1, 3, 2);
+    send_start(&fix, &self_node, 1, 2, 1);
+    run_id = fix.run_id;
+    g_assert_cmpuint(run_id, !=, 0);
+    send_start(&fix, &self_node, 1, 3, 2);
     g_assert_cmpuint(fix.run_id, ==, 0);
     g_assert_cmpint(fix.status, ==, LC_START_DOWN);
-    Companion_OnRun(fix.companion, fix.now, hung, COMPANION_RUN_DONE, 200,
+    Companion_OnRun(fix.companion, fix.now, run_id, COMPANION_RUN_DONE, 200,
                     NULL, 0);
-    start(&fix, &self_node, 1, 4, 2);
+    send_start(&fix, &self_node, 1, 4, 2);
     g_assert_cmpuint(fix.run_id, !=, 0);
-    start(&fix, &self_node, 1, 5, 3);
+    send_start(&fix, &self_node, 1, 5, 3);
     g_assert_cmpuint(fix.run_id, !=, 0);
     tear_down(&fix);
 }
 
-/* Numbers rise for each entry by itself, whatever its incarnation. */
+/* Sequence numbers are checked per entry, not per incarnation number. */
 static void
 test_same_incarnation(void)
 {
     fixture fix;
 
     set_up_companion(&fix);
-    start(&fix, &self_node, 1, 5, 0);
-    start(&fix, &twin_node, 1, 1, 1);
+    send_start(&fix, &self_node, 1, 5, 0);
+    send_start(&fix, &twin_node, 1, 1, 1);
     g_assert_cmpint(fix.replies, ==, 0);
     g_assert_cmpuint(fix.run_id, !=, 0);
     tear_down(&fix);
