--- a/core/job.c
+++ b/core/job.c
@@ -113,14 +113,14 @@
 {
     uint32_t total = job->total;
     size_t size = total * sizeof(packed_result) + job->result_bytes;
-    packed_result *head = g_malloc(size);
-    uint8_t *bytes = (uint8_t *)(head + total);
+    packed_result *headers = g_malloc(size);
+    uint8_t *bytes = (uint8_t *)(headers + total);
     uint32_t i;
 
     for (i = 0; i < total; i++) {
         const Task *task = &job->tasks[i];
-        head[i].code = task->code;
-        head[i].length = task->result_length;
+        headers[i].code = task->code;
+        headers[i].length = task->result_length;
         if (task->result_length > 0) {
             memcpy(bytes, task->result, task->result_length);
         }
@@ -129,22 +129,22 @@
     Job_DropTasks(job);
     job->total = total;
     job->done = total;
-    job->packed = head;
+    job->packed = headers;
     job->result_bytes = size;
 }
 
 void
 Job_Results(const Job *job, lc_result *results)
 {
-    const packed_result *head = job->packed;
-    char *bytes = (char *)(uintptr_t)(head + job->total);
+    const packed_result *headers = job->packed;
+    char *bytes = (char *)(uintptr_t)(headers + job->total);
     uint32_t i;
 
     for (i = 0; i < job->total; i++) {
-        results[i].code = head[i].code;
-        results[i].data.data_len = head[i].length;
+        results[i].code = headers[i].code;
+        results[i].data.data_len = headers[i].length;
         results[i].data.data_val = bytes;
-        bytes += head[i].length;
+        bytes += headers[i].length;
     }
 }
 
--- a/core/limits.c
+++ b/core/limits.c
@@ -440,7 +440,7 @@
 } comply_search;
 
 static void
-check_group(Group *group, void *context)
+check_share(Group *group, void *context)
 {
     comply_search *search = context;
     const Table_Row *row = Table_Find(Board_Table(search->board), group->name);
@@ -461,7 +461,7 @@
     if (board->complied == Board_View(board)->epoch) {
         return;
     }
-    Groups_Each(board->groups, check_group, &search);
+    Groups_Each(board->groups, check_share, &search);
     if (search.within_shares) {
         board->complied = Board_View(board)->epoch;
     }
--- a/core/vtime.c
+++ b/core/vtime.c
@@ -1,14 +1,14 @@
 #include "core/vtime.h"
 
-#define FIRST_MEAN_MS 200.0
-#define LEAST_MEAN_MS 1.0
-#define MEAN_SHARE 0.1
+#define INITIAL_MEAN_MS 200.0
+#define MIN_MEAN_MS 1.0
+#define MEAN_EWMA_WEIGHT 0.1
 
 void
 Vtime_Init(Vtime *vtime, double floor_ms)
 {
     vtime->value_ms = floor_ms;
-    vtime->mean_ms = FIRST_MEAN_MS;
+    vtime->mean_ms = INITIAL_MEAN_MS;
 }
 
 void
@@ -37,8 +37,8 @@
     double error_ms = (double)slot_ms - vtime->mean_ms;
 
     vtime->value_ms += error_ms / weight;
-    vtime->mean_ms += MEAN_SHARE * error_ms;
-    if (vtime->mean_ms < LEAST_MEAN_MS) {
-        vtime->mean_ms = LEAST_MEAN_MS;
+    vtime->mean_ms += MEAN_EWMA_WEIGHT * error_ms;
+    if (vtime->mean_ms < MIN_MEAN_MS) {
+        vtime->mean_ms = MIN_MEAN_MS;
     }
 }
