--- a/cli/commands.c
+++ b/cli/commands.c
@@ -12,7 +12,7 @@
 #include "cli/halls.h"
 #include "daemon/options.h"
 
-/* Sends a request and prints the error it ends in, if any. */
+/* Sends a request; prints an error, if any. Returns the exit code. */
 static int
 call(const Exchange_Request *request, Exchange_Answer *answer)
 {
@@ -31,7 +31,8 @@
     return g_strconcat("/v1/table/groups/", group, NULL);
 }
 
-/* Whole table; the caller owns the result, NULL after a printed error. */
+/* Reads the whole table; the caller owns the result. Returns NULL after an
+ * error, which is printed. */
 static json_t *
 fetch_table(Address entry, int *code)
 {
@@ -79,7 +80,8 @@
     return 0;
 }
 
-/* Reads a row and its ETag; a missing one is no error. */
+/* Reads a row and its ETag. If there is no such row, `row` is NULL and no
+ * error is returned. */
 static int
 fetch_row(Address entry, const char *group, json_t **row, char etag[40])
 {
@@ -301,7 +303,7 @@
     fputs(errors, stderr);
     g_free(errors);
     if (kind == ERR_OK) {
-        printf("%s: settings are well formed\n", arguments[0]);
+        printf("%s: settings are valid\n", arguments[0]);
     }
     return Err_Exit(kind);
 }
@@ -358,19 +360,19 @@
     {"hall open", "HALL", "start tasks in a hall again", 1, 1, false, true,
      HallsCommand_Open},
     {"hall show", "[ADDRESS...]",
-     "print the closed halls, and what the processes "
-     "at these admin addresses know of them",
+     "print the closed halls, and which of them the processes "
+     "at these admin addresses know",
      0, 4096, false, true, HallsCommand_Show},
     {"state", "ADDRESS",
-     "print the state of the process whose admin "
-     "address this is",
+     "print the state of the process at this "
+     "admin address",
      1, 1, false, false, run_state},
     {"check-settings", "FILE", "check a settings file", 1, 1, false, false,
      run_check},
     {"submit", "FILE", "submit a job and print its answer", 1, 1, true, false,
      run_submit},
     {"explain", "JOB FILE...",
-     "print the life of a leased job from the logs of processes", 2, 4096,
+     "print the history of a leased job from the logs of processes", 2, 4096,
      false, false, Explain_Run},
     {NULL, NULL, NULL, 0, 0, false, false, NULL},
 };
--- a/cli/commands.h
+++ b/cli/commands.h
@@ -1,6 +1,6 @@
 /**
  * @file commands.h
- * @brief The commands of `levercove`. Each returns the exit code.
+ * @brief Table of the commands of `levercove`.
  */
 #ifndef LC_CLI_COMMANDS_H
 #define LC_CLI_COMMANDS_H
@@ -9,27 +9,27 @@
 
 #include "base/address.h"
 
-/** What the options gave. */
+/** Values of the command line options. */
 typedef struct {
-    Address entry;   /**< callers' address of an entry */
-    Address store;   /**< of the platform */
-    const char *by;  /**< who changes something */
-    const char *key; /**< for submit; or NULL */
+    Address entry;   /**< address for callers of an entry; 0 if not given */
+    Address store;   /**< address of the platform's store; 0 if not given */
+    const char *by;  /**< name of the operator who closes a hall */
+    const char *key; /**< idempotency key for submit, or NULL */
 } Command_Options;
 
-/** One command: `levercove NAME ARGUMENTS...` */
+/** A command: `levercove NAME ARGUMENTS...`. @c run returns the exit code. */
 typedef struct {
     const char *name;      /**< one or two words */
-    const char *arguments; /**< for the help */
+    const char *arguments; /**< as shown in the help */
     const char *help;
-    int least; /**< number of arguments */
-    int most;
-    bool needs_entry; /**< an entry's address must be given */
-    bool needs_store; /**< the store's, likewise */
+    int min_arguments;
+    int max_arguments;
+    bool needs_entry; /**< the address of an entry is required */
+    bool needs_store; /**< the address of the store is required */
     int (*run)(const Command_Options *options, int count, char **arguments);
 } Command;
 
-/** All commands; the last has no name. */
+/** All commands; the last one has a NULL name. */
 extern const Command command_table[];
 
 #endif
--- a/cli/csv.c
+++ b/cli/csv.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Columns in the order in which they are written. */
+/* Column names, in the order of output. */
 static const char *const columns[] = {"group",
 #define X(field, name, least, most, initial) name,
                                       TABLE_COLUMNS(X)
@@ -47,7 +47,7 @@
     return g_string_free(out, FALSE);
 }
 
-/* Splits one line into cells; quotes may surround a cell. */
+/* Splits a line into cells, which may be quoted. */
 static GPtrArray *
 split_line(const char *line)
 {
@@ -76,7 +76,8 @@
     return cells;
 }
 
-/* A row as JSON, so that one place checks rows; wrong numbers stay texts. */
+/* Converts a row to JSON, so that Table_RowFromJson checks it; invalid numbers
+ * stay strings. */
 static json_t *
 cells_to_json(const GPtrArray *header, const GPtrArray *cells)
 {
@@ -137,7 +138,7 @@
 {
     char **lines = g_strsplit(text, "\n", 0);
     GArray *rows = g_array_new(FALSE, FALSE, sizeof(Table_Row));
-    GString *wrong = g_string_new(NULL);
+    GString *messages = g_string_new(NULL);
     GPtrArray *header = NULL;
     guint i;
 
@@ -150,20 +151,20 @@
             header = split_line(lines[i]);
         }
         else {
-            read_row(header, lines[i], i + 1, rows, wrong);
+            read_row(header, lines[i], i + 1, rows, messages);
         }
     }
     if (header == NULL) {
-        g_string_append(wrong, "line 1: expected a line of column names\n");
+        g_string_append(messages, "line 1: expected a line of column names\n");
     }
     else {
         g_ptr_array_unref(header);
     }
     g_strfreev(lines);
-    if (wrong->len > 0) {
+    if (messages->len > 0) {
         g_array_unref(rows);
         rows = NULL;
     }
-    *errors = g_string_free(wrong, FALSE);
+    *errors = g_string_free(messages, FALSE);
     return rows;
 }
--- a/cli/csv.h
+++ b/cli/csv.h
@@ -1,6 +1,6 @@
 /**
  * @file csv.h
- * @brief The table as CSV (RFC 4180), as operators edit it in spreadsheets.
+ * @brief The table of groups as CSV (RFC 4180), for editing in spreadsheets.
  */
 #ifndef LC_CLI_CSV_H
 #define LC_CLI_CSV_H
@@ -10,13 +10,13 @@
 
 #include "core/table.h"
 
-/** Rows as CSV with a header line; free with g_free. */
+/** Formats rows as CSV with a header line; free with g_free. */
 char *Csv_Write(const json_t *groups);
 
 /**
- * Reads rows; each becomes a Table_Row in the result (free with
- * g_array_unref). Errors: BAD_REQUEST, naming every wrong line at once; the
- * lines are in @p errors (free with g_free) and the result is NULL.
+ * Parses rows into an array of Table_Row (free with g_array_unref). Returns
+ * NULL if any line is invalid (BAD_REQUEST). @p errors always receives a text
+ * (free with g_free) with one line for each invalid line, or an empty one.
  */
 GArray *Csv_Read(const char *text, char **errors);
 
--- a/cli/exchange.c
+++ b/cli/exchange.c
@@ -13,29 +13,30 @@
 typedef struct {
     Exchange_Answer *answer;
     Http_ClientEnd end;
-} waiting;
+} exchange_result;
 
 static void
 on_done(void *context, const Http_ClientAnswer *answer)
 {
-    waiting *wait = context;
+    exchange_result *result = context;
 
-    wait->end = answer->end;
-    wait->answer->status = answer->status;
-    wait->answer->body = g_strndup(answer->body, answer->length);
-    wait->answer->length = answer->length;
-    g_strlcpy(wait->answer->etag, answer->etag, sizeof(wait->answer->etag));
+    result->end = answer->end;
+    result->answer->status = answer->status;
+    result->answer->body = g_strndup(answer->body, answer->length);
+    result->answer->length = answer->length;
+    g_strlcpy(result->answer->etag, answer->etag,
+              sizeof(result->answer->etag));
 }
 
 Err_Kind
 Exchange_Do(const Exchange_Request *request, Exchange_Answer *answer,
             Status *status)
 {
-    static const char *const end_texts[] = {
+    static const char *const outcome_texts[] = {
         [HTTP_CLIENT_ANSWERED] = "",
-        [HTTP_CLIENT_UNREACHED] = "connection refused",
-        [HTTP_CLIENT_BROKEN] = "the connection broke",
-        [HTTP_CLIENT_TIMEOUT] = "no answer in time",
+        [HTTP_CLIENT_UNREACHED] = "could not connect",
+        [HTTP_CLIENT_BROKEN] = "connection lost",
+        [HTTP_CLIENT_TIMEOUT] = "request timed out",
     };
     static Http_Client *client;
     uv_loop_t *loop = uv_default_loop();
@@ -46,19 +47,19 @@
                                .body = request->body,
                                .length = request->length,
                                .timeout_ms = TIMEOUT_MS};
-    waiting wait = {answer, HTTP_CLIENT_BROKEN};
+    exchange_result result = {answer, HTTP_CLIENT_BROKEN};
 
     if (client == NULL) {
         client = Http_NewClient(loop);
     }
     memset(answer, 0, sizeof(*answer));
-    Http_Send(client, &sent, on_done, &wait);
+    Http_Send(client, &sent, on_done, &result);
     while (Http_Pending(client) > 0) {
         uv_run(loop, UV_RUN_ONCE);
     }
-    if (wait.end != HTTP_CLIENT_ANSWERED) {
+    if (result.end != HTTP_CLIENT_ANSWERED) {
         return Err_Set(status, ERR_IO, "%s: %s", Address_Text(request->to),
-                       end_texts[wait.end]);
+                       outcome_texts[result.end]);
     }
     return ERR_OK;
 }
--- a/cli/exchange.h
+++ b/cli/exchange.h
@@ -1,6 +1,6 @@
 /**
  * @file exchange.h
- * @brief One HTTP request of the command line, waited for.
+ * @brief Blocking HTTP requests for the command line.
  */
 #ifndef LC_CLI_EXCHANGE_H
 #define LC_CLI_EXCHANGE_H
@@ -10,11 +10,11 @@
 #include "base/address.h"
 #include "base/err.h"
 
-/** A whole answer; release with Exchange_Clear. */
+/** A complete answer; free with Exchange_Clear. */
 typedef struct {
     int status;
-    char *body; /**< ends with a NUL that is not counted */
-    size_t length;
+    char *body;    /**< NUL-terminated */
+    size_t length; /**< of the body, without the NUL */
     char etag[40];
 } Exchange_Answer;
 
@@ -23,22 +23,23 @@
     Address to;
     const char *method;
     const char *path;
-    const char *headers; /**< whole lines, each ended by CR LF; or NULL */
+    const char *headers; /**< header lines, each ending in CR LF; or NULL */
     const void *body;
     size_t length;
 } Exchange_Request;
 
 /**
- * Sends a request and waits for its end. Errors: IO (no whole answer).
- * An answer of any status is ERR_OK here.
+ * Sends a request and waits for its answer. Errors: IO (no complete answer).
+ * Returns ERR_OK for a complete answer of any status.
  */
 Err_Kind Exchange_Do(const Exchange_Request *request, Exchange_Answer *answer,
                      Status *status);
 
-/** Kind of error that an answer tells of, with its message; or ERR_OK. */
+/** Returns the kind of error in an answer and sets its message, or ERR_OK if
+ * the status code is below 400. */
 Err_Kind Exchange_Check(const Exchange_Answer *answer, Status *status);
 
-/** Prints an error; returns its exit code. */
+/** Prints an error to stderr; returns its exit code. */
 int Exchange_Fail(const Status *status);
 
 void Exchange_Clear(Exchange_Answer *answer);
--- a/cli/explain.c
+++ b/cli/explain.c
@@ -8,7 +8,9 @@
 #include "base/err.h"
 #include "lease/run_status.h"
 
-/* What processes learned so long before the job came may matter to it. */
+/* Events of the processes involved are printed from this long before the job's
+ * arrival, as they may have influenced it, until this long after its last log
+ * line. */
 #define BEFORE_US ((gint64)5 * G_USEC_PER_SEC)
 #define AFTER_US ((gint64)1 * G_USEC_PER_SEC)
 #define MS_IN_US 1000
@@ -21,10 +23,10 @@
 
 typedef struct {
     GPtrArray *lines;  /* log_line, of all files */
-    GHashTable *nodes; /* set of names concerned */
+    GHashTable *nodes; /* set of names of the processes involved */
     gint64 from_us;
     gint64 until_us;
-} life;
+} job_history;
 
 static void
 free_line(gpointer item)
@@ -60,9 +62,9 @@
     return us;
 }
 
-/* A line may stand behind a prefix of whoever collected it. */
+/* Parses a line, which may have a prefix from the log collector. */
 static void
-take_line(life *all, const char *text)
+add_line(job_history *all, const char *text)
 {
     const char *object = strchr(text, '{');
     json_t *fields = object == NULL ? NULL : json_loads(object, 0, NULL);
@@ -80,7 +82,7 @@
 }
 
 static Err_Kind
-read_file(life *all, const char *file, Status *status)
+read_file(job_history *all, const char *file, Status *status)
 {
     GError *error = NULL;
     char *text = NULL;
@@ -94,7 +96,7 @@
     }
     lines = g_strsplit(text, "\n", 0);
     for (i = 0; lines[i] != NULL; i++) {
-        take_line(all, lines[i]);
+        add_line(all, lines[i]);
     }
     g_strfreev(lines);
     g_free(text);
@@ -114,14 +116,15 @@
 }
 
 static void
-note_node(life *all, const char *node)
+add_node(job_history *all, const char *node)
 {
     g_hash_table_add(all->nodes, g_strdup(node));
 }
 
-/* Widens the time and adds the processes that a line of the job names. */
+/* Extends the time range by that of a line about the job, and adds the
+ * processes that the line names. */
 static void
-take_concern(life *all, const log_line *line)
+add_involved(job_history *all, const log_line *line)
 {
     gint64 took_us = json_integer_value(
                          json_object_get(line->fields, "took_ms")) *
@@ -131,19 +134,20 @@
 
     all->from_us = MIN(all->from_us, line->time_us - took_us - BEFORE_US);
     all->until_us = MAX(all->until_us, line->time_us + AFTER_US);
-    note_node(all, line->node);
+    add_node(all, line->node);
     json_array_foreach(json_object_get(line->fields, "trace"), i, item)
     {
         const char *host = json_string_value(json_array_get(item, 4));
         if (host != NULL) {
-            note_node(all, host);
+            add_node(all, host);
         }
     }
 }
 
-/* Whether a line tells what a process believed, and not of another job. */
+/* Whether a line is an event of a process involved, within the time range,
+ * that is about no job and about no other companion. */
 static bool
-is_belief(const life *all, const log_line *line)
+is_related_event(const job_history *all, const log_line *line)
 {
     const char *companion = text_of(line->fields, "companion");
 
@@ -164,7 +168,7 @@
     int at_ms = (int)json_integer_value(json_array_get(item, 0));
 
     if (what == NULL || json_array_size(item) < 6) {
-        printf("      %d decisions left out\n", at_ms);
+        printf("      %d decisions omitted\n", at_ms);
         return;
     }
     printf("      +%d ms (%d before its end): %s task %s run %d at %s", at_ms,
@@ -182,12 +186,12 @@
 }
 
 static bool
-is_head(const char *name)
+is_printed_first(const char *name)
 {
-    static const char *const heads[] = {"time", "event",  "level", "text",
+    static const char *const names[] = {"time", "event",  "level", "text",
                                         "node", "detail", "trace", NULL};
 
-    return g_strv_contains(heads, name);
+    return g_strv_contains(names, name);
 }
 
 static void
@@ -205,7 +209,7 @@
     }
     json_object_foreach(line->fields, name, value)
     {
-        if (is_head(name)) {
+        if (is_printed_first(name)) {
             continue;
         }
         if (json_is_string(value)) {
@@ -223,7 +227,7 @@
 }
 
 static bool
-print_life(life *all, const char *job)
+print_history(job_history *all, const char *job)
 {
     bool found = false;
     guint i;
@@ -232,14 +236,14 @@
     for (i = 0; i < all->lines->len; i++) {
         const log_line *line = g_ptr_array_index(all->lines, i);
         if (strcmp(text_of(line->fields, "job"), job) == 0) {
-            take_concern(all, line);
+            add_involved(all, line);
             found = true;
         }
     }
     for (i = 0; found && i < all->lines->len; i++) {
         const log_line *line = g_ptr_array_index(all->lines, i);
         if (strcmp(text_of(line->fields, "job"), job) == 0 ||
-            is_belief(all, line)) {
+            is_related_event(all, line)) {
             print_line(line);
         }
     }
@@ -249,7 +253,7 @@
 int
 Explain_Run(const Command_Options *options, int count, char **arguments)
 {
-    life all = {.from_us = G_MAXINT64, .until_us = G_MININT64};
+    job_history all = {.from_us = G_MAXINT64, .until_us = G_MININT64};
     Status status = {ERR_OK, ""};
     int i;
 
@@ -261,8 +265,9 @@
             goto done;
         }
     }
-    if (!print_life(&all, arguments[0])) {
-        Err_Set(&status, ERR_NOT_FOUND, "no line names job %s", arguments[0]);
+    if (!print_history(&all, arguments[0])) {
+        Err_Set(&status, ERR_NOT_FOUND, "no log line names job %s",
+                arguments[0]);
     }
 done:
     if (status.kind != ERR_OK) {
--- a/cli/halls.c
+++ b/cli/halls.c
@@ -8,19 +8,19 @@
 #include "platform/halls.h"
 
 #define OK_STATUS 200
-#define NEVER (-1)
+#define ABSENT (-1)
 
 static Err_Kind
-ask_store(const Exchange_Request *request, Exchange_Answer *answer,
-          Status *status)
+call_store(const Exchange_Request *request, Exchange_Answer *answer,
+           Status *status)
 {
     if (Exchange_Do(request, answer, status) != ERR_OK) {
         return status->kind;
     }
     if (answer->status != OK_STATUS) {
         return Err_Set(status, ERR_LOG_DOWN,
-                       "the store answered %d; try again: the same change "
-                       "twice does no harm",
+                       "the store answered with status %d; try again: "
+                       "repeating a change is safe",
                        answer->status);
     }
     return ERR_OK;
@@ -51,7 +51,7 @@
     }
     request.body = record->data;
     request.length = record->len;
-    if (ask_store(&request, &answer, &status) != ERR_OK) {
+    if (call_store(&request, &answer, &status) != ERR_OK) {
         code = Exchange_Fail(&status);
         goto done;
     }
@@ -92,7 +92,8 @@
            (long long)row->offset);
 }
 
-/* Reads one page; *after is the key to go on after, as in Halls_ReadPage. */
+/* Prints one page, the one after the key *after, which is then set as by
+ * Halls_ReadPage. */
 static Err_Kind
 show_page(const Command_Options *options, char **after, int *rows,
           Status *status)
@@ -101,7 +102,7 @@
     Exchange_Request request = {
         .to = options->store, .method = "GET", .path = path};
     Exchange_Answer answer = {0};
-    Err_Kind kind = ask_store(&request, &answer, status);
+    Err_Kind kind = call_store(&request, &answer, status);
 
     g_clear_pointer(after, g_free);
     if (kind == ERR_OK) {
@@ -132,14 +133,14 @@
 }
 
 static json_int_t
-number_of(const json_t *object, const char *name)
+integer_or_absent(const json_t *object, const char *name)
 {
     const json_t *member = json_object_get(object, name);
 
-    return json_is_integer(member) ? json_integer_value(member) : NEVER;
+    return json_is_integer(member) ? json_integer_value(member) : ABSENT;
 }
 
-/* Names of a list, joined. */
+/* Joins the names of a list with commas. */
 static char *
 join_names(const json_t *names)
 {
@@ -155,23 +156,23 @@
     return g_string_free(text, FALSE);
 }
 
-/* Tasks that run beside a companion, or those of an entry's in closed halls.
- */
+/* Number of running tasks: for a companion those of its upstreams, for an
+ * entry its own in closed halls. */
 static json_int_t
-tasks_of(const json_t *state)
+running_tasks(const json_t *state)
 {
-    json_int_t tasks = number_of(state, "tasks");
+    json_int_t tasks = integer_or_absent(state, "tasks");
     const json_t *host;
     size_t i;
 
-    if (tasks != NEVER) {
+    if (tasks != ABSENT) {
         return tasks;
     }
     tasks = 0;
     json_array_foreach(json_object_get(state, "companions"), i, host)
     {
         if (json_is_true(json_object_get(host, "closed"))) {
-            tasks += number_of(host, "running");
+            tasks += integer_or_absent(host, "running");
         }
     }
     return tasks;
@@ -182,14 +183,15 @@
 {
     const json_t *closed = json_object_get(state, "closed");
     char *names = join_names(json_object_get(closed, "halls"));
-    json_int_t idle_ms = number_of(state, "idle_ms");
+    json_int_t idle_ms = integer_or_absent(state, "idle_ms");
 
     printf("%-22s %-10s %-16s %8lld %8lld %6lld ", address,
            json_string_value(json_object_get(state, "role")),
            json_string_value(json_object_get(state, "hall")),
-           (long long)number_of(closed, "as_of"),
-           (long long)number_of(closed, "age_ms"), (long long)tasks_of(state));
-    if (idle_ms == NEVER) {
+           (long long)integer_or_absent(closed, "as_of"),
+           (long long)integer_or_absent(closed, "age_ms"),
+           (long long)running_tasks(state));
+    if (idle_ms == ABSENT) {
         printf("%9s", "-");
     }
     else {
@@ -217,7 +219,7 @@
     }
     if (!json_is_object(json_object_get(state, "closed"))) {
         printf("%-22s %s\n", text,
-               state == NULL ? "no answer" : "no process of leased jobs");
+               state == NULL ? "no answer" : "not a process of leased jobs");
         code = Err_Exit(ERR_IO);
     }
     else {
--- a/cli/halls.h
+++ b/cli/halls.h
@@ -8,16 +8,16 @@
 
 #include "cli/commands.h"
 
-/** Closes a hall: no task is started there from now on. */
+/** Closes a hall: no more tasks are started there. */
 int HallsCommand_Close(const Command_Options *options, int count,
                        char **arguments);
 
-/** Opens a hall again. */
+/** Opens a closed hall. */
 int HallsCommand_Open(const Command_Options *options, int count,
                       char **arguments);
 
-/** Prints the closed halls and what processes know of them; @p arguments are
- * admin addresses. */
+/** Prints the closed halls, and which of them are known to the processes at
+ * the admin addresses @p arguments. */
 int HallsCommand_Show(const Command_Options *options, int count,
                       char **arguments);
 
--- a/cli/main.c
+++ b/cli/main.c
@@ -1,4 +1,4 @@
-/* levercove: the operators' command line. */
+/* levercove: the command line for operators. */
 
 #include <glib.h>
 #include <stdio.h>
@@ -22,7 +22,7 @@
     {"store", 's', 0, G_OPTION_ARG_STRING, &store_text,
      "Address of the platform's store (default: $LEVERCOVE_STORE)", "IP:PORT"},
     {"by", 'b', 0, G_OPTION_ARG_STRING, &by_text,
-     "Who closes a hall (default: the user's name)", "TEXT"},
+     "Name of who closes a hall (default: the user's name)", "TEXT"},
     {"key", 'k', 0, G_OPTION_ARG_STRING, &key_text,
      "Idempotency key for submit, a UUID of version 7", "UUID"},
     {NULL, 0, 0, 0, NULL, NULL, NULL},
@@ -62,7 +62,8 @@
     return code;
 }
 
-/* Command of the first one or two words; @p words: how many it takes. */
+/* Finds the command that the first one or two arguments name; sets `words` to
+ * the number of those arguments. */
 static const Command *
 find_command(int argc, char **argv, int *words)
 {
@@ -82,7 +83,8 @@
     return NULL;
 }
 
-/* An address from an option, or else from the environment. */
+/* Parses an address from an option or, without it, from an environment
+ * variable. */
 static int
 parse_address(const char *name, const char *option, const char *variable,
               Address *address)
@@ -122,20 +124,20 @@
         return code;
     }
     if (command == NULL) {
-        fprintf(stderr, "levercove: no such command, see --help\n");
+        fprintf(stderr, "levercove: unknown command, see --help\n");
         return Err_Exit(ERR_BAD_REQUEST);
     }
-    if (count < command->least || count > command->most) {
+    if (count < command->min_arguments || count > command->max_arguments) {
         fprintf(stderr, "levercove: usage: levercove %s %s\n", command->name,
                 command->arguments);
         return Err_Exit(ERR_BAD_REQUEST);
     }
     if (command->needs_entry && options.entry == 0) {
-        fprintf(stderr, "levercove: give --entry or LEVERCOVE_ENTRY\n");
+        fprintf(stderr, "levercove: specify --entry or set LEVERCOVE_ENTRY\n");
         return Err_Exit(ERR_BAD_REQUEST);
     }
     if (command->needs_store && options.store == 0) {
-        fprintf(stderr, "levercove: give --store or LEVERCOVE_STORE\n");
+        fprintf(stderr, "levercove: specify --store or set LEVERCOVE_STORE\n");
         return Err_Exit(ERR_BAD_REQUEST);
     }
     return command->run(&options, count, argv + 1 + words);
