--- a/cli/commands.c
+++ b/cli/commands.c
@@ -18,9 +18,9 @@
 {
     Status status = {ERR_OK, ""};
 
-    if (Exchange_Do(request, answer, &status) != ERR_OK ||
+    if (Exchange_Perform(request, answer, &status) != ERR_OK ||
         Exchange_Check(answer, &status) != ERR_OK) {
-        return Exchange_Fail(&status);
+        return Exchange_PrintError(&status);
     }
     return 0;
 }
@@ -93,8 +93,8 @@
 
     *row = NULL;
     etag[0] = '\0';
-    if (Exchange_Do(&request, &answer, &status) != ERR_OK) {
-        code = Exchange_Fail(&status);
+    if (Exchange_Perform(&request, &answer, &status) != ERR_OK) {
+        code = Exchange_PrintError(&status);
     }
     else if (answer.status == 200) {
         *row = json_loadb(answer.body, answer.length, 0, NULL);
@@ -103,7 +103,7 @@
     }
     else if (answer.status != 404) {
         Exchange_Check(&answer, &status);
-        code = Exchange_Fail(&status);
+        code = Exchange_PrintError(&status);
     }
     Exchange_Clear(&answer);
     g_free(path);
@@ -333,8 +333,8 @@
     request.headers = headers;
     request.body = text;
     request.length = length;
-    if (Exchange_Do(&request, &answer, &status) != ERR_OK) {
-        code = Exchange_Fail(&status);
+    if (Exchange_Perform(&request, &answer, &status) != ERR_OK) {
+        code = Exchange_PrintError(&status);
     }
     else {
         puts(answer.body);
@@ -356,13 +356,13 @@
     {"table export", "", "print the table as CSV", 0, 0, true, false,
      run_export},
     {"hall close", "HALL", "start no more tasks in a hall", 1, 1, false, true,
-     HallsCommand_Close},
+     HallCommands_Close},
     {"hall open", "HALL", "start tasks in a hall again", 1, 1, false, true,
-     HallsCommand_Open},
+     HallCommands_Open},
     {"hall show", "[ADDRESS...]",
      "print the closed halls, and which of them the processes "
      "at these admin addresses know",
-     0, 4096, false, true, HallsCommand_Show},
+     0, 4096, false, true, HallCommands_Show},
     {"state", "ADDRESS",
      "print the state of the process at this "
      "admin address",
--- a/cli/exchange.c
+++ b/cli/exchange.c
@@ -12,7 +12,7 @@
 
 typedef struct {
     Exchange_Answer *answer;
-    Http_ClientEnd end;
+    Http_ClientOutcome end;
 } exchange_result;
 
 static void
@@ -29,8 +29,8 @@
 }
 
 Err_Kind
-Exchange_Do(const Exchange_Request *request, Exchange_Answer *answer,
-            Status *status)
+Exchange_Perform(const Exchange_Request *request, Exchange_Answer *answer,
+                 Status *status)
 {
     static const char *const outcome_texts[] = {
         [HTTP_CLIENT_ANSWERED] = "",
@@ -89,7 +89,7 @@
 }
 
 int
-Exchange_Fail(const Status *status)
+Exchange_PrintError(const Status *status)
 {
     fprintf(stderr, "levercove: %s\n", status->message);
     return Err_Exit(status->kind);
--- a/cli/exchange.h
+++ b/cli/exchange.h
@@ -32,15 +32,15 @@
  * Sends a request and waits for its answer. Errors: IO (no complete answer).
  * Returns ERR_OK for a complete answer of any status.
  */
-Err_Kind Exchange_Do(const Exchange_Request *request, Exchange_Answer *answer,
-                     Status *status);
+Err_Kind Exchange_Perform(const Exchange_Request *request,
+                          Exchange_Answer *answer, Status *status);
 
 /** Returns the kind of error in an answer and sets its message, or ERR_OK if
  * the status code is below 400. */
 Err_Kind Exchange_Check(const Exchange_Answer *answer, Status *status);
 
 /** Prints an error to stderr; returns its exit code. */
-int Exchange_Fail(const Status *status);
+int Exchange_PrintError(const Status *status);
 
 void Exchange_Clear(Exchange_Answer *answer);
 
--- a/cli/halls.c
+++ b/cli/halls.c
@@ -14,7 +14,7 @@
 call_store(const Exchange_Request *request, Exchange_Answer *answer,
            Status *status)
 {
-    if (Exchange_Do(request, answer, status) != ERR_OK) {
+    if (Exchange_Perform(request, answer, status) != ERR_OK) {
         return status->kind;
     }
     if (answer->status != OK_STATUS) {
@@ -34,25 +34,25 @@
     Exchange_Request request = {
         .to = options->store,
         .method = "POST",
-        .path = halls_write_path,
+        .path = hall_records_append_path,
         .headers = "Content-Type: application/octet-stream\r\n"};
     Exchange_Answer answer = {0};
     int code = 0;
 
-    if (Halls_CheckName(hall, &status) != ERR_OK) {
-        code = Exchange_Fail(&status);
+    if (HallRecords_CheckName(hall, &status) != ERR_OK) {
+        code = Exchange_PrintError(&status);
         goto done;
     }
     if (close) {
-        Halls_WriteClosed(record, hall, options->by);
+        HallRecords_AppendClose(record, hall, options->by);
     }
     else {
-        Halls_WriteOpen(record, hall);
+        HallRecords_AppendOpen(record, hall);
     }
     request.body = record->data;
     request.length = record->len;
     if (call_store(&request, &answer, &status) != ERR_OK) {
-        code = Exchange_Fail(&status);
+        code = Exchange_PrintError(&status);
         goto done;
     }
     printf("%s: %s\n", hall, close ? "closed" : "open");
@@ -63,14 +63,14 @@
 }
 
 int
-HallsCommand_Close(const Command_Options *options, int count, char **arguments)
+HallCommands_Close(const Command_Options *options, int count, char **arguments)
 {
     (void)count;
     return write_hall(options, arguments[0], true);
 }
 
 int
-HallsCommand_Open(const Command_Options *options, int count, char **arguments)
+HallCommands_Open(const Command_Options *options, int count, char **arguments)
 {
     (void)count;
     return write_hall(options, arguments[0], false);
@@ -98,7 +98,7 @@
 show_page(const Command_Options *options, char **after, int *rows,
           Status *status)
 {
-    char *path = Halls_ReadPath(*after);
+    char *path = HallRecords_PagePath(*after);
     Exchange_Request request = {
         .to = options->store, .method = "GET", .path = path};
     Exchange_Answer answer = {0};
@@ -123,7 +123,7 @@
 
     do {
         if (show_page(options, &after, &rows, &status) != ERR_OK) {
-            return Exchange_Fail(&status);
+            return Exchange_PrintError(&status);
         }
     } while (after != NULL);
     if (rows == 0) {
@@ -212,9 +212,9 @@
 
     if (!Address_Parse(text, &request.to)) {
         Err_Set(&status, ERR_BAD_REQUEST, "%s: expected IP:port", text);
-        return Exchange_Fail(&status);
+        return Exchange_PrintError(&status);
     }
-    if (Exchange_Do(&request, &answer, &status) == ERR_OK) {
+    if (Exchange_Perform(&request, &answer, &status) == ERR_OK) {
         state = json_loadb(answer.body, answer.length, 0, NULL);
     }
     if (!json_is_object(json_object_get(state, "closed"))) {
@@ -231,7 +231,7 @@
 }
 
 int
-HallsCommand_Show(const Command_Options *options, int count, char **arguments)
+HallCommands_Show(const Command_Options *options, int count, char **arguments)
 {
     int code = show_store(options);
     int i;
--- a/cli/halls.h
+++ b/cli/halls.h
@@ -9,16 +9,16 @@
 #include "cli/commands.h"
 
 /** Closes a hall: no more tasks are started there. */
-int HallsCommand_Close(const Command_Options *options, int count,
+int HallCommands_Close(const Command_Options *options, int count,
                        char **arguments);
 
 /** Opens a closed hall. */
-int HallsCommand_Open(const Command_Options *options, int count,
+int HallCommands_Open(const Command_Options *options, int count,
                       char **arguments);
 
 /** Prints the closed halls, and which of them are known to the processes at
  * the admin addresses @p arguments. */
-int HallsCommand_Show(const Command_Options *options, int count,
+int HallCommands_Show(const Command_Options *options, int count,
                       char **arguments);
 
 #endif
