--- a/cli/explain.c
+++ b/cli/explain.c
@@ -144,8 +144,9 @@
     }
 }
 
-/* Whether a line is an event of a process involved, within the time range,
- * that is about no job and about no other companion. */
+/* Whether a line, within the time range, shows what a process involved knew at
+ * that time: it must not be about a job, nor about a companion that is not
+ * involved. */
 static bool
 is_related_event(const job_history *all, const log_line *line)
 {
