--- a/cli/commands.c
+++ b/cli/commands.c
@@ -12,15 +12,15 @@
 #include "cli/halls.h"
 #include "daemon/options.h"
 
-/* Sends a request and prints the error it ends in, if any. */
+/* Sends a request; prints an error, if any. Returns the exit code. */
 static int
 call(const Exchange_Request *request, Exchange_Answer *answer)
 {
     Status status = {ERR_OK, ""};
 
-    if (Exchange_Do(request, answer, &status) != ERR_OK ||
+    if (Exchange_Perform(request, answer, &status) != ERR_OK ||
         Exchange_Check(answer, &status) != ERR_OK) {
-        return Exchange_Fail(&status);
+        return Exchange_PrintError(&status);
     }
     return 0;
 }
@@ -31,7 +31,8 @@
     return g_strconcat("/v1/table/groups/", group, NULL);
 }
 
-/* Whole table; the caller owns the result, NULL after a printed error. */
+/* Reads the whole table; the caller owns the result. Returns NULL after an
+ * error, which is printed. */
 static json_t *
 fetch_table(Address entry, int *code)
 {
@@ -79,7 +80,8 @@
     return 0;
 }
 
-/* Reads a row and its ETag; a missing one is no error. */
+/* Reads a row and its ETag. If there is no such row, `row` is NULL and no
+ * error is returned. */
 static int
 fetch_row(Address entry, const char *group, json_t **row, char etag[40])
 {
@@ -91,8 +93,8 @@
 
     *row = NULL;
     etag[0] = '\0';
-    if (Exchange_Do(&request, &answer, &status) != ERR_OK) {
-        code = Exchange_Fail(&status);
+    if (Exchange_Perform(&request, &answer, &status) != ERR_OK) {
+        code = Exchange_PrintError(&status);
     }
     else if (answer.status == 200) {
         *row = json_loadb(answer.body, answer.length, 0, NULL);
@@ -101,7 +103,7 @@
     }
     else if (answer.status != 404) {
         Exchange_Check(&answer, &status);
-        code = Exchange_Fail(&status);
+        code = Exchange_PrintError(&status);
     }
     Exchange_Clear(&answer);
     g_free(path);
@@ -301,7 +303,7 @@
     fputs(errors, stderr);
     g_free(errors);
     if (kind == ERR_OK) {
-        printf("%s: settings are well formed\n", arguments[0]);
+        printf("%s: settings are valid\n", arguments[0]);
     }
     return Err_Exit(kind);
 }
@@ -331,8 +333,8 @@
     request.headers = headers;
     request.body = text;
     request.length = length;
-    if (Exchange_Do(&request, &answer, &status) != ERR_OK) {
-        code = Exchange_Fail(&status);
+    if (Exchange_Perform(&request, &answer, &status) != ERR_OK) {
+        code = Exchange_PrintError(&status);
     }
     else {
         puts(answer.body);
@@ -354,23 +356,23 @@
     {"table export", "", "print the table as CSV", 0, 0, true, false,
      run_export},
     {"hall close", "HALL", "start no more tasks in a hall", 1, 1, false, true,
-     HallsCommand_Close},
+     HallCommands_Close},
     {"hall open", "HALL", "start tasks in a hall again", 1, 1, false, true,
-     HallsCommand_Open},
+     HallCommands_Open},
     {"hall show", "[ADDRESS...]",
-     "print the closed halls, and what the processes "
-     "at these admin addresses know of them",
-     0, 4096, false, true, HallsCommand_Show},
+     "print the closed halls, and which of them the processes "
+     "at these admin addresses know",
+     0, 4096, false, true, HallCommands_Show},
     {"state", "ADDRESS",
-     "print the state of the process whose admin "
-     "address this is",
+     "print the state of the process at this "
+     "admin address",
      1, 1, false, false, run_state},
     {"check-settings", "FILE", "check a settings file", 1, 1, false, false,
      run_check},
     {"submit", "FILE", "submit a job and print its answer", 1, 1, true, false,
      run_submit},
     {"explain", "JOB FILE...",
-     "print the life of a leased job from the logs of processes", 2, 4096,
+     "print the history of a leased job from the logs of processes", 2, 4096,
      false, false, Explain_Run},
     {NULL, NULL, NULL, 0, 0, false, false, NULL},
 };
--- a/cli/halls.h
+++ b/cli/halls.h
@@ -8,17 +8,17 @@
 
 #include "cli/commands.h"
 
-/** Closes a hall: no task is started there from now on. */
-int HallsCommand_Close(const Command_Options *options, int count,
+/** Closes a hall: no more tasks are started there. */
+int HallCommands_Close(const Command_Options *options, int count,
                        char **arguments);
 
-/** Opens a hall again. */
-int HallsCommand_Open(const Command_Options *options, int count,
+/** Opens a closed hall. */
+int HallCommands_Open(const Command_Options *options, int count,
                       char **arguments);
 
-/** Prints the closed halls and what processes know of them; @p arguments are
- * admin addresses. */
-int HallsCommand_Show(const Command_Options *options, int count,
+/** Prints the closed halls, and which of them are known to the processes at
+ * the admin addresses @p arguments. */
+int HallCommands_Show(const Command_Options *options, int count,
                       char **arguments);
 
 #endif
