--- a/base/address.c
+++ b/base/address.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TEXT_BUFFERS 5
+#define TEXT_BUFFER_COUNT 5
 
 bool
 Address_Parse(const char *text, Address *address)
@@ -44,10 +44,10 @@
 const char *
 Address_Text(Address address)
 {
-    static char buffers[TEXT_BUFFERS][ADDRESS_TEXT_SIZE];
+    static char buffers[TEXT_BUFFER_COUNT][ADDRESS_TEXT_SIZE];
     static int next;
 
-    next = (next + 1) % TEXT_BUFFERS;
+    next = (next + 1) % TEXT_BUFFER_COUNT;
     Address_Format(address, buffers[next]);
     return buffers[next];
 }
@@ -55,11 +55,11 @@
 struct sockaddr_in
 Address_ToSocket(Address address)
 {
-    struct sockaddr_in out;
+    struct sockaddr_in socket_address;
 
-    memset(&out, 0, sizeof(out));
-    out.sin_family = AF_INET;
-    out.sin_addr.s_addr = htonl((uint32_t)(address >> 16));
-    out.sin_port = htons((uint16_t)address);
-    return out;
+    memset(&socket_address, 0, sizeof(socket_address));
+    socket_address.sin_family = AF_INET;
+    socket_address.sin_addr.s_addr = htonl((uint32_t)(address >> 16));
+    socket_address.sin_port = htons((uint16_t)address);
+    return socket_address;
 }
--- a/base/clock.c
+++ b/base/clock.c
@@ -4,11 +4,11 @@
 
 #define MS_PER_S 1000
 #define NS_PER_MS 1000000
-/* Both clocks are read one after the other: a process that is held up between
- * the two readings sees them drift apart without a suspension, and up to this
- * it counts as none. Chosen: less than 1% of a lease of 589 ms, so that what
- * is overlooked does not matter to a lease. */
-#define READING_APART_MS 5
+/* The clocks are read one after the other, so a process that is preempted
+ * between the two readings sees them drift apart without a suspension. Drift
+ * up to this limit is ignored. It is less than 1% of a lease of 589 ms, so a
+ * suspension that goes undetected does not matter to a lease. */
+#define MAX_READ_SKEW_MS 5
 
 static int64_t test_suspended_ms;
 
@@ -32,7 +32,7 @@
 {
     Clock_Reading reading;
 
-    reading.steady_ms = read_clock(CLOCK_MONOTONIC);
+    reading.monotonic_ms = read_clock(CLOCK_MONOTONIC);
     reading.now_ms = Clock_NowMs();
     return reading;
 }
@@ -40,20 +40,20 @@
 void
 Clock_Follow(Clock_Suspension *suspension, Clock_Reading reading)
 {
-    suspension->ahead_ms = reading.now_ms - reading.steady_ms;
+    suspension->offset_ms = reading.now_ms - reading.monotonic_ms;
 }
 
 int64_t
 Clock_Suspended(Clock_Suspension *suspension, Clock_Reading reading)
 {
-    int64_t ahead_ms = reading.now_ms - reading.steady_ms;
-    int64_t more_ms = ahead_ms - suspension->ahead_ms;
+    int64_t offset_ms = reading.now_ms - reading.monotonic_ms;
+    int64_t added_ms = offset_ms - suspension->offset_ms;
 
-    if (more_ms <= READING_APART_MS) {
+    if (added_ms <= MAX_READ_SKEW_MS) {
         return 0;
     }
-    suspension->ahead_ms = ahead_ms;
-    return more_ms;
+    suspension->offset_ms = offset_ms;
+    return added_ms;
 }
 
 void
--- a/base/clock.h
+++ b/base/clock.h
@@ -1,44 +1,43 @@
 /**
  * @file clock.h
- * @brief The two clocks of a process, in ms.
+ * @brief Clocks in ms with and without the time that the machine was
+ * suspended, and detection of suspensions.
  *
- * Every bound that other processes rely on (leases, holds, deadlines, ages of
- * what is believed) runs on Clock_NowMs, which counts the time that the
- * machine was suspended: to all others that time has passed. The steady clock
- * does not count it, and stands still together with what runs on the same
- * machine.
+ * Every time limit that other processes rely on (leases, holds, deadlines,
+ * ages of cached state) is measured with Clock_NowMs, which includes suspended
+ * time, because that time has passed for all other machines. The monotonic
+ * clock excludes it: it stops together with all processes on this machine.
  */
 #ifndef LC_BASE_CLOCK_H
 #define LC_BASE_CLOCK_H
 
 #include <stdint.h>
 
-/** A reading of both clocks. */
+/** One reading of both clocks. */
 typedef struct {
-    int64_t now_ms;    /**< counts suspended time; never goes back */
-    int64_t steady_ms; /**< does not */
+    int64_t now_ms;       /**< includes suspended time; never goes back */
+    int64_t monotonic_ms; /**< excludes suspended time */
 } Clock_Reading;
 
-/** Follows the time that the machine was suspended. */
+/** Detects suspensions of the machine from the drift between both clocks. */
 typedef struct {
-    int64_t ahead_ms; /**< of the one clock before the other, so far */
+    int64_t offset_ms; /**< now_ms less monotonic_ms, as last accounted for */
 } Clock_Suspension;
 
 /** Reads both clocks. */
 Clock_Reading Clock_Read(void);
 
-/** Time now, suspended time included. */
+/** Current time in ms, suspended time included. */
 int64_t Clock_NowMs(void);
 
-/** Begins to follow from a reading. */
+/** Starts detection at a reading; suspensions before it are not reported. */
 void Clock_Follow(Clock_Suspension *suspension, Clock_Reading reading);
 
-/** Time in ms that the machine was suspended since the last call, 0 for
- * none. */
+/** Returns the time in ms that the machine was suspended and that no earlier
+ * call returned, or 0. */
 int64_t Clock_Suspended(Clock_Suspension *suspension, Clock_Reading reading);
 
-/** For tests alone: from now on the machine counts as suspended for @p ms
- * more. */
+/** For tests only: adds @p ms of simulated suspension to Clock_NowMs. */
 void Clock_TestSuspend(int64_t ms);
 
 #endif
--- a/base/err.c
+++ b/base/err.c
@@ -6,8 +6,8 @@
 
 typedef struct {
     const char *text;
-    int http;
-    int code;
+    int http_status;
+    int exit_code;
     Outcome outcome;
     int retry;
 } err_row;
@@ -56,13 +56,13 @@
 int
 Err_Http(Err_Kind kind)
 {
-    return err_rows[kind].http;
+    return err_rows[kind].http_status;
 }
 
 int
 Err_Exit(Err_Kind kind)
 {
-    return err_rows[kind].code;
+    return err_rows[kind].exit_code;
 }
 
 Outcome
--- a/base/err.h
+++ b/base/err.h
@@ -1,27 +1,27 @@
 /**
  * @file err.h
- * @brief The closed list of error kinds and the status value that carries
- * one together with its message.
+ * @brief Error kinds with their HTTP statuses and exit codes, and a status
+ * value of an error kind and its message.
  *
  * Ownership: a Status is a plain value; it owns no memory.
  */
 #ifndef LC_BASE_ERR_H
 #define LC_BASE_ERR_H
 
-/** What the caller of a job may conclude from an answer. */
+/** What an answer tells the caller about its job. */
 typedef enum {
-    OUTCOME_DONE,    /**< every task ran and the answer is whole */
-    OUTCOME_FAILED,  /**< the job is over and has no answer */
-    OUTCOME_NOT_RUN, /**< no task of this key was ever started */
-    OUTCOME_UNKNOWN, /**< this node cannot tell; ask again */
-    OUTCOME_REFUSED  /**< this request was not taken; it tells nothing of
-                          earlier ones under the same key */
+    OUTCOME_DONE,    /**< every task ran and the answer is complete */
+    OUTCOME_FAILED,  /**< the job has ended without an answer */
+    OUTCOME_NOT_RUN, /**< no task under this key was ever started */
+    OUTCOME_UNKNOWN, /**< this node does not know; ask again */
+    OUTCOME_REFUSED  /**< this request was not accepted; says nothing about
+                          earlier requests with the same key */
 } Outcome;
 
 /**
  * X(NAME, text, HTTP status, exit code, outcome, retry hint)
  *
- * The retry hint says whether an answer carries Retry-After.
+ * The retry hint tells whether an answer carries a Retry-After header.
  */
 #define ERR_LIST(X)                                                           \
     X(OK, "ok", 200, 0, OUTCOME_DONE, 0)                                      \
@@ -68,7 +68,7 @@
         ERR_COUNT
 } Err_Kind;
 
-/** An error kind with its message for people. */
+/** An error kind with a human-readable message. */
 typedef struct {
     Err_Kind kind;
     char message[240];
@@ -78,25 +78,25 @@
 Err_Kind Err_Set(Status *status, Err_Kind kind, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 
-/** Stable text of a kind, as shown to callers. */
+/** Error code of a kind as text, as sent to callers. */
 const char *Err_Text(Err_Kind kind);
 
-/** Kind with the given text, or ERR_COUNT. */
+/** Kind with the given error code, or ERR_COUNT. */
 Err_Kind Err_FromText(const char *text);
 
-/** HTTP status code that answers a kind. */
+/** HTTP status code for a kind. */
 int Err_Http(Err_Kind kind);
 
-/** Exit code of the command line for a kind. */
+/** Exit code of the command-line program for a kind. */
 int Err_Exit(Err_Kind kind);
 
-/** What a caller may conclude from a kind. */
+/** What a kind tells the caller about its job. */
 Outcome Err_Outcome(Err_Kind kind);
 
-/** Whether an answer of this kind says when to come back. */
+/** Whether an answer of this kind carries a Retry-After header. */
 int Err_Retry(Err_Kind kind);
 
-/** Stable text of an outcome. */
+/** Outcome as text, as sent to callers. */
 const char *Err_OutcomeText(Outcome outcome);
 
 #endif
--- a/base/event.c
+++ b/base/event.c
@@ -24,19 +24,20 @@
 #undef X
 };
 
-/* Lines a second of one event, and as many at once as in two seconds. */
-#define FLOW_PER_S 5
-#define OTHER_PER_S 200
+/* Rate limits of one event in lines a second (DEBUG and other levels); a burst
+ * may hold as many lines as two seconds allow. */
+#define DEBUG_LINES_PER_S 5
+#define OTHER_LINES_PER_S 200
 #define BURST_S 2
 
 typedef struct {
-    int64_t filled_ms;
-    int64_t tokens; /* thousandths of a line */
+    int64_t refilled_ms;
+    int64_t tokens; /* in thousandths of a line */
     uint64_t left_out;
-} event_bucket;
+} token_bucket;
 
-/* One process logs to one place, as GLib's writer function is global. */
-static event_bucket buckets[EVENT_COUNT];
+/* Global, as GLib's writer function is: a process has one log output. */
+static token_bucket buckets[EVENT_COUNT];
 static Log_Buffer *output;
 static char *node_name;
 
@@ -53,27 +54,28 @@
 }
 
 static int64_t
-per_second(Event_Id id)
+lines_per_second(Event_Id id)
 {
-    return event_rows[id].level == G_LOG_LEVEL_DEBUG ? FLOW_PER_S
-                                                     : OTHER_PER_S;
+    return event_rows[id].level == G_LOG_LEVEL_DEBUG ? DEBUG_LINES_PER_S
+                                                     : OTHER_LINES_PER_S;
 }
 
 bool
 Event_Admit(Event_Id id)
 {
-    event_bucket *bucket = &buckets[id];
+    token_bucket *bucket = &buckets[id];
     int64_t now_ms = g_get_monotonic_time() / 1000;
-    int64_t most = per_second(id) * BURST_S * MS_PER_S;
+    int64_t capacity = lines_per_second(id) * BURST_S * MS_PER_S;
 
-    if (bucket->filled_ms == 0) {
-        bucket->tokens = most;
+    if (bucket->refilled_ms == 0) {
+        bucket->tokens = capacity;
     }
     else {
-        bucket->tokens += (now_ms - bucket->filled_ms) * per_second(id);
-        bucket->tokens = MIN(bucket->tokens, most);
+        bucket->tokens += (now_ms - bucket->refilled_ms) *
+                          lines_per_second(id);
+        bucket->tokens = MIN(bucket->tokens, capacity);
     }
-    bucket->filled_ms = now_ms;
+    bucket->refilled_ms = now_ms;
     if (bucket->tokens < MS_PER_S) {
         bucket->left_out++;
         return false;
@@ -113,34 +115,34 @@
 }
 
 static json_t *
-head_of(Event_Id id)
+make_header(Event_Id id)
 {
     const event_row *row = &event_rows[id];
     char time_text[48];
     char number[16];
-    json_t *head;
+    json_t *header;
 
     format_time(time_text, sizeof(time_text));
     snprintf(number, sizeof(number), "LC%d", row->number);
-    head = json_pack("{s:s, s:s, s:s, s:s}", "time", time_text, "event",
-                     number, "level", level_text(row->level), "text",
-                     row->text);
+    header = json_pack("{s:s, s:s, s:s, s:s}", "time", time_text, "event",
+                       number, "level", level_text(row->level), "text",
+                       row->text);
     if (node_name != NULL) {
-        json_object_set_new(head, "node", json_string(node_name));
+        json_object_set_new(header, "node", json_string(node_name));
     }
     if (buckets[id].left_out > 0) {
-        json_object_set_new(head, "left_out",
+        json_object_set_new(header, "left_out",
                             json_integer((json_int_t)buckets[id].left_out));
         buckets[id].left_out = 0;
     }
-    return head;
+    return header;
 }
 
 void
 Event_Write(Event_Id id, json_t *fields)
 {
     const event_row *row = &event_rows[id];
-    json_t *line = head_of(id);
+    json_t *line = make_header(id);
     char number[16];
     char *text;
 
@@ -167,7 +169,8 @@
     va_start(args, format);
     vsnprintf(detail, sizeof(detail), format, args);
     va_end(args);
-    /* Bytes of others that are no UTF-8 would leave no line but its number. */
+    /* Details may hold foreign bytes that are not UTF-8; json_pack would fail
+     * on them and the line would lose its detail. */
     valid = g_utf8_make_valid(detail, -1);
     Event_Write(id, json_pack("{s:s}", "detail", valid));
     g_free(valid);
--- a/base/handle.c
+++ b/base/handle.c
@@ -43,9 +43,9 @@
     uint32_t index = table->first_free;
 
     if (index == NO_ROW) {
-        handle_row fresh = {NULL, 0, NO_ROW};
+        handle_row new_row = {NULL, 0, NO_ROW};
         index = table->rows->len;
-        g_array_append_val(table->rows, fresh);
+        g_array_append_val(table->rows, new_row);
         row = &g_array_index(table->rows, handle_row, index);
     }
     else {
--- a/base/histogram.c
+++ b/base/histogram.c
@@ -3,7 +3,7 @@
 #include <inttypes.h>
 
 static const struct {
-    int64_t most_ms;
+    int64_t limit_ms;
     const char *seconds;
 } buckets[HISTOGRAM_BUCKETS] = {
 #define X(ms, seconds) {ms, seconds},
@@ -20,7 +20,7 @@
     histogram->count++;
     histogram->sum_ms += (uint64_t)ms;
     for (i = 0; i < HISTOGRAM_BUCKETS; i++) {
-        if (ms <= buckets[i].most_ms) {
+        if (ms <= buckets[i].limit_ms) {
             histogram->counts[i]++;
             return;
         }
@@ -32,14 +32,14 @@
                 const char *labels, GString *out)
 {
     const char *comma = labels[0] == '\0' ? "" : ",";
-    uint64_t below = 0;
+    uint64_t cumulative = 0;
     int i;
 
     for (i = 0; i < HISTOGRAM_BUCKETS; i++) {
-        below += histogram->counts[i];
+        cumulative += histogram->counts[i];
         g_string_append_printf(
             out, "levercove_%s_seconds_bucket{%s%sle=\"%s\"} %" PRIu64 "\n",
-            name, labels, comma, buckets[i].seconds, below);
+            name, labels, comma, buckets[i].seconds, cumulative);
     }
     g_string_append_printf(
         out, "levercove_%s_seconds_bucket{%s%sle=\"+Inf\"} %" PRIu64 "\n",
--- a/base/histogram.h
+++ b/base/histogram.h
@@ -1,7 +1,7 @@
 /**
  * @file histogram.h
- * @brief Latencies counted in fixed buckets, printed in the text format that
- * common scrapers read. Times go in as ms and come out as seconds.
+ * @brief Latency histogram with fixed buckets, printed in the Prometheus text
+ * format. Latencies are recorded in ms and printed in seconds.
  */
 #ifndef LC_BASE_HISTOGRAM_H
 #define LC_BASE_HISTOGRAM_H
@@ -9,7 +9,7 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** X(upper bound in ms, as text in seconds) */
+/** X(upper bound in ms, the same in seconds as text) */
 #define HISTOGRAM_LIST(X)                                                     \
     X(1, "0.001")                                                             \
     X(2, "0.002")                                                             \
@@ -27,18 +27,18 @@
 
 #define HISTOGRAM_BUCKETS 13
 
-/** Counts by bucket, each without those of smaller ones. */
+/** Non-cumulative counts: each bucket excludes the smaller ones. */
 typedef struct {
     uint64_t counts[HISTOGRAM_BUCKETS];
-    uint64_t count; /**< all, also those above the last bucket */
+    uint64_t count; /**< all latencies, also above the last bucket */
     uint64_t sum_ms;
 } Histogram;
 
-/** Counts one latency; negative ones count as 0. */
+/** Records one latency in ms; a negative one counts as 0. */
 void Histogram_Add(Histogram *histogram, int64_t ms);
 
-/** Appends the lines of one histogram. @p labels is "name=\"value\"" pairs
- * with commas, or "". */
+/** Appends the lines of one histogram. @p labels holds `name="value"` pairs
+ * separated by commas, or is "". */
 void Histogram_Print(const Histogram *histogram, const char *name,
                      const char *labels, GString *out);
 
--- a/base/key.c
+++ b/base/key.c
@@ -7,33 +7,34 @@
 #include <xxhash.h>
 
 static bool
-is_dash_place(int place)
+is_dash_position(int position)
 {
-    return place == 8 || place == 13 || place == 18 || place == 23;
+    return position == 8 || position == 13 || position == 18 || position == 23;
 }
 
 bool
 Key_Parse(const char *text, Key *key)
 {
-    int place;
+    int position;
     int digit = 0;
 
     if (strlen(text) != KEY_TEXT_LENGTH) {
         return false;
     }
     memset(key, 0, sizeof(*key));
-    for (place = 0; place < KEY_TEXT_LENGTH; place++) {
-        if (is_dash_place(place)) {
-            if (text[place] != '-') {
+    for (position = 0; position < KEY_TEXT_LENGTH; position++) {
+        if (is_dash_position(position)) {
+            if (text[position] != '-') {
                 return false;
             }
             continue;
         }
-        if (!isxdigit((unsigned char)text[place])) {
+        if (!isxdigit((unsigned char)text[position])) {
             return false;
         }
-        key->bytes[digit / 2] = (uint8_t)(key->bytes[digit / 2] << 4 |
-                                          g_ascii_xdigit_value(text[place]));
+        key->bytes[digit / 2] =
+            (uint8_t)(key->bytes[digit / 2] << 4 |
+                      g_ascii_xdigit_value(text[position]));
         digit++;
     }
     return key->bytes[6] >> 4 == 7 && key->bytes[8] >> 6 == 2;
@@ -44,15 +45,15 @@
 {
     static const char digits[] = "0123456789abcdef";
     int digit = 0;
-    int place;
+    int position;
 
-    for (place = 0; place < KEY_TEXT_LENGTH; place++) {
+    for (position = 0; position < KEY_TEXT_LENGTH; position++) {
         uint8_t byte = key->bytes[digit / 2];
-        if (is_dash_place(place)) {
-            text[place] = '-';
+        if (is_dash_position(position)) {
+            text[position] = '-';
             continue;
         }
-        text[place] = digits[digit % 2 == 0 ? byte >> 4 : byte & 15];
+        text[position] = digits[digit % 2 == 0 ? byte >> 4 : byte & 15];
         digit++;
     }
     text[KEY_TEXT_LENGTH] = '\0';
--- a/base/key.h
+++ b/base/key.h
@@ -1,7 +1,7 @@
 /**
  * @file key.h
- * @brief Idempotency keys: UUID version 7 (RFC 9562), which carry the time
- * of their minting in milliseconds of the Unix epoch.
+ * @brief Idempotency keys: UUID version 7 (RFC 9562), which hold their
+ * creation time in milliseconds of the Unix epoch.
  */
 #ifndef LC_BASE_KEY_H
 #define LC_BASE_KEY_H
@@ -9,10 +9,10 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Length of a key in text form without the final NUL. */
+/** Length of the text form in bytes, without the final NUL. */
 #define KEY_TEXT_LENGTH 36
 
-/** A key as its 16 bytes. */
+/** A key in binary form. */
 typedef struct {
     uint8_t bytes[16];
 } Key;
@@ -23,10 +23,11 @@
 /** Writes the text form into @p text. */
 void Key_Format(const Key *key, char text[KEY_TEXT_LENGTH + 1]);
 
-/** Makes a key from a wall clock in ms and 80 random bits. */
+/** Creates a key from the wall clock time in ms of the Unix epoch and random
+ * bits, of which 74 are used. */
 Key Key_Mint(int64_t wall_ms, uint64_t random_high, uint64_t random_low);
 
-/** Minting time in ms of the Unix epoch. */
+/** Creation time in ms of the Unix epoch. */
 int64_t Key_Time(const Key *key);
 
 /** Hash for GLib tables. */
--- a/base/log_buffer.c
+++ b/base/log_buffer.c
@@ -6,14 +6,15 @@
 #include <string.h>
 #include <unistd.h>
 
-/* A pipe that polls as writable takes so much without blocking. */
-#define CHUNK 4096
-/* Lines wait for each other up to so much. */
-#define FLUSH_AT 4096
+/* Bytes (PIPE_BUF) that a pipe reported as writable accepts without
+ * blocking. */
+#define WRITE_CHUNK_BYTES 4096
+/* Bytes at which buffered lines are written together. */
+#define FLUSH_THRESHOLD_BYTES 4096
 
 struct Log_Buffer {
     int descriptor;
-    bool broken; /* the reader is gone */
+    bool broken; /* the reader has closed its end */
     uint64_t dropped;
     size_t used;
     char bytes[LOG_BUFFER_SIZE];
@@ -31,22 +32,22 @@
 static bool
 is_writable(const Log_Buffer *buffer)
 {
-    struct pollfd place = {.fd = buffer->descriptor, .events = POLLOUT};
+    struct pollfd poll_fd = {.fd = buffer->descriptor, .events = POLLOUT};
 
-    return poll(&place, 1, 0) == 1 && (place.revents & POLLOUT) != 0;
+    return poll(&poll_fd, 1, 0) == 1 && (poll_fd.revents & POLLOUT) != 0;
 }
 
 void
 LogBuffer_Flush(Log_Buffer *buffer)
 {
-    size_t done = 0;
+    size_t flushed = 0;
 
-    while (done < buffer->used && !buffer->broken && is_writable(buffer)) {
-        size_t size = MIN(buffer->used - done, CHUNK);
-        ssize_t written = write(buffer->descriptor, buffer->bytes + done,
+    while (flushed < buffer->used && !buffer->broken && is_writable(buffer)) {
+        size_t size = MIN(buffer->used - flushed, WRITE_CHUNK_BYTES);
+        ssize_t written = write(buffer->descriptor, buffer->bytes + flushed,
                                 size);
         if (written > 0) {
-            done += (size_t)written;
+            flushed += (size_t)written;
         }
         else if (errno == EPIPE || errno == EBADF) {
             buffer->broken = true;
@@ -56,19 +57,21 @@
         }
     }
     if (buffer->broken) {
-        done = buffer->used;
+        flushed = buffer->used;
     }
-    if (done > 0) {
-        memmove(buffer->bytes, buffer->bytes + done, buffer->used - done);
-        buffer->used -= done;
+    if (flushed > 0) {
+        memmove(buffer->bytes, buffer->bytes + flushed,
+                buffer->used - flushed);
+        buffer->used -= flushed;
     }
 }
 
 bool
-LogBuffer_Add(Log_Buffer *buffer, const char *line, size_t length, bool vital)
+LogBuffer_Add(Log_Buffer *buffer, const char *line, size_t length,
+              bool use_reserve)
 {
-    size_t limit = vital ? LOG_BUFFER_SIZE
-                         : LOG_BUFFER_SIZE - LOG_BUFFER_RESERVE;
+    size_t limit = use_reserve ? LOG_BUFFER_SIZE
+                               : LOG_BUFFER_SIZE - LOG_BUFFER_RESERVE;
 
     if (buffer->used + length > limit) {
         LogBuffer_Flush(buffer);
@@ -79,7 +82,7 @@
     }
     memcpy(buffer->bytes + buffer->used, line, length);
     buffer->used += length;
-    if (buffer->used >= FLUSH_AT) {
+    if (buffer->used >= FLUSH_THRESHOLD_BYTES) {
         LogBuffer_Flush(buffer);
     }
     return true;
--- a/base/log_buffer.h
+++ b/base/log_buffer.h
@@ -1,7 +1,7 @@
 /**
  * @file log_buffer.h
- * @brief Lines on their way to standard output: a bounded buffer that is
- * written without ever blocking. What finds no room is dropped and counted.
+ * @brief Bounded buffer of log lines, written to a descriptor without ever
+ * blocking. Lines that do not fit are dropped and counted.
  */
 #ifndef LC_BASE_LOG_BUFFER_H
 #define LC_BASE_LOG_BUFFER_H
@@ -10,27 +10,29 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** Bytes that wait for a slow reader at most. */
+/** Most bytes buffered for a slow reader. */
 #define LOG_BUFFER_SIZE ((size_t)256 * 1024)
 
-/** Room kept for lines that tell of something wrong. */
+/** Bytes reserved for lines that report faults, so that those of normal
+ * operation cannot crowd them out. */
 #define LOG_BUFFER_RESERVE ((size_t)64 * 1024)
 
 /** Opaque buffer. */
 typedef struct Log_Buffer Log_Buffer;
 
-/** Writes to @p descriptor, which stays as it is and is not closed. */
+/** Creates a buffer that writes to @p descriptor, whose flags are not changed
+ * and which is not closed. */
 Log_Buffer *LogBuffer_New(int descriptor);
 
-/** Adds a line; false if it was dropped. Lines that are not @p vital leave
+/** Adds a line; false if it was dropped. Lines without @p use_reserve leave
  * the reserve free. */
 bool LogBuffer_Add(Log_Buffer *buffer, const char *line, size_t length,
-                   bool vital);
+                   bool use_reserve);
 
-/** Writes what the reader takes now. */
+/** Writes as much as the descriptor accepts now. */
 void LogBuffer_Flush(Log_Buffer *buffer);
 
-/** Lines dropped since the last call. */
+/** Returns the number of lines dropped since the last call. */
 uint64_t LogBuffer_TakeDropped(Log_Buffer *buffer);
 
 #endif
--- a/base/random.h
+++ b/base/random.h
@@ -1,21 +1,22 @@
 /**
  * @file random.h
- * @brief Seeded pseudo-random numbers (xorshift64*), so that what a node
- * chooses can be repeated. Not for secrets.
+ * @brief Seeded pseudo-random numbers (xorshift64*), so that the random
+ * choices of a node can be reproduced. Not for secrets.
  */
 #ifndef LC_BASE_RANDOM_H
 #define LC_BASE_RANDOM_H
 
 #include <stdint.h>
 
-/** State made from any seed. */
+/** Returns the generator state for a seed; never 0, with which xorshift would
+ * return only zeros. */
 static inline uint64_t
 Random_Seed(uint64_t seed)
 {
     return seed | 1;
 }
 
-/** Next number; changes @p state. */
+/** Returns the next number and advances @p state. */
 static inline uint64_t
 Random_Next(uint64_t *state)
 {
--- a/base/settings.c
+++ b/base/settings.c
@@ -9,13 +9,13 @@
     const Setting *table;
     char *out;
     GString *errors;
-} reader;
+} parser;
 
-static void complain(reader *in, const char *path, const char *format, ...)
+static void add_error(parser *in, const char *path, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 
 static void
-complain(reader *in, const char *path, const char *format, ...)
+add_error(parser *in, const char *path, const char *format, ...)
 {
     va_list args;
 
@@ -27,7 +27,7 @@
 }
 
 static const Setting *
-find_setting(const reader *in, const char *path)
+find_setting(const parser *in, const char *path)
 {
     const Setting *setting;
 
@@ -40,73 +40,74 @@
 }
 
 static void
-read_address(reader *in, const Setting *setting, const json_t *value)
+read_address(parser *in, const Setting *setting, const json_t *value)
 {
     const char *text = json_string_value(value);
-    Address *place = (Address *)(void *)(in->out + setting->place);
+    Address *target = (Address *)(void *)(in->out + setting->offset);
 
-    if (text == NULL || !Address_Parse(text, place)) {
-        complain(in, setting->path,
-                 "expected \"IP:port\", an IPv4 number "
-                 "and a port from 1 to 65535");
+    if (text == NULL || !Address_Parse(text, target)) {
+        add_error(in, setting->path,
+                  "expected \"IP:port\", an IPv4 number "
+                  "and a port from 1 to 65535");
     }
 }
 
 static void
-read_addresses(reader *in, const Setting *setting, const json_t *value)
+read_addresses(parser *in, const Setting *setting, const json_t *value)
 {
-    Setting_Addresses *place = (Setting_Addresses *)(void *)(in->out +
-                                                             setting->place);
+    Setting_Addresses *target = (Setting_Addresses *)(void *)(in->out +
+                                                              setting->offset);
     const json_t *item;
     size_t i;
 
-    place->count = 0;
+    target->count = 0;
     if (!json_is_array(value) ||
         json_array_size(value) > SETTING_MAX_ADDRESSES) {
-        complain(in, setting->path,
-                 "expected a list of at most %d \"IP:port\"",
-                 SETTING_MAX_ADDRESSES);
+        add_error(in, setting->path,
+                  "expected a list of at most %d \"IP:port\"",
+                  SETTING_MAX_ADDRESSES);
         return;
     }
     json_array_foreach(value, i, item)
     {
         const char *text = json_string_value(item);
-        if (text == NULL || !Address_Parse(text, &place->list[place->count])) {
-            complain(in, setting->path, "entry %zu: expected \"IP:port\"", i);
+        if (text == NULL ||
+            !Address_Parse(text, &target->list[target->count])) {
+            add_error(in, setting->path, "entry %zu: expected \"IP:port\"", i);
             return;
         }
-        place->count++;
+        target->count++;
     }
 }
 
 static void
-read_integer(reader *in, const Setting *setting, const json_t *value)
+read_integer(parser *in, const Setting *setting, const json_t *value)
 {
-    int64_t *place = (int64_t *)(void *)(in->out + setting->place);
+    int64_t *target = (int64_t *)(void *)(in->out + setting->offset);
 
     if (!json_is_integer(value) ||
-        json_integer_value(value) < setting->least ||
-        json_integer_value(value) > setting->most) {
-        complain(in, setting->path, "expected an integer from %lld to %lld",
-                 (long long)setting->least, (long long)setting->most);
+        json_integer_value(value) < setting->minimum ||
+        json_integer_value(value) > setting->maximum) {
+        add_error(in, setting->path, "expected an integer from %lld to %lld",
+                  (long long)setting->minimum, (long long)setting->maximum);
         return;
     }
-    *place = json_integer_value(value);
+    *target = json_integer_value(value);
 }
 
 static void
-read_number(reader *in, const Setting *setting, const json_t *value)
+read_number(parser *in, const Setting *setting, const json_t *value)
 {
-    double *place = (double *)(void *)(in->out + setting->place);
+    double *target = (double *)(void *)(in->out + setting->offset);
 
     if (!json_is_number(value) ||
-        json_number_value(value) < (double)setting->least ||
-        json_number_value(value) > (double)setting->most) {
-        complain(in, setting->path, "expected a number from %lld to %lld",
-                 (long long)setting->least, (long long)setting->most);
+        json_number_value(value) < (double)setting->minimum ||
+        json_number_value(value) > (double)setting->maximum) {
+        add_error(in, setting->path, "expected a number from %lld to %lld",
+                  (long long)setting->minimum, (long long)setting->maximum);
         return;
     }
-    *place = json_number_value(value);
+    *target = json_number_value(value);
 }
 
 static int
@@ -120,31 +121,31 @@
 }
 
 static void
-read_text(reader *in, const Setting *setting, const json_t *value)
+read_text(parser *in, const Setting *setting, const json_t *value)
 {
     const char *text = json_string_value(value);
 
     if (text == NULL || text[0] == '\0' || strlen(text) >= SETTING_TEXT_SIZE) {
-        complain(in, setting->path, "expected a text of 1 to %d bytes",
-                 SETTING_TEXT_SIZE - 1);
+        add_error(in, setting->path, "expected a text of 1 to %d bytes",
+                  SETTING_TEXT_SIZE - 1);
     }
     else if (setting->choices != NULL && !is_choice(setting->choices, text)) {
-        complain(in, setting->path, "expected one of %s", setting->choices);
+        add_error(in, setting->path, "expected one of %s", setting->choices);
     }
     else {
-        g_strlcpy(in->out + setting->place, text, SETTING_TEXT_SIZE);
+        g_strlcpy(in->out + setting->offset, text, SETTING_TEXT_SIZE);
     }
 }
 
 static void
-read_value(reader *in, const char *path, const json_t *value)
+read_value(parser *in, const char *path, const json_t *value)
 {
     const Setting *setting = find_setting(in, path);
     const char *name;
     const json_t *member;
 
     if (setting == NULL) {
-        complain(in, path, "unknown setting");
+        add_error(in, path, "unknown setting");
         return;
     }
     switch (setting->kind) {
@@ -165,28 +166,28 @@
         break;
     case SETTING_GROUP:
         if (!json_is_object(value)) {
-            complain(in, path, "expected an object");
+            add_error(in, path, "expected an object");
             break;
         }
         json_object_foreach((json_t *)(uintptr_t)value, name, member)
         {
-            char *below = g_strconcat(path, ".", name, NULL);
-            read_value(in, below, member);
-            g_free(below);
+            char *member_path = g_strconcat(path, ".", name, NULL);
+            read_value(in, member_path, member);
+            g_free(member_path);
         }
         break;
     }
 }
 
 static void
-check_required(reader *in, const json_t *document)
+check_required(parser *in, const json_t *document)
 {
     const Setting *setting;
 
     for (setting = in->table; setting->path != NULL; setting++) {
         if (setting->required && strchr(setting->path, '.') == NULL &&
             json_object_get(document, setting->path) == NULL) {
-            complain(in, setting->path, "missing");
+            add_error(in, setting->path, "missing");
         }
     }
 }
@@ -194,7 +195,7 @@
 Err_Kind
 Settings_Load(const char *file, const Setting *table, void *out, char **errors)
 {
-    reader in = {file, table, out, g_string_new(NULL)};
+    parser in = {file, table, out, g_string_new(NULL)};
     json_error_t error;
     json_t *document = json_load_file(file, JSON_REJECT_DUPLICATES, &error);
     Err_Kind kind = ERR_OK;
@@ -206,7 +207,7 @@
                                error.column, error.text);
     }
     else if (!json_is_object(document)) {
-        complain(&in, "document", "expected an object");
+        add_error(&in, "document", "expected an object");
     }
     else {
         json_object_foreach(document, name, value)
--- a/base/version.h
+++ b/base/version.h
@@ -1,6 +1,6 @@
 /**
  * @file version.h
- * @brief Version of the programs.
+ * @brief Version of levercoved and levercove.
  */
 #ifndef LC_BASE_VERSION_H
 #define LC_BASE_VERSION_H
