--- a/wire/msg.c
+++ b/wire/msg.c
@@ -44,7 +44,8 @@
     return msg_rows[kind].name;
 }
 
-/* Grows `out` by mark and `size` bytes and opens a stream over the latter. */
+/* Appends a record mark and `size` bytes to `out` and opens an XDR stream over
+ * those bytes. */
 static void
 open_record(GByteArray *out, size_t size, XDR *xdr)
 {
@@ -58,19 +59,19 @@
 }
 
 static void
-write_record(GByteArray *out, xdrproc_t head_proc, struct rpc_msg *head,
+write_record(GByteArray *out, xdrproc_t header_proc, struct rpc_msg *header,
              xdrproc_t body_proc, const void *body)
 {
     XDR xdr;
-    /* The codec takes no const, but only reads while it encodes. */
+    /* XDR filters take no const, but only read their object when encoding. */
     void *mutable_body = (void *)(uintptr_t)body;
-    size_t size = xdr_sizeof(head_proc, head);
+    size_t size = xdr_sizeof(header_proc, header);
 
     if (body_proc != NULL) {
         size += xdr_sizeof(body_proc, mutable_body);
     }
     open_record(out, size, &xdr);
-    head_proc(&xdr, head);
+    header_proc(&xdr, header);
     if (body_proc != NULL) {
         body_proc(&xdr, mutable_body);
     }
@@ -78,7 +79,7 @@
 }
 
 static bool_t
-xdr_nothing(XDR *xdr, void *unused)
+xdr_empty(XDR *xdr, void *unused)
 {
     (void)xdr;
     (void)unused;
@@ -89,16 +90,16 @@
 write_call(uint32_t xid, rpcproc_t procedure, xdrproc_t proc, const void *body,
            GByteArray *out)
 {
-    struct rpc_msg head;
-
-    memset(&head, 0, sizeof(head));
-    head.rm_xid = xid;
-    head.rm_direction = CALL;
-    head.rm_call.cb_rpcvers = RPC_VERSION;
-    head.rm_call.cb_prog = LC_PROGRAM;
-    head.rm_call.cb_vers = LC_VERSION;
-    head.rm_call.cb_proc = procedure;
-    write_record(out, (xdrproc_t)xdr_callmsg, &head, proc, body);
+    struct rpc_msg header;
+
+    memset(&header, 0, sizeof(header));
+    header.rm_xid = xid;
+    header.rm_direction = CALL;
+    header.rm_call.cb_rpcvers = RPC_VERSION;
+    header.rm_call.cb_prog = LC_PROGRAM;
+    header.rm_call.cb_vers = LC_VERSION;
+    header.rm_call.cb_proc = procedure;
+    write_record(out, (xdrproc_t)xdr_callmsg, &header, proc, body);
 }
 
 void
@@ -118,20 +119,20 @@
 write_reply(uint32_t xid, enum accept_stat stat, xdrproc_t proc,
             const void *body, GByteArray *out)
 {
-    struct rpc_msg head;
-
-    memset(&head, 0, sizeof(head));
-    head.rm_xid = xid;
-    head.rm_direction = REPLY;
-    head.rm_reply.rp_stat = MSG_ACCEPTED;
-    head.acpted_rply.ar_stat = stat;
-    head.acpted_rply.ar_vers.low = LC_VERSION;
-    head.acpted_rply.ar_vers.high = LC_VERSION;
+    struct rpc_msg header;
+
+    memset(&header, 0, sizeof(header));
+    header.rm_xid = xid;
+    header.rm_direction = REPLY;
+    header.rm_reply.rp_stat = MSG_ACCEPTED;
+    header.acpted_rply.ar_stat = stat;
+    header.acpted_rply.ar_vers.low = LC_VERSION;
+    header.acpted_rply.ar_vers.high = LC_VERSION;
     if (stat == SUCCESS) {
-        head.acpted_rply.ar_results.where = NULL;
-        head.acpted_rply.ar_results.proc = (xdrproc_t)xdr_nothing;
+        header.acpted_rply.ar_results.where = NULL;
+        header.acpted_rply.ar_results.proc = (xdrproc_t)xdr_empty;
     }
-    write_record(out, (xdrproc_t)xdr_replymsg, &head, proc, body);
+    write_record(out, (xdrproc_t)xdr_replymsg, &header, proc, body);
 }
 
 void
@@ -160,26 +161,26 @@
 }
 
 static void
-decode_call(XDR *xdr, const struct call_body *head, Msg_Record *record)
+decode_call(XDR *xdr, const struct call_body *header, Msg_Record *record)
 {
     record->type = MSG_IS_CALL;
-    if (head->cb_prog != LC_PROGRAM) {
+    if (header->cb_prog != LC_PROGRAM) {
         refuse(record, PROG_UNAVAIL);
         return;
     }
-    if (head->cb_vers != LC_VERSION) {
+    if (header->cb_vers != LC_VERSION) {
         refuse(record, PROG_MISMATCH);
         return;
     }
-    if (head->cb_proc == 0) {
+    if (header->cb_proc == 0) {
         record->type = MSG_IS_NULL;
         return;
     }
-    if (head->cb_proc > MSG_COUNT) {
+    if (header->cb_proc > MSG_COUNT) {
         refuse(record, PROC_UNAVAIL);
         return;
     }
-    record->call.kind = (Msg_Kind)(head->cb_proc - 1);
+    record->call.kind = (Msg_Kind)(header->cb_proc - 1);
     if (!msg_rows[record->call.kind].args(xdr, &record->call.u)) {
         Msg_FreeCall(&record->call);
         refuse(record, GARBAGE_ARGS);
@@ -187,10 +188,10 @@
 }
 
 static void
-decode_reply(XDR *xdr, const struct rpc_msg *head, Msg_Record *record)
+decode_reply(XDR *xdr, const struct rpc_msg *header, Msg_Record *record)
 {
-    if (head->rm_reply.rp_stat != MSG_ACCEPTED ||
-        head->acpted_rply.ar_stat != SUCCESS) {
+    if (header->rm_reply.rp_stat != MSG_ACCEPTED ||
+        header->acpted_rply.ar_stat != SUCCESS) {
         record->type = MSG_IS_DENIED;
         return;
     }
@@ -201,7 +202,7 @@
 void
 Msg_Decode(const uint8_t *data, size_t length, Msg_Record *record)
 {
-    struct rpc_msg head;
+    struct rpc_msg header;
     uint32_t direction = 0;
     char credentials[MAX_AUTH_BYTES];
     char verifier[MAX_AUTH_BYTES];
@@ -213,26 +214,26 @@
     if (length < 8) {
         return;
     }
-    memset(&head, 0, sizeof(head));
+    memset(&header, 0, sizeof(header));
     memcpy(&direction, data + 4, sizeof(direction));
     direction = ntohl(direction);
     xdrmem_create(&xdr, (char *)(uintptr_t)data, (u_int)length, XDR_DECODE);
     if (direction == CALL) {
-        head.rm_call.cb_cred.oa_base = credentials;
-        head.rm_call.cb_verf.oa_base = verifier;
-        parsed = xdr_callmsg(&xdr, &head);
+        header.rm_call.cb_cred.oa_base = credentials;
+        header.rm_call.cb_verf.oa_base = verifier;
+        parsed = xdr_callmsg(&xdr, &header);
     }
     else {
-        head.acpted_rply.ar_verf.oa_base = verifier;
-        head.acpted_rply.ar_results.proc = (xdrproc_t)xdr_nothing;
-        parsed = xdr_replymsg(&xdr, &head);
+        header.acpted_rply.ar_verf.oa_base = verifier;
+        header.acpted_rply.ar_results.proc = (xdrproc_t)xdr_empty;
+        parsed = xdr_replymsg(&xdr, &header);
     }
-    record->xid = head.rm_xid;
+    record->xid = header.rm_xid;
     if (parsed && direction == CALL) {
-        decode_call(&xdr, &head.rm_call, record);
+        decode_call(&xdr, &header.rm_call, record);
     }
     else if (parsed) {
-        decode_reply(&xdr, &head, record);
+        decode_reply(&xdr, &header, record);
     }
     xdr_destroy(&xdr);
 }
@@ -272,7 +273,7 @@
 void
 Msg_EncodeKept(const lc_kept_record *record, GByteArray *out)
 {
-    /* The codec takes no const, but only reads while it encodes. */
+    /* XDR filters take no const, but only read their object when encoding. */
     lc_kept_record *body = (lc_kept_record *)(uintptr_t)record;
     size_t size = xdr_sizeof((xdrproc_t)xdr_lc_kept_record, body);
     guint start = out->len;
--- a/wire/msg.h
+++ b/wire/msg.h
@@ -1,11 +1,11 @@
 /**
  * @file msg.h
- * @brief The typed messages between processes and their form on the wire:
- * ONC RPC (RFC 5531) calls and replies with record marking.
+ * @brief Typed messages between processes and their wire format: ONC RPC
+ * (RFC 5531) calls and replies with record marking.
  *
  * Ownership: a decoded message owns its memory and is freed with
- * Msg_FreeCall or Msg_FreeReply. Whoever is handed a `const` message borrows
- * it and copies what it keeps.
+ * Msg_FreeCall or Msg_FreeReply. A function that takes a `const` message
+ * borrows it and copies what it needs after it returns.
  */
 #ifndef LC_WIRE_MSG_H
 #define LC_WIRE_MSG_H
@@ -16,7 +16,8 @@
 
 #include "wire/levercove.h"
 
-/** X(NAME, lower-case name): every procedure but NULL, by its number. */
+/** X(NAME, lower-case name): all procedures but NULL, in the order of their
+ * numbers. */
 #define MSG_LIST(X)                                                           \
     X(PING, ping)                                                             \
     X(RELAY, relay)                                                           \
@@ -41,7 +42,7 @@
     X(FORWARD, forward)                                                       \
     X(EXTEND, extend)
 
-/** Kinds of message, each equal to its procedure number less one. */
+/** Kinds of message; each value is the procedure number less one. */
 typedef enum {
 #define X(name, lower) MSG_##name,
     MSG_LIST(X)
@@ -69,47 +70,47 @@
     } u;
 } Msg_Reply;
 
-/** Longest record that is read, in bytes. */
+/** Longest record accepted, in bytes. */
 #define MSG_MAX_RECORD (16U * 1024 * 1024)
 
 /** Length of the record mark in bytes. */
 #define MSG_MARK_SIZE 4
 
-/** What a record turned out to be. */
+/** Result of decoding a record. */
 typedef enum {
-    MSG_IS_CALL,   /**< a call to answer */
-    MSG_IS_NULL,   /**< the NULL procedure: answer with Msg_EncodeNull */
-    MSG_IS_REPLY,  /**< results of the call with this xid */
-    MSG_IS_DENIED, /**< the callee refused the call with this xid */
-    MSG_IS_BAD,    /**< a call to refuse with Msg_EncodeRefusal */
-    MSG_IS_JUNK    /**< no RPC message: close the connection */
+    MSG_IS_CALL,   /**< a call to be answered */
+    MSG_IS_NULL,   /**< NULL procedure call: answer with Msg_EncodeNull */
+    MSG_IS_REPLY,  /**< a reply with results to the call with this xid */
+    MSG_IS_DENIED, /**< a reply that refuses the call with this xid */
+    MSG_IS_BAD,    /**< invalid call: answer with Msg_EncodeRefusal */
+    MSG_IS_JUNK    /**< not an RPC message: close the connection */
 } Msg_Type;
 
-/** A record taken apart. */
+/** A decoded record. */
 typedef struct {
     Msg_Type type;
     uint32_t xid;
     enum accept_stat refusal; /**< for MSG_IS_BAD */
-    size_t body;              /**< for MSG_IS_REPLY: where results start */
+    size_t body;              /**< for MSG_IS_REPLY: offset of the results */
     Msg_Call call;            /**< for MSG_IS_CALL; free with Msg_FreeCall */
 } Msg_Record;
 
-/** Whether both are the same incarnation at the same address. */
+/** Whether both nodes have the same address and the same incarnation. */
 bool Msg_SameNode(const lc_node *a, const lc_node *b);
 
-/** Whether an array of lc_node holds a node. */
+/** Whether an array of lc_node contains @p node. */
 bool Msg_HasNode(const GArray *nodes, const lc_node *node);
 
 /** Lower-case name of a kind. */
 const char *Msg_Name(Msg_Kind kind);
 
-/** Appends a whole record, mark included, for a call. */
+/** Appends the record of a call, record mark included. */
 void Msg_EncodeCall(const Msg_Call *call, uint32_t xid, GByteArray *out);
 
-/** Appends a whole record for a reply. */
+/** Appends the record of a reply, record mark included. */
 void Msg_EncodeReply(const Msg_Reply *reply, uint32_t xid, GByteArray *out);
 
-/** Appends a call of the NULL procedure, which any peer answers at once. */
+/** Appends a call of the NULL procedure, which every peer answers at once. */
 void Msg_EncodePing(uint32_t xid, GByteArray *out);
 
 /** Appends the empty reply of the NULL procedure. */
@@ -118,17 +119,18 @@
 /** Appends a reply that refuses a call for @p reason. */
 void Msg_EncodeRefusal(uint32_t xid, enum accept_stat reason, GByteArray *out);
 
-/** Takes a record (without its mark) apart. */
+/** Decodes a record, given without its mark. */
 void Msg_Decode(const uint8_t *data, size_t length, Msg_Record *record);
 
 /** Decodes the results of a reply; false if they are malformed. */
 bool Msg_DecodeReply(Msg_Kind kind, const uint8_t *data, size_t length,
                      Msg_Reply *reply);
 
-/** Appends a record of a kept job as it stands in the store. */
+/** Appends a durable job's record in the format of the store. */
 void Msg_EncodeKept(const lc_kept_record *record, GByteArray *out);
 
-/** Reads such a record; false if it is malformed. Free with Msg_FreeKept. */
+/** Decodes a durable job's record; false if it is malformed. To be freed with
+ * Msg_FreeKept. */
 bool Msg_DecodeKept(const uint8_t *data, size_t length,
                     lc_kept_record *record);
 
--- a/wire/rpc.c
+++ b/wire/rpc.c
@@ -9,15 +9,16 @@
 #define LISTEN_BACKLOG 512
 #define READ_CHUNK 65536
 #define LAST_FRAGMENT 0x80000000U
-/* Connections are looked at so often while they are kept alive. */
-#define KEEP_TICK_MS 100
-/* The tick came so late: this process stood still, and what others sent waits
- * to be read. */
-#define KEEP_LATE_MS 200
-/* Who opened a connection closes it after so long without use; what the other
- * side has not heard on for twice as long is gone without a word. Chosen: far
- * beyond the longest pause between reports (3 s). */
-#define IDLE_MS ((int64_t)60000)
+/* Interval between checks of all connections when keepalive is enabled. */
+#define KEEPALIVE_INTERVAL_MS 100
+/* A check that comes this much late means that this process was stalled: what
+ * peers have sent meanwhile is still unread. */
+#define KEEPALIVE_STALL_MS 200
+/* The side that opened a connection closes it after this time without use. The
+ * accepting side closes it after twice this time without input, as the peer
+ * must have disappeared without closing it. Far longer than the longest
+ * interval between reports (3 s). */
+#define IDLE_TIMEOUT_MS ((int64_t)60000)
 
 /* One TCP connection, opened by us (`peer` set) or by a peer. */
 typedef struct {
@@ -29,26 +30,26 @@
     bool connected;
     bool closing;
     GByteArray *in;
-    GByteArray *out;     /* held back until connected */
-    GHashTable *pending; /* xid -> pending_call */
+    GByteArray *out;     /* queued until connected */
+    GHashTable *pending; /* xid -> pending_call * */
     uint32_t next_xid;
-    int64_t used_ms;   /* something came, or was first waited for */
-    uint32_t ping_xid; /* of the ping on its way, or 0 */
+    int64_t active_ms; /* last input, or start of the first pending call */
+    uint32_t ping_xid; /* of the unanswered ping, or 0 */
     uint32_t writes;
 } connection;
 
 typedef struct {
     uint64_t call_id;
     Msg_Kind kind;
-    u_int rows; /* of the RUNS that begin with it; 0 for none */
+    u_int rows; /* of the RUNS call of which this is the first row, else 0 */
 } pending_call;
 
-/* A call of a peer that waits for its answer. */
+/* A call of a peer that this process has not answered yet. */
 typedef struct {
     Handle connection;
     uint32_t xid;
     Msg_Kind kind;
-} owed_reply;
+} incoming_call;
 
 typedef struct {
     uv_write_t request;
@@ -59,10 +60,10 @@
 struct Rpc {
     uv_loop_t *loop;
     uv_tcp_t listener;
-    uv_timer_t lost_timer;
-    uv_timer_t keep_timer;
-    int64_t kept_ms;     /* the last look at all connections */
-    uint32_t silence_ms; /* 0: connections are not kept alive */
+    uv_timer_t lost_calls_timer;
+    uv_timer_t keepalive_timer;
+    int64_t checked_ms;  /* last check of all connections */
+    uint32_t silence_ms; /* 0: keepalive is disabled */
     bool listening;
     bool closing;
     int handles;
@@ -71,28 +72,28 @@
     Rpc_Handlers handlers;
     void *context;
     Handle_Table *connections;
-    Handle_Table *owed;
+    Handle_Table *incoming;
     GHashTable *by_peer;
-    GArray *lost;
+    GArray *lost_calls;
     Rpc_Traffic traffic;
     char chunk[READ_CHUNK];
 };
 
 static void
-release_rpc(Rpc *rpc)
+free_when_closed(Rpc *rpc)
 {
     uint32_t i;
 
     if (!rpc->closing || rpc->handles > 0) {
         return;
     }
-    for (i = 0; i < Handle_Size(rpc->owed); i++) {
-        g_free(Handle_At(rpc->owed, i));
+    for (i = 0; i < Handle_Size(rpc->incoming); i++) {
+        g_free(Handle_At(rpc->incoming, i));
     }
-    Handle_FreeTable(rpc->owed);
+    Handle_FreeTable(rpc->incoming);
     Handle_FreeTable(rpc->connections);
     g_hash_table_unref(rpc->by_peer);
-    g_array_unref(rpc->lost);
+    g_array_unref(rpc->lost_calls);
     g_free(rpc);
 }
 
@@ -102,33 +103,33 @@
     Rpc *rpc = handle->data;
 
     rpc->handles--;
-    release_rpc(rpc);
+    free_when_closed(rpc);
 }
 
 static void
-deliver_lost(uv_timer_t *timer)
+report_lost_calls(uv_timer_t *timer)
 {
     Rpc *rpc = timer->data;
-    GArray *lost = rpc->lost;
+    GArray *lost_calls = rpc->lost_calls;
     guint i;
 
-    rpc->lost = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    for (i = 0; i < lost->len; i++) {
-        rpc->handlers.reply(rpc->context, g_array_index(lost, uint64_t, i),
-                            NULL);
+    rpc->lost_calls = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    for (i = 0; i < lost_calls->len; i++) {
+        rpc->handlers.reply(rpc->context,
+                            g_array_index(lost_calls, uint64_t, i), NULL);
     }
-    g_array_unref(lost);
+    g_array_unref(lost_calls);
 }
 
 static void
-add_lost(Rpc *rpc, uint64_t call_id)
+add_lost_call(Rpc *rpc, uint64_t call_id)
 {
     if (rpc->closing) {
         return;
     }
-    g_array_append_val(rpc->lost, call_id);
+    g_array_append_val(rpc->lost_calls, call_id);
     Counter_Add(rpc->counters, COUNTER_CALLS_LOST, 1);
-    uv_timer_start(&rpc->lost_timer, deliver_lost, 0, 0);
+    uv_timer_start(&rpc->lost_calls_timer, report_lost_calls, 0, 0);
 }
 
 static void
@@ -142,7 +143,7 @@
     g_hash_table_unref(conn->pending);
     g_free(conn);
     rpc->handles--;
-    release_rpc(rpc);
+    free_when_closed(rpc);
 }
 
 static void
@@ -162,7 +163,7 @@
     }
     g_hash_table_iter_init(&iter, conn->pending);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        add_lost(rpc, ((pending_call *)value)->call_id);
+        add_lost_call(rpc, ((pending_call *)value)->call_id);
     }
     g_hash_table_remove_all(conn->pending);
     uv_close((uv_handle_t *)&conn->tcp, on_connection_closed);
@@ -179,7 +180,7 @@
     conn->out = g_byte_array_new();
     conn->pending = g_hash_table_new_full(NULL, NULL, NULL, g_free);
     conn->handle = Handle_Add(rpc->connections, conn);
-    conn->used_ms = (int64_t)uv_now(rpc->loop);
+    conn->active_ms = (int64_t)uv_now(rpc->loop);
     uv_tcp_init(rpc->loop, &conn->tcp);
     conn->tcp.data = conn;
     rpc->handles++;
@@ -201,7 +202,7 @@
     }
 }
 
-/* Consumes `bytes`. */
+/* Takes ownership of `bytes`. */
 static void
 write_bytes(connection *conn, GByteArray *bytes)
 {
@@ -227,15 +228,15 @@
 }
 
 static void
-hand_on_call(Rpc *rpc, Handle from, uint32_t xid, const Msg_Call *call)
+deliver_call(Rpc *rpc, Handle from, uint32_t xid, const Msg_Call *call)
 {
-    owed_reply *owed = g_new0(owed_reply, 1);
+    incoming_call *incoming = g_new0(incoming_call, 1);
     Handle reply_id;
 
-    owed->connection = from;
-    owed->xid = xid;
-    owed->kind = call->kind;
-    reply_id = Handle_Add(rpc->owed, owed);
+    incoming->connection = from;
+    incoming->xid = xid;
+    incoming->kind = call->kind;
+    reply_id = Handle_Add(rpc->incoming, incoming);
     rpc->handlers.call(rpc->context, reply_id, call);
 }
 
@@ -252,9 +253,9 @@
 }
 
 static void
-take_runs(connection *conn, uint32_t first_xid, const lc_runs_args *runs)
+handle_runs(connection *conn, uint32_t first_xid, const lc_runs_args *runs)
 {
-    /* The connection may be closed while rows are handed on. */
+    /* A handler may close the connection while rows are delivered. */
     Handle handle = conn->handle;
     Rpc *rpc = conn->rpc;
     u_int i;
@@ -265,29 +266,29 @@
     for (i = 0; i < runs->rows.rows_len; i++) {
         Msg_Call run;
         Runs_Get(runs, i, &run);
-        hand_on_call(rpc, handle, first_xid + i, &run);
+        deliver_call(rpc, handle, first_xid + i, &run);
     }
 }
 
 static void
-take_call(connection *conn, Msg_Record *record)
+handle_call(connection *conn, Msg_Record *record)
 {
     Msg_Call *call = &record->call;
 
     conn->rpc->traffic.calls_in[call->kind]++;
     if (call->kind == MSG_RUNS) {
-        take_runs(conn, record->xid, &call->u.runs);
+        handle_runs(conn, record->xid, &call->u.runs);
     }
     else {
-        hand_on_call(conn->rpc, conn->handle, record->xid, call);
+        deliver_call(conn->rpc, conn->handle, record->xid, call);
     }
     Msg_FreeCall(call);
 }
 
-/* A peer that does not know RUNS, or could not read this one, has done
- * nothing of it. */
+/* A peer that does not know RUNS, or could not decode this call, has executed
+ * none of its rows: all of them are lost. */
 static void
-lose_rows(connection *conn, uint32_t first_xid, u_int rows)
+fail_rows(connection *conn, uint32_t first_xid, u_int rows)
 {
     u_int i;
 
@@ -295,15 +296,15 @@
         gpointer xid = GUINT_TO_POINTER(first_xid + i);
         const pending_call *row = g_hash_table_lookup(conn->pending, xid);
         if (row != NULL) {
-            add_lost(conn->rpc, row->call_id);
+            add_lost_call(conn->rpc, row->call_id);
             g_hash_table_remove(conn->pending, xid);
         }
     }
 }
 
 static void
-take_reply(connection *conn, const Msg_Record *record, const uint8_t *data,
-           size_t length)
+handle_reply(connection *conn, const Msg_Record *record, const uint8_t *data,
+             size_t length)
 {
     Rpc *rpc = conn->rpc;
     gpointer xid = GUINT_TO_POINTER(record->xid);
@@ -326,11 +327,11 @@
         !Msg_DecodeReply(ended.kind, data + record->body,
                          length - record->body, &reply)) {
         Counter_Add(rpc->counters, COUNTER_RPC_BAD, 1);
-        Event_Log(EVENT_RPC_BAD, "reply to %s from %s", Msg_Name(ended.kind),
-                  Address_Text(conn->peer));
-        add_lost(rpc, ended.call_id);
+        Event_Log(EVENT_RPC_BAD, "refused or malformed reply to %s from %s",
+                  Msg_Name(ended.kind), Address_Text(conn->peer));
+        add_lost_call(rpc, ended.call_id);
         if (record->type == MSG_IS_DENIED) {
-            lose_rows(conn, record->xid, ended.rows);
+            fail_rows(conn, record->xid, ended.rows);
         }
         return;
     }
@@ -340,7 +341,7 @@
 }
 
 static void
-take_record(connection *conn, const uint8_t *data, size_t length)
+handle_record(connection *conn, const uint8_t *data, size_t length)
 {
     Rpc *rpc = conn->rpc;
     GByteArray *out;
@@ -349,7 +350,7 @@
     Msg_Decode(data, length, &record);
     switch (record.type) {
     case MSG_IS_CALL:
-        take_call(conn, &record);
+        handle_call(conn, &record);
         break;
     case MSG_IS_NULL:
         out = g_byte_array_new();
@@ -361,19 +362,19 @@
         break;
     case MSG_IS_REPLY:
     case MSG_IS_DENIED:
-        take_reply(conn, &record, data, length);
+        handle_reply(conn, &record, data, length);
         break;
     case MSG_IS_JUNK:
         Counter_Add(rpc->counters, COUNTER_RPC_BAD, 1);
-        Event_Log(EVENT_RPC_BAD, "no RPC message, connection closed");
+        Event_Log(EVENT_RPC_BAD, "not an RPC message, connection closed");
         close_connection(conn);
         break;
     }
 }
 
-/* Takes every whole record out of the input. */
+/* Processes all complete records of the input. */
 static void
-take_input(connection *conn)
+handle_input(connection *conn)
 {
     size_t used = 0;
 
@@ -385,8 +386,8 @@
         length = mark & ~LAST_FRAGMENT;
         if (length > MSG_MAX_RECORD || (mark & LAST_FRAGMENT) == 0) {
             Counter_Add(conn->rpc->counters, COUNTER_RPC_BAD, 1);
-            Event_Log(EVENT_RPC_BAD, "record mark %08x, connection closed",
-                      mark);
+            Event_Log(EVENT_RPC_BAD,
+                      "invalid record mark %08x, connection closed", mark);
             close_connection(conn);
             return;
         }
@@ -394,7 +395,7 @@
             break;
         }
         used += MSG_MARK_SIZE;
-        take_record(conn, conn->in->data + used, length);
+        handle_record(conn, conn->in->data + used, length);
         used += length;
     }
     if (used > 0) {
@@ -423,10 +424,10 @@
     if (count == 0) {
         return;
     }
-    conn->used_ms = (int64_t)uv_now(conn->rpc->loop);
+    conn->active_ms = (int64_t)uv_now(conn->rpc->loop);
     Counter_Add(conn->rpc->counters, COUNTER_RPC_BYTES_IN, (uint64_t)count);
     g_byte_array_append(conn->in, (const guint8 *)buffer->base, (guint)count);
-    take_input(conn);
+    handle_input(conn);
 }
 
 static void
@@ -441,7 +442,7 @@
 on_connected(uv_connect_t *request, int result)
 {
     connection *conn = request->data;
-    GByteArray *held;
+    GByteArray *queued;
 
     if (conn->closing) {
         return;
@@ -451,9 +452,9 @@
         return;
     }
     start_reading(conn);
-    held = conn->out;
+    queued = conn->out;
     conn->out = g_byte_array_new();
-    write_bytes(conn, held);
+    write_bytes(conn, queued);
 }
 
 static void
@@ -493,11 +494,12 @@
     return conn;
 }
 
-/* ---- keeping alive ---- */
+/* ---- keepalive ---- */
 
-/* Asks the peer for a word; nothing else may have been owed for some time. */
+/* Sends a NULL call, as the peer may have had no other call to answer at once
+ * for some time. */
 static void
-ping(connection *conn)
+send_ping(connection *conn)
 {
     GByteArray *bytes = g_byte_array_new();
 
@@ -511,51 +513,53 @@
 {
     Counter_Add(conn->rpc->counters, COUNTER_CONNECTIONS_SILENT, 1);
     Event_Log(EVENT_CONNECTION_SILENT,
-              "%s, nothing for %lld ms, %u calls without an answer",
-              conn->peer == 0 ? "from a peer" : Address_Text(conn->peer),
+              "%s, nothing received for %lld ms, %u calls unanswered",
+              conn->peer == 0 ? "incoming connection"
+                              : Address_Text(conn->peer),
               (long long)since_ms, g_hash_table_size(conn->pending));
     close_connection(conn);
 }
 
 static void
-look_after(connection *conn, int64_t now)
+check_connection(connection *conn, int64_t now)
 {
-    int64_t since_ms = now - conn->used_ms;
-    bool waits = g_hash_table_size(conn->pending) > 0;
+    int64_t since_ms = now - conn->active_ms;
+    bool has_pending = g_hash_table_size(conn->pending) > 0;
 
     if (conn->peer == 0) {
-        if (since_ms >= 2 * IDLE_MS) {
+        if (since_ms >= 2 * IDLE_TIMEOUT_MS) {
             close_silent(conn, since_ms);
         }
     }
-    else if (!waits && since_ms >= IDLE_MS) {
+    else if (!has_pending && since_ms >= IDLE_TIMEOUT_MS) {
         close_connection(conn);
     }
-    else if (waits && since_ms >= conn->rpc->silence_ms) {
+    else if (has_pending && since_ms >= conn->rpc->silence_ms) {
         close_silent(conn, since_ms);
     }
-    else if (waits && since_ms >= conn->rpc->silence_ms / 2 &&
+    else if (has_pending && since_ms >= conn->rpc->silence_ms / 2 &&
              conn->ping_xid == 0) {
-        ping(conn);
+        send_ping(conn);
     }
 }
 
 static void
-on_keep_timer(uv_timer_t *timer)
+on_keepalive_timer(uv_timer_t *timer)
 {
     Rpc *rpc = timer->data;
     int64_t now = (int64_t)uv_now(rpc->loop);
-    bool stood_still = now - rpc->kept_ms >= KEEP_TICK_MS + KEEP_LATE_MS;
+    bool stalled = now - rpc->checked_ms >=
+                   KEEPALIVE_INTERVAL_MS + KEEPALIVE_STALL_MS;
     uint32_t i;
 
-    rpc->kept_ms = now;
+    rpc->checked_ms = now;
     for (i = 0; i < Handle_Size(rpc->connections); i++) {
         connection *conn = Handle_At(rpc->connections, i);
-        if (conn != NULL && stood_still) {
-            conn->used_ms = now;
+        if (conn != NULL && stalled) {
+            conn->active_ms = now;
         }
         else if (conn != NULL) {
-            look_after(conn, now);
+            check_connection(conn, now);
         }
     }
 }
@@ -564,12 +568,12 @@
 Rpc_KeepAlive(Rpc *rpc, uint32_t silence_ms)
 {
     rpc->silence_ms = silence_ms;
-    rpc->kept_ms = (int64_t)uv_now(rpc->loop);
-    uv_timer_start(&rpc->keep_timer, on_keep_timer, KEEP_TICK_MS,
-                   KEEP_TICK_MS);
+    rpc->checked_ms = (int64_t)uv_now(rpc->loop);
+    uv_timer_start(&rpc->keepalive_timer, on_keepalive_timer,
+                   KEEPALIVE_INTERVAL_MS, KEEPALIVE_INTERVAL_MS);
 }
 
-/* ---- the door ---- */
+/* ---- public interface ---- */
 
 Rpc *
 Rpc_New(uv_loop_t *loop, Counters *counters, const Rpc_Handlers *handlers,
@@ -582,13 +586,13 @@
     rpc->handlers = *handlers;
     rpc->context = context;
     rpc->connections = Handle_NewTable();
-    rpc->owed = Handle_NewTable();
+    rpc->incoming = Handle_NewTable();
     rpc->by_peer = g_hash_table_new(g_int64_hash, g_int64_equal);
-    rpc->lost = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    uv_timer_init(loop, &rpc->lost_timer);
-    rpc->lost_timer.data = rpc;
-    uv_timer_init(loop, &rpc->keep_timer);
-    rpc->keep_timer.data = rpc;
+    rpc->lost_calls = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    uv_timer_init(loop, &rpc->lost_calls_timer);
+    rpc->lost_calls_timer.data = rpc;
+    uv_timer_init(loop, &rpc->keepalive_timer);
+    rpc->keepalive_timer.data = rpc;
     rpc->handles = 2;
     return rpc;
 }
@@ -615,15 +619,15 @@
     return ERR_OK;
 }
 
-/* Notes that a reply of that kind is awaited; returns its number. */
+/* Registers a pending call; returns its xid. */
 static uint32_t
-await_reply(connection *conn, uint64_t call_id, Msg_Kind kind, u_int rows)
+add_pending(connection *conn, uint64_t call_id, Msg_Kind kind, u_int rows)
 {
     pending_call *pending = g_new0(pending_call, 1);
     uint32_t xid = ++conn->next_xid;
 
     if (g_hash_table_size(conn->pending) == 0) {
-        conn->used_ms = (int64_t)uv_now(conn->rpc->loop);
+        conn->active_ms = (int64_t)uv_now(conn->rpc->loop);
     }
     pending->call_id = call_id;
     pending->kind = kind;
@@ -649,10 +653,10 @@
     connection *conn = connect_to(rpc, to);
 
     if (conn == NULL) {
-        add_lost(rpc, call_id);
+        add_lost_call(rpc, call_id);
         return;
     }
-    write_call(conn, call, await_reply(conn, call_id, call->kind, 0));
+    write_call(conn, call, add_pending(conn, call_id, call->kind, 0));
 }
 
 void
@@ -667,14 +671,14 @@
 
     for (i = 0; i < rows; i++) {
         if (conn == NULL) {
-            add_lost(rpc, call_ids[i]);
+            add_lost_call(rpc, call_ids[i]);
             continue;
         }
         if (i == 0) {
-            first = await_reply(conn, call_ids[i], MSG_RUN, rows);
+            first = add_pending(conn, call_ids[i], MSG_RUN, rows);
         }
         else {
-            await_reply(conn, call_ids[i], MSG_RUN, 0);
+            add_pending(conn, call_ids[i], MSG_RUN, 0);
         }
     }
     if (conn != NULL && rows > 0) {
@@ -685,41 +689,41 @@
 void
 Rpc_Reply(Rpc *rpc, uint64_t reply_id, const Msg_Reply *reply)
 {
-    owed_reply *owed = Handle_Remove(rpc->owed, reply_id);
+    incoming_call *incoming = Handle_Remove(rpc->incoming, reply_id);
     connection *conn;
     GByteArray *bytes;
 
-    if (owed == NULL) {
+    if (incoming == NULL) {
         return;
     }
-    conn = Handle_Get(rpc->connections, owed->connection);
+    conn = Handle_Get(rpc->connections, incoming->connection);
     if (conn != NULL) {
         rpc->traffic.replies_out[reply->kind]++;
         bytes = g_byte_array_new();
-        Msg_EncodeReply(reply, owed->xid, bytes);
+        Msg_EncodeReply(reply, incoming->xid, bytes);
         rpc->traffic.reply_bytes_out[reply->kind] += bytes->len;
         write_bytes(conn, bytes);
     }
-    g_free(owed);
+    g_free(incoming);
 }
 
 void
 Rpc_Refuse(Rpc *rpc, uint64_t reply_id)
 {
-    owed_reply *owed = Handle_Remove(rpc->owed, reply_id);
+    incoming_call *incoming = Handle_Remove(rpc->incoming, reply_id);
     connection *conn;
     GByteArray *bytes;
 
-    if (owed == NULL) {
+    if (incoming == NULL) {
         return;
     }
-    conn = Handle_Get(rpc->connections, owed->connection);
+    conn = Handle_Get(rpc->connections, incoming->connection);
     if (conn != NULL) {
         bytes = g_byte_array_new();
-        Msg_EncodeRefusal(owed->xid, PROC_UNAVAIL, bytes);
+        Msg_EncodeRefusal(incoming->xid, PROC_UNAVAIL, bytes);
         write_bytes(conn, bytes);
     }
-    g_free(owed);
+    g_free(incoming);
 }
 
 void
@@ -759,6 +763,6 @@
     if (rpc->listening) {
         uv_close((uv_handle_t *)&rpc->listener, on_handle_closed);
     }
-    uv_close((uv_handle_t *)&rpc->lost_timer, on_handle_closed);
-    uv_close((uv_handle_t *)&rpc->keep_timer, on_handle_closed);
+    uv_close((uv_handle_t *)&rpc->lost_calls_timer, on_handle_closed);
+    uv_close((uv_handle_t *)&rpc->keepalive_timer, on_handle_closed);
 }
--- a/wire/rpc.h
+++ b/wire/rpc.h
@@ -1,10 +1,11 @@
 /**
  * @file rpc.h
- * @brief Calls between processes: ONC RPC over libuv TCP, one outgoing
+ * @brief Calls between processes: ONC RPC over libuv TCP, with one outgoing
  * connection for each peer, opened on demand.
  *
- * Calls and replies are borrowed for the time of the function. Each call
- * ends in exactly one `reply` of the handlers, never from inside Rpc_Call.
+ * Ownership: functions and handlers borrow calls and replies until they
+ * return. Each call ends in exactly one call of the `reply` handler, which
+ * never happens inside Rpc_Call.
  */
 #ifndef LC_WIRE_RPC_H
 #define LC_WIRE_RPC_H
@@ -17,18 +18,19 @@
 #include "base/err.h"
 #include "wire/msg.h"
 
-/** Opaque set of connections of one process. */
+/** Opaque RPC endpoint of one process: its listener and connections. */
 typedef struct Rpc Rpc;
 
-/** Where calls and replies are delivered. */
+/** Handlers of incoming calls and replies. */
 typedef struct {
-    /** A peer calls; answer once with Rpc_Reply(reply_id). */
+    /** A call arrived; answer it once with Rpc_Reply or Rpc_Refuse. */
     void (*call)(void *context, uint64_t reply_id, const Msg_Call *call);
-    /** A call of ours ended; @p reply is NULL when the connection broke. */
+    /** An outgoing call ended; @p reply is NULL if the call was lost or
+     * refused, or its reply was malformed. */
     void (*reply)(void *context, uint64_t call_id, const Msg_Reply *reply);
 } Rpc_Handlers;
 
-/** Messages of each kind, by direction. */
+/** Messages and bytes sent and received, by kind of message. */
 typedef struct {
     uint64_t calls_out[MSG_COUNT];
     uint64_t calls_in[MSG_COUNT];
@@ -41,39 +43,41 @@
 Rpc *Rpc_New(uv_loop_t *loop, Counters *counters, const Rpc_Handlers *handlers,
              void *context);
 
-/** Listens for peers; errors: IO. */
+/** Listens for connections of peers; errors: IO. */
 Err_Kind Rpc_Listen(Rpc *rpc, Address address, Status *status);
 
-/** Sends a call; its end is delivered with @p call_id. */
+/** Sends a call; its end is delivered to the `reply` handler with @p call_id.
+ */
 void Rpc_Call(Rpc *rpc, Address to, uint64_t call_id, const Msg_Call *call);
 
-/** Sends a RUNS call. Row i is a RUN of its own, the end of which is delivered
- * as
- * @p call_ids[i]; a peer that refuses the call has done none of them. */
+/** Sends a RUNS call. Each row i counts as a RUN call, whose end is delivered
+ * with @p call_ids[i]. A peer that refuses the call has executed no row. */
 void Rpc_CallRuns(Rpc *rpc, Address to, const uint64_t *call_ids,
                   const lc_runs_args *runs);
 
-/** Answers a call; ignored when its connection has gone. */
+/** Answers an incoming call; ignored if its connection is closed. */
 void Rpc_Reply(Rpc *rpc, uint64_t reply_id, const Msg_Reply *reply);
 
-/** Refuses a call whose procedure this process does not serve. */
+/** Refuses an incoming call, as this process does not serve its procedure. */
 void Rpc_Refuse(Rpc *rpc, uint64_t reply_id);
 
-/** Breaks the connection to a peer; its pending calls are lost. */
+/** Closes the outgoing connection to a peer; its pending calls are lost. */
 void Rpc_Reset(Rpc *rpc, Address to);
 
-/** Keeps connections alive from now on: one on which a call waits and nothing
- * has come for @p silence_ms is closed, and its calls are lost; after half of
- * that the peer is asked for a sign of life. Connections that are not used are
- * closed after a minute. */
+/** Enables keepalive. An outgoing connection with pending calls that receives
+ * nothing for @p silence_ms is closed, and its calls are lost; after half of
+ * that time the peer is sent a NULL call as a ping. Outgoing connections
+ * without pending calls are closed after a minute, and incoming ones on which
+ * nothing was received after two. */
 void Rpc_KeepAlive(Rpc *rpc, uint32_t silence_ms);
 
-/** Whether replies still wait to be written. */
+/** Whether writes to any connection are still pending. */
 int Rpc_Writing(const Rpc *rpc);
 
 const Rpc_Traffic *Rpc_GetTraffic(const Rpc *rpc);
 
-/** Closes everything and frees @p rpc once the loop has run. */
+/** Closes all connections and the listener; @p rpc is freed when the loop has
+ * run their close callbacks. */
 void Rpc_Close(Rpc *rpc);
 
 #endif
