--- a/base/clock.c
+++ b/base/clock.c
@@ -38,21 +38,21 @@
 }
 
 void
-Clock_Follow(Clock_Suspension *suspension, Clock_Reading reading)
+Clock_Follow(Clock_Suspension *tracker, Clock_Reading reading)
 {
-    suspension->offset_ms = reading.now_ms - reading.monotonic_ms;
+    tracker->offset_ms = reading.now_ms - reading.monotonic_ms;
 }
 
 int64_t
-Clock_Suspended(Clock_Suspension *suspension, Clock_Reading reading)
+Clock_Suspended(Clock_Suspension *tracker, Clock_Reading reading)
 {
     int64_t offset_ms = reading.now_ms - reading.monotonic_ms;
-    int64_t added_ms = offset_ms - suspension->offset_ms;
+    int64_t added_ms = offset_ms - tracker->offset_ms;
 
     if (added_ms <= MAX_READ_SKEW_MS) {
         return 0;
     }
-    suspension->offset_ms = offset_ms;
+    tracker->offset_ms = offset_ms;
     return added_ms;
 }
 
--- a/base/clock.h
+++ b/base/clock.h
@@ -31,11 +31,11 @@
 int64_t Clock_NowMs(void);
 
 /** Starts detection at a reading; suspensions before it are not reported. */
-void Clock_Follow(Clock_Suspension *suspension, Clock_Reading reading);
+void Clock_Follow(Clock_Suspension *tracker, Clock_Reading reading);
 
 /** Returns the time in ms that the machine was suspended and that no earlier
  * call returned, or 0. */
-int64_t Clock_Suspended(Clock_Suspension *suspension, Clock_Reading reading);
+int64_t Clock_Suspended(Clock_Suspension *tracker, Clock_Reading reading);
 
 /** For tests only: adds @p ms of simulated suspension to Clock_NowMs. */
 void Clock_TestSuspend(int64_t ms);
--- a/tests/case_table.c
+++ b/tests/case_table.c
@@ -25,41 +25,41 @@
 static void
 run_case(gconstpointer data)
 {
-    const test_case *one = data;
+    const test_case *test = data;
     GString *output = g_string_new(NULL);
 
-    one->run(one->input->str, output);
-    g_assert_cmpstr(output->str, ==, one->expected->str);
+    test->run(test->input->str, output);
+    g_assert_cmpstr(output->str, ==, test->expected->str);
     g_string_free(output, TRUE);
 }
 
 static void
-load_cases(const char *folder, const char *kind, CaseTable_Function run)
+load_cases(const char *directory, const char *kind, CaseTable_Function run)
 {
-    char *file = g_strconcat(folder, "/", kind, ".txt", NULL);
+    char *file = g_strconcat(directory, "/", kind, ".txt", NULL);
     char *text = NULL;
     char **lines;
-    test_case *one = NULL;
-    GString *part = NULL;
+    test_case *test = NULL;
+    GString *section = NULL;
     guint i;
 
     g_assert_true(g_file_get_contents(file, &text, NULL, NULL));
     lines = CaseTable_Lines(text);
     for (i = 0; lines[i] != NULL; i++) {
         if (g_str_has_prefix(lines[i], "== ")) {
-            one = g_new0(test_case, 1);
-            one->name = g_strconcat("/", kind, "/", lines[i] + 3, NULL);
-            one->run = run;
-            one->input = g_string_new(NULL);
-            one->expected = g_string_new(NULL);
-            part = one->input;
-            g_test_add_data_func(one->name, one, run_case);
+            test = g_new0(test_case, 1);
+            test->name = g_strconcat("/", kind, "/", lines[i] + 3, NULL);
+            test->run = run;
+            test->input = g_string_new(NULL);
+            test->expected = g_string_new(NULL);
+            section = test->input;
+            g_test_add_data_func(test->name, test, run_case);
         }
-        else if (one != NULL && strcmp(lines[i], "--") == 0) {
-            part = one->expected;
+        else if (test != NULL && strcmp(lines[i], "--") == 0) {
+            section = test->expected;
         }
-        else if (part != NULL && !g_str_has_prefix(lines[i], "# ")) {
-            g_string_append_printf(part, "%s\n", lines[i]);
+        else if (section != NULL && !g_str_has_prefix(lines[i], "# ")) {
+            g_string_append_printf(section, "%s\n", lines[i]);
         }
     }
     g_strfreev(lines);
@@ -70,13 +70,13 @@
 int
 CaseTable_Main(int argc, char **argv, const CaseTable_Kind *kinds)
 {
-    const char *folder = g_getenv("LEVERCOVE_CASES");
+    const char *directory = g_getenv("LEVERCOVE_CASES");
     const CaseTable_Kind *kind;
 
     g_test_init(&argc, &argv, NULL);
     g_test_set_nonfatal_assertions();
     for (kind = kinds; kind->kind != NULL; kind++) {
-        load_cases(folder == NULL ? "tests/cases" : folder, kind->kind,
+        load_cases(directory == NULL ? "tests/cases" : directory, kind->kind,
                    kind->run);
     }
     return g_test_run();
--- a/tests/case_table.h
+++ b/tests/case_table.h
@@ -1,34 +1,37 @@
 /**
  * @file case_table.h
- * @brief Tests as plain text: each file under tests/cases holds cases of one
- * kind, as
+ * @brief Table-driven tests from text files. Each file in tests/cases holds
+ * the cases of one kind in the form
  *
  *     == name
  *     input lines
  *     --
  *     expected output lines
  *
- * The kind is the file's name; its function turns input into output, which
- * must equal the expected one. Lines that begin with "# " are remarks.
+ * The kind is the file's base name. Its function turns the input into output,
+ * which must equal the expected output. Lines that begin with "# " are
+ * comments.
  */
 #ifndef LC_TESTS_CASE_TABLE_H
 #define LC_TESTS_CASE_TABLE_H
 
 #include <glib.h>
 
-/** Turns the input of a case into its output. */
+/** Appends the output for the input of a case. */
 typedef void (*CaseTable_Function)(const char *input, GString *output);
 
-/** One kind of case; a table of them ends with a NULL kind. */
+/** Row of a table of kinds, which ends with a NULL kind. */
 typedef struct {
     const char *kind;
     CaseTable_Function run;
 } CaseTable_Kind;
 
-/** Lines of an input, without the empty last one; free with g_strfreev. */
+/** Splits an input into lines, without the empty last one; to be freed with
+ * g_strfreev. */
 char **CaseTable_Lines(const char *input);
 
-/** Runs all cases of all kinds; LEVERCOVE_CASES names another folder. */
+/** Runs all cases of all kinds. The environment variable LEVERCOVE_CASES names
+ * a directory to read instead of tests/cases. */
 int CaseTable_Main(int argc, char **argv, const CaseTable_Kind *kinds);
 
 #endif
--- a/tests/cases.c
+++ b/tests/cases.c
@@ -1,4 +1,4 @@
-/* Cases of the modules of jobs that are owned by key. */
+/* Runs the cases in tests/cases of the modules for jobs owned by key. */
 
 #include <glib.h>
 #include <stdio.h>
@@ -111,7 +111,9 @@
     g_ptr_array_unref(rows);
 }
 
-/* Lines: "OFFSET RECORD", "expired FIRST" or "snapshot OFFSET". */
+/* Input lines: "OFFSET RECORD" applies a log record, "expired FIRST" expires
+ * the records before FIRST, "snapshot OFFSET" applies a snapshot of
+ * the current state. */
 static void
 run_fold(const char *input, GString *output)
 {
@@ -123,7 +125,7 @@
         Status status = {ERR_OK, ""};
         char *space = strchr(lines[i], ' ');
         uint64_t offset = strtoull(lines[i], NULL, 10);
-        char *own = NULL;
+        char *snapshot_record = NULL;
         const char *text = space + 1;
         Fold_Result result;
         if (g_str_has_prefix(lines[i], "expired ")) {
@@ -132,8 +134,8 @@
         }
         if (g_str_has_prefix(lines[i], "snapshot ")) {
             offset = strtoull(text, NULL, 10);
-            own = Fold_SnapshotRecord(fold);
-            text = own;
+            snapshot_record = Fold_SnapshotRecord(fold);
+            text = snapshot_record;
         }
         result = Fold_Apply(fold, offset, text, &status);
         g_string_append(output, fold_texts[result]);
@@ -143,7 +145,7 @@
             g_string_append_printf(output, ": %s", status.message);
         }
         g_string_append_c(output, '\n');
-        free(own);
+        free(snapshot_record);
     }
     describe_fold(fold, output);
     g_strfreev(lines);
@@ -172,7 +174,7 @@
 }
 
 static GByteArray *
-parse_hex(const char *text)
+decode_hex(const char *text)
 {
     GByteArray *bytes = g_byte_array_new();
 
@@ -187,7 +189,7 @@
     return bytes;
 }
 
-/* Each line is one record in hex, without its mark. */
+/* Each input line is one RPC record in hexadecimal, without its mark. */
 static void
 run_rpc(const char *input, GString *output)
 {
@@ -200,7 +202,7 @@
     guint i;
 
     for (i = 0; lines[i] != NULL; i++) {
-        GByteArray *bytes = parse_hex(lines[i]);
+        GByteArray *bytes = decode_hex(lines[i]);
         Msg_Record record;
         Msg_Decode(bytes->data, bytes->len, &record);
         g_string_append(output, texts[record.type]);
@@ -218,7 +220,7 @@
 }
 
 static lc_node
-numbered_node(const char *number)
+node_at_address(const char *number)
 {
     lc_node node = {strtoull(number, NULL, 10), 1};
 
@@ -226,25 +228,25 @@
 }
 
 /*
- * Lines: "demand ENTRY GROUP N", "take ENTRY GROUP [GRANT]", "release GROUP
- * MS", "offer", "decline GRANT", "lapse MS", "free".
+ * Input lines: "demand ENTRY GROUP N", "take ENTRY GROUP [GRANT]", "release
+ * GROUP MS", "offer", "decline GRANT", "lapse MS" (expires grants), "free".
  */
 static void
-arbiter_line(Arbiter *arbiter, const Table *table, char **words,
-             GString *output)
+run_arbiter_line(Arbiter *arbiter, const Table *table, char **words,
+                 GString *output)
 {
     lc_demand demand;
     Arbiter_Grant grant;
     lc_node entry;
 
     if (strcmp(words[0], "demand") == 0) {
-        entry = numbered_node(words[1]);
+        entry = node_at_address(words[1]);
         demand.group = words[2];
         demand.waiting = (u_int)atoi(words[3]);
         Arbiter_SetDemand(arbiter, &entry, &demand, 1);
     }
     else if (strcmp(words[0], "take") == 0) {
-        entry = numbered_node(words[1]);
+        entry = node_at_address(words[1]);
         g_string_append(
             output,
             Arbiter_Take(arbiter, &entry,
@@ -296,7 +298,7 @@
     Table_Put(table, &row);
     for (i = 0; lines[i] != NULL; i++) {
         char **words = g_strsplit(lines[i], " ", 0);
-        arbiter_line(arbiter, table, words, output);
+        run_arbiter_line(arbiter, table, words, output);
         g_strfreev(words);
     }
     g_strfreev(lines);
@@ -326,8 +328,9 @@
 }
 
 /*
- * Lines: "order NAME" first, "weight GROUP N", "job GROUP TASKS ARRIVED
- * NAME", "send MS" (one task), "end JOB'S-GROUP MS" (the one sent last).
+ * Input lines: "order NAME" comes first, then "weight GROUP N", "job GROUP
+ * TASKS ARRIVED NAME", "send MS" (sends one task) and "end GROUP MS" (ends the
+ * task sent last, of a job of GROUP).
  */
 static void
 run_group(const char *input, GString *output)
--- a/tests/lists.c
+++ b/tests/lists.c
@@ -1,4 +1,5 @@
-/* Prints the lists of events and error kinds as table rows for the docs. */
+/* Prints the events (argument "events") or the error kinds as rows of the
+ * Markdown tables in the docs. */
 
 #include <stdio.h>
 #include <string.h>
--- a/tests/rpc_rules.c
+++ b/tests/rpc_rules.c
@@ -1,6 +1,8 @@
 /*
- * Rules of calls between processes over real sockets on one machine: a RUNS
- * is as many RUNs as it has rows.
+ * Tests of calls between processes over loopback sockets. A RUNS call must
+ * behave as one RUN call for each of its rows: each row is delivered and
+ * answered separately, in any order, and all rows are lost if the peer refuses
+ * the call.
  */
 #include <glib.h>
 #include <string.h>
@@ -10,12 +12,13 @@
 #include "wire/rpc.h"
 
 #define ROWS 5
-#define LIMIT_MS 5000
+#define TIMEOUT_MS 5000
 
-/* Two processes on one loop: one calls, the other answers or refuses. */
+/* Two RPC endpoints on one loop: the caller, and the callee, which answers or
+ * refuses. */
 typedef struct {
     uv_loop_t loop;
-    uv_timer_t limit;
+    uv_timer_t timeout;
     Rpc *caller;
     Rpc *callee;
     Counters counters;
@@ -24,66 +27,66 @@
     lc_run_args runs[ROWS];
     char specs[ROWS][64];
     int calls;
-    uint32_t ran_ms[ROWS]; /* as answered, by row; UINT32_MAX: lost */
+    uint32_t ran_ms[ROWS]; /* answer to each row; UINT32_MAX: lost */
     int replies;
     bool bad;
-} pair;
+} rpc_fixture;
 
 static void
-on_limit(uv_timer_t *timer)
+on_timeout(uv_timer_t *timer)
 {
     (void)timer;
-    g_error("no end within %d ms", LIMIT_MS);
+    g_error("test did not finish within %d ms", TIMEOUT_MS);
 }
 
-/* Answers the last row first. */
+/* Answers the rows in reverse order. */
 static void
-answer_all(pair *both)
+answer_all(rpc_fixture *fixture)
 {
     int i;
 
     for (i = ROWS - 1; i >= 0; i--) {
         Msg_Reply reply = {.kind = MSG_RUN};
-        reply.u.run.ran_ms = 100 + both->runs[i].id.index;
-        Rpc_Reply(both->callee, both->reply_ids[i], &reply);
+        reply.u.run.ran_ms = 100 + fixture->runs[i].id.index;
+        Rpc_Reply(fixture->callee, fixture->reply_ids[i], &reply);
     }
 }
 
 static void
 on_call(void *context, uint64_t reply_id, const Msg_Call *call)
 {
-    pair *both = context;
+    rpc_fixture *fixture = context;
 
-    if (both->refuse) {
-        if (both->calls++ == 0) {
-            Rpc_Refuse(both->callee, reply_id);
+    if (fixture->refuse) {
+        if (fixture->calls++ == 0) {
+            Rpc_Refuse(fixture->callee, reply_id);
         }
         return;
     }
     g_assert_cmpint(call->kind, ==, MSG_RUN);
-    both->reply_ids[both->calls] = reply_id;
-    both->runs[both->calls] = call->u.run;
-    g_strlcpy(both->specs[both->calls], call->u.run.spec, 64);
-    if (++both->calls == ROWS) {
-        answer_all(both);
+    fixture->reply_ids[fixture->calls] = reply_id;
+    fixture->runs[fixture->calls] = call->u.run;
+    g_strlcpy(fixture->specs[fixture->calls], call->u.run.spec, 64);
+    if (++fixture->calls == ROWS) {
+        answer_all(fixture);
     }
 }
 
 static void
 on_reply(void *context, uint64_t call_id, const Msg_Reply *reply)
 {
-    pair *both = context;
+    rpc_fixture *fixture = context;
 
-    both->ran_ms[call_id - 1] = reply == NULL ? UINT32_MAX
-                                              : reply->u.run.ran_ms;
-    both->replies++;
-    if (both->replies == ROWS) {
-        uv_stop(&both->loop);
+    fixture->ran_ms[call_id - 1] = reply == NULL ? UINT32_MAX
+                                                 : reply->u.run.ran_ms;
+    fixture->replies++;
+    if (fixture->replies == ROWS) {
+        uv_stop(&fixture->loop);
     }
 }
 
 static void
-on_no_reply(void *context, uint64_t call_id, const Msg_Reply *reply)
+ignore_reply(void *context, uint64_t call_id, const Msg_Reply *reply)
 {
     (void)context;
     (void)call_id;
@@ -91,7 +94,7 @@
 }
 
 static void
-on_no_call(void *context, uint64_t reply_id, const Msg_Call *call)
+ignore_call(void *context, uint64_t reply_id, const Msg_Call *call)
 {
     (void)context;
     (void)reply_id;
@@ -99,33 +102,35 @@
 }
 
 static void
-open_pair(pair *both, Address address)
+open_fixture(rpc_fixture *fixture, Address address)
 {
-    static const Rpc_Handlers caller = {on_no_call, on_reply};
-    static const Rpc_Handlers callee = {on_call, on_no_reply};
+    static const Rpc_Handlers caller = {ignore_call, on_reply};
+    static const Rpc_Handlers callee = {on_call, ignore_reply};
     Status status = {ERR_OK, ""};
 
-    memset(both, 0, sizeof(*both));
-    uv_loop_init(&both->loop);
-    uv_timer_init(&both->loop, &both->limit);
-    uv_timer_start(&both->limit, on_limit, LIMIT_MS, 0);
-    both->caller = Rpc_New(&both->loop, &both->counters, &caller, both);
-    both->callee = Rpc_New(&both->loop, &both->counters, &callee, both);
-    g_assert_cmpint(Rpc_Listen(both->callee, address, &status), ==, ERR_OK);
+    memset(fixture, 0, sizeof(*fixture));
+    uv_loop_init(&fixture->loop);
+    uv_timer_init(&fixture->loop, &fixture->timeout);
+    uv_timer_start(&fixture->timeout, on_timeout, TIMEOUT_MS, 0);
+    fixture->caller = Rpc_New(&fixture->loop, &fixture->counters, &caller,
+                              fixture);
+    fixture->callee = Rpc_New(&fixture->loop, &fixture->counters, &callee,
+                              fixture);
+    g_assert_cmpint(Rpc_Listen(fixture->callee, address, &status), ==, ERR_OK);
 }
 
 static void
-close_pair(pair *both)
+close_fixture(rpc_fixture *fixture)
 {
-    Rpc_Close(both->caller);
-    Rpc_Close(both->callee);
-    uv_close((uv_handle_t *)&both->limit, NULL);
-    uv_run(&both->loop, UV_RUN_DEFAULT);
-    g_assert_cmpint(uv_loop_close(&both->loop), ==, 0);
+    Rpc_Close(fixture->caller);
+    Rpc_Close(fixture->callee);
+    uv_close((uv_handle_t *)&fixture->timeout, NULL);
+    uv_run(&fixture->loop, UV_RUN_DEFAULT);
+    g_assert_cmpint(uv_loop_close(&fixture->loop), ==, 0);
 }
 
 static void
-call_runs(pair *both, Address address)
+call_runs(rpc_fixture *fixture, Address address)
 {
     static const uint64_t call_ids[ROWS] = {1, 2, 3, 4, 5};
     lc_runs_row rows[ROWS];
@@ -147,8 +152,8 @@
     }
     runs.rows.rows_len = ROWS;
     runs.rows.rows_val = rows;
-    Rpc_CallRuns(both->caller, address, call_ids, &runs);
-    uv_run(&both->loop, UV_RUN_DEFAULT);
+    Rpc_CallRuns(fixture->caller, address, call_ids, &runs);
+    uv_run(&fixture->loop, UV_RUN_DEFAULT);
 }
 
 static Address
@@ -177,41 +182,42 @@
 test_rows(void)
 {
     Address address = loopback(7871);
-    pair both;
+    rpc_fixture fixture;
     u_int i;
 
-    open_pair(&both, address);
-    call_runs(&both, address);
+    open_fixture(&fixture, address);
+    call_runs(&fixture, address);
     for (i = 0; i < ROWS; i++) {
-        const lc_run_args *run = &both.runs[i];
+        const lc_run_args *run = &fixture.runs[i];
         check_row(run, i);
         g_assert_cmpuint(run->owner.incarnation, ==, 8);
         g_assert_cmpuint(run->target, ==, 9);
         g_assert_cmpint(run->valid_until_ms, ==, 10);
         g_assert_cmpint(run->closures_as_of, ==, 11);
-        g_assert_cmpstr(both.specs[i], ==, "the spec");
-        g_assert_cmpuint(both.ran_ms[i], ==, 100 + i);
+        g_assert_cmpstr(fixture.specs[i], ==, "the spec");
+        g_assert_cmpuint(fixture.ran_ms[i], ==, 100 + i);
     }
-    close_pair(&both);
+    close_fixture(&fixture);
 }
 
-/* As a peer of an earlier version does: one refusal, of the first number. */
+/* A peer of an earlier version, which does not know RUNS, sends one refusal,
+ * to the xid of the first row. */
 static void
 test_refused(void)
 {
     Address address = loopback(7872);
-    pair both;
+    rpc_fixture fixture;
     u_int i;
 
     /* The refusal is logged as a warning. */
     g_log_set_always_fatal(G_LOG_FATAL_MASK);
-    open_pair(&both, address);
-    both.refuse = true;
-    call_runs(&both, address);
+    open_fixture(&fixture, address);
+    fixture.refuse = true;
+    call_runs(&fixture, address);
     for (i = 0; i < ROWS; i++) {
-        g_assert_cmpuint(both.ran_ms[i], ==, UINT32_MAX);
+        g_assert_cmpuint(fixture.ran_ms[i], ==, UINT32_MAX);
     }
-    close_pair(&both);
+    close_fixture(&fixture);
 }
 
 int
