--- a/tests/soak/checker.cc
+++ b/tests/soak/checker.cc
@@ -6,12 +6,12 @@
 
 namespace {
 
-const size_t MOST_VIOLATIONS = 20;
-/* An accepted job is known everywhere after so long. */
+const size_t MAX_VIOLATIONS = 20;
+/* Every entry knows an accepted durable job after this time. */
 const int64_t VISIBLE_MS = 3000;
 
 std::string
-text_of(const lc_run_id &id)
+run_text(const lc_run_id &id)
 {
     return std::to_string(id.job) + "." + std::to_string(id.index) + " run " +
            std::to_string(id.run);
@@ -29,10 +29,10 @@
     job.tasks = tasks;
     job.cpu_milli = cpu;
     job.work_ms = work;
-    job.first_ms = now_ms;
+    job.first_sent_ms = now_ms;
     jobs[id] = job;
-    if (now_ms >= calm_from_ms) {
-        late_jobs++;
+    if (now_ms >= recovery_deadline_ms) {
+        jobs_after_recovery++;
     }
     return jobs[id];
 }
@@ -40,63 +40,63 @@
 Job *
 Checker::find(uint64_t id)
 {
-    auto place = jobs.find(id);
+    auto found = jobs.find(id);
 
-    return place == jobs.end() ? nullptr : &place->second;
+    return found == jobs.end() ? nullptr : &found->second;
 }
 
 void
 Checker::violation(int64_t now_ms, const std::string &text)
 {
-    if (violations.size() < MOST_VIOLATIONS) {
+    if (violations.size() < MAX_VIOLATIONS) {
         violations.push_back("at " + std::to_string(now_ms) + " ms: " + text);
     }
 }
 
 void
-Checker::on_start(int64_t now_ms, const std::string &place,
+Checker::on_start(int64_t now_ms, const std::string &upstream,
                   const lc_run_id &id)
 {
-    auto &places = at_work[lease::task_of(id)];
+    auto &runs = running[lease::task_of(id)];
     Job *job = find(id.job);
 
     starts++;
-    if (!places.empty()) {
+    if (!runs.empty()) {
         violation(now_ms,
-                  "two runs at once: " + text_of(places.begin()->second) +
-                      " at " + places.begin()->first + ", " + text_of(id) +
-                      " at " + place);
+                  "two runs at once: " + run_text(runs.begin()->second) +
+                      " at " + runs.begin()->first + ", " + run_text(id) +
+                      " at " + upstream);
     }
-    places[place] = id;
+    runs[upstream] = id;
     if (job == nullptr) {
-        violation(now_ms, "a start of no job at " + place);
+        violation(now_ms, "start of an unknown job at " + upstream);
         return;
     }
     job->started = true;
-    if (job->kept) {
-        check_kept_start(now_ms, id);
+    if (job->durable) {
+        check_durable_start(now_ms, id);
     }
-    used[place] += job->cpu_milli;
-    if (used[place] > UPSTREAM_CAPACITY.cpu_milli) {
-        violation(now_ms, place + " is over its room");
+    used_cpu_milli[upstream] += job->cpu_milli;
+    if (used_cpu_milli[upstream] > UPSTREAM_CAPACITY.cpu_milli) {
+        violation(now_ms, upstream + " runs more than its CPU capacity");
     }
 }
 
 void
-Checker::on_end(int64_t now_ms, const std::string &place, int64_t incarnation,
-                const lc_run_id &id, Runner_End end)
+Checker::on_end(int64_t now_ms, const std::string &upstream,
+                int64_t incarnation, const lc_run_id &id, Runner_End end)
 {
     Job *job = find(id.job);
 
     (void)now_ms;
-    at_work[lease::task_of(id)].erase(place);
+    running[lease::task_of(id)].erase(upstream);
     if (end == RUNNER_END_DONE) {
-        ended_well[lease::task_of(id)] = true;
-        well_ends[lease::task_of(id)].push_back(
-            {place, incarnation, id.run, false, false});
+        succeeded[lease::task_of(id)] = true;
+        successful_ends[lease::task_of(id)].push_back(
+            {upstream, incarnation, id.run, false, false});
     }
     if (job != nullptr) {
-        used[place] -= job->cpu_milli;
+        used_cpu_milli[upstream] -= job->cpu_milli;
     }
 }
 
@@ -105,109 +105,111 @@
  * incarnation: a crash loses the unacknowledged ends, and a late copy of the
  * start can run and end again in the next incarnation. */
 void
-Checker::check_kept_start(int64_t now_ms, const lc_run_id &id)
+Checker::check_durable_start(int64_t now_ms, const lc_run_id &id)
 {
-    for (WellEnd &end : well_ends[lease::task_of(id)]) {
-        end.followed = true;
-        if (end.noted) {
+    for (SuccessfulEnd &end : successful_ends[lease::task_of(id)]) {
+        end.started_again = true;
+        if (end.acknowledged) {
             violation(now_ms,
-                      "a start after an end taken note of: " + text_of(id));
+                      "start after an acknowledged end: " + run_text(id));
         }
     }
 }
 
 void
-Checker::on_noted(int64_t now_ms, const std::string &place,
-                  int64_t incarnation, const lc_run_id &id, Runner_End end)
+Checker::on_end_acknowledged(int64_t now_ms, const std::string &upstream,
+                             int64_t incarnation, const lc_run_id &id,
+                             Runner_End end)
 {
     const Job *job = find(id.job);
 
-    if (end != RUNNER_END_DONE || job == nullptr || !job->kept) {
+    if (end != RUNNER_END_DONE || job == nullptr || !job->durable) {
         return;
     }
-    for (WellEnd &row : well_ends[lease::task_of(id)]) {
-        if (row.run != id.run || row.place != place ||
-            row.incarnation != incarnation) {
+    for (SuccessfulEnd &end_row : successful_ends[lease::task_of(id)]) {
+        if (end_row.run != id.run || end_row.upstream != upstream ||
+            end_row.incarnation != incarnation) {
             continue;
         }
-        row.noted = true;
-        if (row.followed) {
-            violation(now_ms, "an end taken note of after another start: " +
-                                  text_of(id));
+        end_row.acknowledged = true;
+        if (end_row.started_again) {
+            violation(now_ms,
+                      "end acknowledged after another start: " + run_text(id));
         }
     }
 }
 
 void
-Checker::on_look(int64_t now_ms, Job &job, const Answer &answer)
+Checker::on_state_answer(int64_t now_ms, Job &job, const Answer &answer)
 {
-    job.looks++;
-    if (!answer.whole || answer.status == 503) {
+    job.state_queries++;
+    if (!answer.received || answer.status == 503) {
         return;
     }
     if (answer.status != 200 && now_ms - job.accepted_ms < VISIBLE_MS) {
-        return; /* read elsewhere a moment later */
+        return; /* other entries read the log record with a delay */
     }
     if (answer.status != 200) {
-        violation(now_ms, "kept job " + std::to_string(job.id) +
-                              " is told as unknown");
+        violation(now_ms, "durable job " + std::to_string(job.id) +
+                              " is reported as unknown");
         return;
     }
     if (answer.body.find("failed") != std::string::npos ||
         answer.body.find("cancelled") != std::string::npos) {
-        job.over_ms = now_ms; /* a task may fail too often on a bad day */
+        job.end_told_ms =
+            now_ms; /* faults may use up all attempts of a task */
     }
     if (answer.body.find("succeeded") == std::string::npos ||
-        job.over_ms != 0) {
+        job.end_told_ms != 0) {
         return;
     }
-    job.over_ms = now_ms;
+    job.end_told_ms = now_ms;
     job.done = true;
-    kept_done++;
+    durable_done++;
     for (uint32_t i = 0; i < job.tasks; i++) {
-        if (!ended_well[lease::TaskName(job.id, 0, i)]) {
-            violation(now_ms, "kept job " + std::to_string(job.id) +
-                                  " told as done with a task that is not");
+        if (!succeeded[lease::TaskName(job.id, 0, i)]) {
+            violation(now_ms, "durable job " + std::to_string(job.id) +
+                                  " reported as done with a task that is not");
         }
     }
 }
 
 uint64_t
-Checker::kept_open() const
+Checker::durable_open() const
 {
     uint64_t open = 0;
 
     for (auto &pair : jobs) {
-        open += pair.second.accepted && pair.second.over_ms == 0;
+        open += pair.second.accepted && pair.second.end_told_ms == 0;
     }
     return open;
 }
 
 void
-Checker::finish_kept(int64_t now_ms, const Job &job)
+Checker::check_durable_ended(int64_t now_ms, const Job &job)
 {
-    if (job.accepted && job.over_ms == 0) {
-        violation(now_ms, "kept job " + std::to_string(job.id) +
-                              " was accepted and is not over");
+    if (job.accepted && job.end_told_ms == 0) {
+        violation(now_ms, "durable job " + std::to_string(job.id) +
+                              " was accepted and has not ended");
     }
 }
 
 void
 Checker::on_answer(int64_t now_ms, Job &job, const Answer &answer)
 {
-    bool refused = answer.whole &&
+    bool refused = answer.received &&
                    (answer.status == 503 || answer.status == 429);
 
-    answers[answer.whole ? answer.status / 100 % 6 : 0]++;
+    answers[answer.received ? answer.status / 100 % 6 : 0]++;
     if (!refused) {
         job.may_have_run = true;
     }
-    if (!answer.whole || answer.status != 200) {
+    if (!answer.received || answer.status != 200) {
         return;
     }
-    if (job.kept) {
+    if (job.durable) {
         if (!job.accepted) {
-            kept_accepted++;
+            durable_accepted++;
             job.accepted = true;
             job.accepted_ms = now_ms;
         }
@@ -215,13 +217,14 @@
     }
     if (answer.body.find("succeeded") != std::string::npos) {
         job.done = true;
-        if (job.first_ms >= calm_from_ms) {
-            late_done++;
+        if (job.first_sent_ms >= recovery_deadline_ms) {
+            done_after_recovery++;
         }
         for (uint32_t i = 0; i < job.tasks; i++) {
-            if (!ended_well[lease::TaskName(job.id, 0, i)]) {
-                violation(now_ms, "job " + std::to_string(job.id) +
-                                      " told as done with a task that is not");
+            if (!succeeded[lease::TaskName(job.id, 0, i)]) {
+                violation(now_ms,
+                          "job " + std::to_string(job.id) +
+                              " reported as done with a task that is not");
             }
         }
     }
@@ -230,24 +233,25 @@
 void
 Checker::finish(int64_t now_ms)
 {
-    for (auto &pair : at_work) {
+    for (auto &pair : running) {
         if (!pair.second.empty()) {
             violation(now_ms, "still running: " +
-                                  text_of(pair.second.begin()->second));
+                                  run_text(pair.second.begin()->second));
         }
     }
     for (auto &pair : jobs) {
-        if (pair.second.kept) {
-            finish_kept(now_ms, pair.second);
+        if (pair.second.durable) {
+            check_durable_ended(now_ms, pair.second);
         }
         if (pair.second.started && !pair.second.may_have_run) {
             violation(now_ms, "job " + std::to_string(pair.first) +
                                   " ran though all attempts were refused");
         }
     }
-    if (late_done * 10 < late_jobs * 9) {
-        violation(now_ms, "service is not back: " + std::to_string(late_done) +
-                              " of " + std::to_string(late_jobs));
+    if (done_after_recovery * 10 < jobs_after_recovery * 9) {
+        violation(now_ms, "service has not recovered, jobs done: " +
+                              std::to_string(done_after_recovery) + " of " +
+                              std::to_string(jobs_after_recovery));
     }
 }
 
--- a/tests/soak/cluster.cc
+++ b/tests/soak/cluster.cc
@@ -17,31 +17,32 @@
 namespace {
 
 const int64_t RESUBMIT_MS = 1300;
-const int64_t CALLER_MS = 2500;
-const int64_t LOOK_MS = 1000;
-const int64_t LOOK_AGAIN_MS = 250;
-const int TRIES = 3;
+const int64_t CALLER_TIMEOUT_MS = 2500;
+const int64_t STATE_QUERY_TIMEOUT_MS = 1000;
+const int64_t STATE_QUERY_INTERVAL_MS = 250;
+const int MAX_ATTEMPTS = 3;
 const int STORE_HOST = 200;
-/* Of the settings: no start in a hall that is closed for longer. */
+/* The setting close_ms: no task may start in a hall that has been closed for
+ * longer. */
 const int64_t CLOSE_MS = 3000;
-/* Besides, for ticks and waits on a machine that is busy with all processes.
- */
-const int64_t CLOSE_SLACK_MS = 1000;
-/* An order that is carried out late is so by this at most. */
-const int64_t LATE_MOST_MS = 8000;
+/* Added for timer ticks and scheduling delays on a machine that runs all
+ * processes. */
+const int64_t CLOSE_MARGIN_MS = 1000;
+/* Upper bound of the delay of a delayed order (Upstream::delay_orders). */
+const int64_t MAX_ORDER_DELAY_MS = 8000;
 const int HALLS = 3;
-const int GONE_HOST = 230;
+const int UNUSED_HOST = 230;
 
-/* Ports of a host; every process has an IP number of its own. */
+/* Port offsets of a host; every process has its own IP address. */
 enum {
     PORT_RPC,
     PORT_RPC_LISTEN,
     PORT_ADMIN,
-    PORT_FRONT,
+    PORT_CALLERS,
     PORT_READY,
-    PORT_BEATS,
-    PORT_APP,
-    PORT_APP_PROXY,
+    PORT_HEARTBEATS,
+    PORT_UPSTREAM,
+    PORT_UPSTREAM_PROXY,
     PORT_STORE
 };
 
@@ -62,7 +63,7 @@
     return 50 + index;
 }
 
-/* As long as those of the users' larger deployments, some 200 bytes. */
+/* A route of some 200 bytes, as in the users' larger deployments. */
 std::string
 idle_queue(int number)
 {
@@ -80,14 +81,14 @@
 } // namespace
 
 void
-Cluster::narrow(int entry, int64_t bytes_per_s)
+Cluster::limit_bandwidth(int entry, int64_t bytes_per_s)
 {
-    auto line = std::make_shared<Line>(bytes_per_s);
+    auto link = std::make_shared<SharedLink>(bytes_per_s);
 
-    store_paths[(size_t)entry]->answer_over(line);
-    for (int i = 0; i < shape.entries; i++) {
+    store_proxies[(size_t)entry]->limit_responses(link);
+    for (int i = 0; i < settings.entries; i++) {
         if (i != entry) {
-            entry_rpc[(size_t)i]->answer_over(line);
+            entry_proxies[(size_t)i]->limit_responses(link);
         }
     }
 }
@@ -95,33 +96,34 @@
 struct Cluster::Attempt {
     Cluster *cluster;
     uint64_t id;
-    bool leaves;
+    bool may_hang_up;
     int64_t sent_ms;
 };
 
-Cluster::Cluster(const Shape &wanted)
-    : shape(wanted), loop(uv_default_loop()), begin_ms((int64_t)uv_now(loop)),
-      random_state(Random_Seed(wanted.seed * 2654435761U)),
+Cluster::Cluster(const ClusterSettings &cluster_settings)
+    : settings(cluster_settings), loop(uv_default_loop()),
+      begin_ms((int64_t)uv_now(loop)),
+      random_state(Random_Seed(cluster_settings.seed * 2654435761U)),
       client(Http_NewClient(loop))
 {
-    srand((unsigned)wanted.seed);
-    set_up();
-    watch_upstreams();
-    put_routes();
-    end_on(&terminate, SIGTERM);
-    end_on(&interrupt, SIGINT);
+    srand((unsigned)cluster_settings.seed);
+    create_processes();
+    connect_checker();
+    publish_routes();
+    finish_on_signal(&terminate, SIGTERM);
+    finish_on_signal(&interrupt, SIGINT);
 }
 
-/* Whoever ends the soak ends what it started. */
+/* A signal that ends the soak also ends the processes that it started. */
 void
-Cluster::end_on(uv_signal_t *handle, int number)
+Cluster::finish_on_signal(uv_signal_t *handle, int number)
 {
     uv_signal_init(loop, handle);
     handle->data = this;
     uv_signal_start(
         handle,
-        [](uv_signal_t *given, int) {
-            Cluster *self = (Cluster *)given->data;
+        [](uv_signal_t *signal_handle, int) {
+            Cluster *self = (Cluster *)signal_handle->data;
             self->checker.violation(self->now(), "the soak was ended early");
             self->finish();
         },
@@ -129,22 +131,22 @@
 }
 
 uint32_t
-Cluster::pick(uint32_t below)
+Cluster::random_below(uint32_t below)
 {
     return (uint32_t)(Random_Next(&random_state) >> 33) % below;
 }
 
 void
-Cluster::say(const std::string &text)
+Cluster::log_event(const std::string &text)
 {
     seconds[now() / 1000].faults.push_back(text);
-    if (shape.verbose) {
+    if (settings.verbose) {
         fprintf(stderr, "%6" PRId64 " %s\n", now(), text.c_str());
     }
 }
 
 void
-Cluster::after(int64_t ms, std::function<void()> run) const
+Cluster::run_after(int64_t ms, std::function<void()> run) const
 {
     Timer *timer = new Timer{{}, std::move(run)};
 
@@ -154,17 +156,18 @@
         &timer->handle,
         [](uv_timer_t *handle) {
             ((Timer *)handle->data)->run();
-            uv_close((uv_handle_t *)handle,
-                     [](uv_handle_t *gone) { delete (Timer *)gone->data; });
+            uv_close((uv_handle_t *)handle, [](uv_handle_t *closed_handle) {
+                delete (Timer *)closed_handle->data;
+            });
         },
         (uint64_t)ms, 0);
 }
 
 std::string
-Cluster::place(int host, int port) const
+Cluster::address_text(int host, int port) const
 {
     return "127.7.0." + std::to_string(host) + ":" +
-           std::to_string(shape.base_port + port);
+           std::to_string(settings.base_port + port);
 }
 
 Address
@@ -172,85 +175,90 @@
 {
     Address parsed = 0;
 
-    Address_Parse(place(host, port).c_str(), &parsed);
+    Address_Parse(address_text(host, port).c_str(), &parsed);
     return parsed;
 }
 
 std::string
-Cluster::common(const char *role, int host) const
+Cluster::common_settings(const char *role, int host) const
 {
     std::string seeds;
 
-    for (int i = 0; i < shape.entries; i++) {
-        int seed = shape.seeds_gone ? GONE_HOST + i : entry_host(i);
-        seeds += (i == 0 ? "\"" : ",\"") + place(seed, PORT_RPC) + "\"";
+    for (int i = 0; i < settings.entries; i++) {
+        int seed = settings.seeds_unreachable ? UNUSED_HOST + i
+                                              : entry_host(i);
+        seeds += (i == 0 ? "\"" : ",\"") + address_text(seed, PORT_RPC) + "\"";
     }
     return std::string("{\"role\":\"") + role +
            "\",\"jobs\":\"leased\",\"hall\":\"hall-" +
            std::to_string(host % HALLS) + "\",\"rpc\":\"" +
-           place(host, PORT_RPC) + "\",\"rpc_listen\":\"" +
-           place(host, PORT_RPC_LISTEN) + "\",\"admin\":\"" +
-           place(host, PORT_ADMIN) + "\",\"seeds\":[" + seeds +
+           address_text(host, PORT_RPC) + "\",\"rpc_listen\":\"" +
+           address_text(host, PORT_RPC_LISTEN) + "\",\"admin\":\"" +
+           address_text(host, PORT_ADMIN) + "\",\"seeds\":[" + seeds +
            "],\"times\":{\"resubmit_ms\":1300,\"beat_ms\":500,\"close_ms\":" +
            std::to_string(CLOSE_MS) + ",\"grace_ms\":3000},";
 }
 
-/* The first entry may have a narrow link, by its settings alone. */
+/* The first entry may have a bandwidth limit in its settings; the proxies do
+ * not enforce it. */
 std::string
-Cluster::limits(int entry) const
+Cluster::limits_settings(int entry) const
 {
     char text[64];
 
-    if (entry != 0 || shape.link_mbps == 0) {
+    if (entry != 0 || settings.link_mbps == 0) {
         return "";
     }
     snprintf(text, sizeof(text), ",\"limits\":{\"link_mbps\":%g}",
-             shape.link_mbps);
+             settings.link_mbps);
     return text;
 }
 
 void
-Cluster::set_up()
+Cluster::create_processes()
 {
     store.reset(new Store(loop, address(STORE_HOST, PORT_STORE)));
-    for (int i = 0; i < shape.companions; i++) {
+    for (int i = 0; i < settings.companions; i++) {
         int host = companion_host(i);
-        upstreams.emplace_back(
-            new Upstream(loop, client, "upstream-" + std::to_string(i),
-                         address(host, PORT_APP), address(host, PORT_BEATS)));
-        upstream_app.emplace_back(new Proxy(
-            loop, address(host, PORT_APP_PROXY), address(host, PORT_APP)));
-        companion_rpc.emplace_back(new Proxy(loop, address(host, PORT_RPC),
-                                             address(host, PORT_RPC_LISTEN)));
-        companions.emplace_back(
-            new Process(loop, "companion-" + std::to_string(i), shape.program,
-                        shape.folder,
-                        common("companion", host) + "\"upstream\":\"" +
-                            place(host, PORT_APP_PROXY) + "\",\"beats\":\"" +
-                            place(host, PORT_BEATS) + "\",\"store\":\"" +
-                            place(STORE_HOST, PORT_STORE) + "\"}"));
-    }
-    for (int i = 0; i < shape.entries; i++) {
+        upstreams.emplace_back(new Upstream(
+            loop, client, "upstream-" + std::to_string(i),
+            address(host, PORT_UPSTREAM), address(host, PORT_HEARTBEATS)));
+        upstream_proxies.emplace_back(
+            new Proxy(loop, address(host, PORT_UPSTREAM_PROXY),
+                      address(host, PORT_UPSTREAM)));
+        companion_proxies.emplace_back(new Proxy(
+            loop, address(host, PORT_RPC), address(host, PORT_RPC_LISTEN)));
+        companions.emplace_back(new Process(
+            loop, "companion-" + std::to_string(i), settings.program,
+            settings.folder,
+            common_settings("companion", host) + "\"upstream\":\"" +
+                address_text(host, PORT_UPSTREAM_PROXY) + "\",\"beats\":\"" +
+                address_text(host, PORT_HEARTBEATS) + "\",\"store\":\"" +
+                address_text(STORE_HOST, PORT_STORE) + "\"}"));
+    }
+    for (int i = 0; i < settings.entries; i++) {
         int host = entry_host(i);
-        entry_rpc.emplace_back(new Proxy(loop, address(host, PORT_RPC),
-                                         address(host, PORT_RPC_LISTEN)));
-        store_paths.emplace_back(new Proxy(loop, address(host, PORT_STORE),
-                                           address(STORE_HOST, PORT_STORE)));
+        entry_proxies.emplace_back(new Proxy(loop, address(host, PORT_RPC),
+                                             address(host, PORT_RPC_LISTEN)));
+        store_proxies.emplace_back(new Proxy(loop, address(host, PORT_STORE),
+                                             address(STORE_HOST, PORT_STORE)));
         entries.emplace_back(new Process(
-            loop, "entry-" + std::to_string(i), shape.program, shape.folder,
-            common("entry", host) + "\"callers\":\"" +
-                place(host, PORT_FRONT) + "\",\"ready\":\"" +
-                place(host, PORT_READY) + "\",\"store\":\"" +
-                place(host, PORT_STORE) + "\"" + limits(i) + "}"));
+            loop, "entry-" + std::to_string(i), settings.program,
+            settings.folder,
+            common_settings("entry", host) + "\"callers\":\"" +
+                address_text(host, PORT_CALLERS) + "\",\"ready\":\"" +
+                address_text(host, PORT_READY) + "\",\"store\":\"" +
+                address_text(host, PORT_STORE) + "\"" + limits_settings(i) +
+                "}"));
     }
 }
 
 void
-Cluster::put_hall(int hall, bool closed)
+Cluster::set_hall_closed(int hall, bool closed)
 {
     std::string name = "hall-" + std::to_string(hall % HALLS);
 
-    say((closed ? "close " : "open ") + name);
+    log_event((closed ? "close " : "open ") + name);
     store->put("evacuate/" + name, closed ? "{}" : "");
     if (closed) {
         closed_since.emplace(hall % HALLS, (int64_t)uv_now(loop));
@@ -260,37 +268,37 @@
     }
 }
 
-/* A start beside a companion that had a path to the store all the time in
- * which it had to learn that its hall is closed, if none may be a late copy.
- */
+/* Reports a start in a closed hall as a violation, if the companion could
+ * reach the store for the whole time in which it had to learn of the closing,
+ * and if the start cannot be a delayed order. */
 void
-Cluster::check_hall(int index)
+Cluster::check_closed_hall(int index)
 {
     const Upstream &upstream = *upstreams[(size_t)index];
     auto closed = closed_since.find(companion_host(index) % HALLS);
     int64_t at = (int64_t)uv_now(loop);
-    int64_t since = at - CLOSE_MS - CLOSE_SLACK_MS;
+    int64_t since = at - CLOSE_MS - CLOSE_MARGIN_MS;
 
     if (closed != closed_since.end() && closed->second < since &&
-        companions[(size_t)index]->troubled_ms < since &&
-        store->troubled_ms < since &&
-        upstream_app[(size_t)index]->troubled_ms < since &&
-        upstream.late_ms < at - LATE_MOST_MS) {
+        companions[(size_t)index]->last_fault_ms < since &&
+        store->last_fault_ms < since &&
+        upstream_proxies[(size_t)index]->last_fault_ms < since &&
+        upstream.last_delayed_ms < at - MAX_ORDER_DELAY_MS) {
         checker.violation(now(), "a start at " + upstream.name +
-                                     ", whose hall is closed for " +
+                                     ", whose hall has been closed for " +
                                      std::to_string(at - closed->second) +
                                      " ms");
     }
 }
 
 void
-Cluster::watch_upstreams()
+Cluster::connect_checker()
 {
     for (size_t i = 0; i < upstreams.size(); i++) {
         Upstream *upstream = upstreams[i].get();
         upstream->model.on_start = [this, upstream, i](const lc_run_id &id) {
             checker.on_start(now(), upstream->name, id);
-            check_hall((int)i);
+            check_closed_hall((int)i);
         };
         upstream->model.on_end = [this, upstream](const lc_run_id &id,
                                                   Runner_End end) {
@@ -299,14 +307,14 @@
         };
         upstream->model.on_noted = [this, upstream](const lc_run_id &id,
                                                     Runner_End end) {
-            checker.on_noted(now(), upstream->name, upstream->model.born(), id,
-                             end);
+            checker.on_end_acknowledged(now(), upstream->name,
+                                        upstream->model.born(), id, end);
         };
         upstream->model.work_of = [this](const lc_run_id &id) {
             const Job *job = checker.find(id.job);
             return job == nullptr ? 100 : job->work_ms;
         };
-        upstream->come_up();
+        upstream->start_incarnation();
     }
 }
 
@@ -314,14 +322,14 @@
 Cluster::proxies_of(const std::string &kind)
 {
     const std::map<std::string, std::vector<std::unique_ptr<Proxy>> *> kinds =
-        {{"entries", &entry_rpc},
-         {"companions", &companion_rpc},
-         {"upstreams", &upstream_app},
-         {"store", &store_paths}};
+        {{"entries", &entry_proxies},
+         {"companions", &companion_proxies},
+         {"upstreams", &upstream_proxies},
+         {"store", &store_proxies}};
     std::vector<Proxy *> all;
 
-    for (auto &one : *kinds.at(kind)) {
-        all.push_back(one.get());
+    for (auto &member : *kinds.at(kind)) {
+        all.push_back(member.get());
     }
     return all;
 }
@@ -345,8 +353,8 @@
     std::vector<Process *> all;
 
     for (auto list : {&entries, &companions}) {
-        for (auto &one : *list) {
-            all.push_back(one.get());
+        for (auto &member : *list) {
+            all.push_back(member.get());
         }
     }
     return all;
@@ -361,13 +369,13 @@
 }
 
 void
-Cluster::put_routes()
+Cluster::publish_routes()
 {
     std::string rows;
 
-    version += 1 + pick(3);
-    /* Callers name an entry by its IP number. */
-    for (int i = 0; i < shape.entries; i++) {
+    routes_version += 1 + random_below(3);
+    /* Callers send the IP address of the entry as the Host header. */
+    for (int i = 0; i < settings.entries; i++) {
         std::string host = "\"host\":\"127.7.0." +
                            std::to_string(entry_host(i)) + "\"";
         rows += std::string(i == 0 ? "" : ",") + "{\"name\":\"queue\"," +
@@ -375,22 +383,24 @@
                 ",\"path_prefix\":\"/q/\",\"service\":\"service\","
                 "\"timeout_ms\":1500,\"max_attempts\":3,\"stretch\":1.6,"
                 "\"target_latency_ms\":60},{\"name\":\"newest\"," +
-                host + ",\"path_prefix\":\"/v" + std::to_string(version) +
+                host + ",\"path_prefix\":\"/v" +
+                std::to_string(routes_version) +
                 "/\",\"service\":\"service\"}";
     }
     for (int i = 0; i < idle_queues; i++) {
         rows += idle_queue(i);
     }
-    store->put("config", "{\"version\":" + std::to_string(version) +
+    store->put("config", "{\"version\":" + std::to_string(routes_version) +
                              ",\"routes\":[" + rows + "]}");
 }
 
 void
-Cluster::note(const Attempt &attempt, const Job &job, const Answer &answer)
+Cluster::count_answer(const Attempt &attempt, const Job &job,
+                      const Answer &answer)
 {
-    Second &second = seconds[attempt.sent_ms / 1000];
+    SecondStats &second = seconds[attempt.sent_ms / 1000];
 
-    if (!answer.whole) {
+    if (!answer.received) {
         second.none++;
     }
     else if (answer.status == 200) {
@@ -412,7 +422,7 @@
     FILE *out = fopen(file.c_str(), "w");
 
     for (const auto &pair : seconds) {
-        const Second &second = pair.second;
+        const SecondStats &second = pair.second;
         fprintf(out,
                 "{\"second\":%" PRId64 ",\"sent\":%d,\"done\":%d,"
                 "\"refused\":%d,\"given_up\":%d,\"none\":%d,"
@@ -439,105 +449,114 @@
     Job *job = self->checker.find(attempt->id);
     Answer answer = {http->end == HTTP_CLIENT_ANSWERED, http->status, ""};
 
-    if (answer.whole) {
-        self->slowest_ms = std::max(self->slowest_ms,
-                                    self->now() - attempt->sent_ms);
+    if (answer.received) {
+        self->max_response_ms = std::max(self->max_response_ms,
+                                         self->now() - attempt->sent_ms);
         answer.body.assign(http->body, http->length);
     }
     if (http->end == HTTP_CLIENT_UNREACHED) {
         answer = {true, 503, ""};
     }
     self->checker.on_answer(self->now(), *job, answer);
-    self->note(*attempt, *job, answer);
-    if (job->kept && answer.whole && answer.status == 200 && job->looks == 0) {
+    self->count_answer(*attempt, *job, answer);
+    if (job->durable && answer.received && answer.status == 200 &&
+        job->state_queries == 0) {
         uint64_t id = job->id;
-        self->after(job->work_ms, [self, id] { self->look(id); });
-        /* Now and then it comes once more. */
-        if (job->tries == 1 && self->pick(5) == 0) {
-            self->after(self->pick(2000), [self, id] {
-                if (!self->over) {
-                    self->submit(id, false);
+        self->run_after(job->work_ms, [self, id] { self->query_state(id); });
+        /* One submission in five is repeated. */
+        if (job->attempts == 1 && self->random_below(5) == 0) {
+            self->run_after(self->random_below(2000), [self, id] {
+                if (!self->submissions_stopped) {
+                    self->send_attempt(id, false);
                 }
             });
         }
     }
-    bool again = !answer.whole || answer.status == 502 || answer.status == 504;
-    if (again && job->tries < TRIES && !self->over) {
+    bool resubmit = !answer.received || answer.status == 502 ||
+                    answer.status == 504;
+    if (resubmit && job->attempts < MAX_ATTEMPTS &&
+        !self->submissions_stopped) {
         uint64_t id = job->id;
-        bool leaves = attempt->leaves;
-        self->after(RESUBMIT_MS,
-                    [self, id, leaves] { self->submit(id, leaves); });
+        bool may_hang_up = attempt->may_hang_up;
+        self->run_after(RESUBMIT_MS, [self, id, may_hang_up] {
+            self->send_attempt(id, may_hang_up);
+        });
     }
 }
 
 void
-Cluster::submit(uint64_t id, bool leaves)
+Cluster::send_attempt(uint64_t id, bool may_hang_up)
 {
     Job *job = checker.find(id);
-    int entry = only_entry >= 0 ? only_entry
-                                : (int)pick((uint32_t)shape.entries);
+    int entry = target_entry >= 0
+                    ? target_entry
+                    : (int)random_below((uint32_t)settings.entries);
     char path[64];
     std::string body = std::string("{\"spec\":\"soak\",") +
-                       (job->kept ? "" : "\"best_effort\":true,") +
+                       (job->durable ? "" : "\"best_effort\":true,") +
                        "\"steps\":[{\"count\":" + std::to_string(job->tasks) +
                        ",\"cpu\":" + std::to_string(job->cpu_milli) +
                        ",\"mem_mb\":64,\"estimate_ms\":" +
                        std::to_string(job->work_ms) + "}]}";
     Http_ClientRequest request = {};
 
-    job->tries++;
+    job->attempts++;
     seconds[now() / 1000].sent++;
     snprintf(path, sizeof(path), "/q/%016" PRIx64, id);
-    request.to = address(entry_host(entry), PORT_FRONT);
+    request.to = address(entry_host(entry), PORT_CALLERS);
     request.method = "POST";
     request.path = path;
     request.headers = "X-Deadline-Ms: 2000\r\n"
                       "Content-Type: application/json\r\n";
     request.body = body.data();
     request.length = body.size();
-    request.timeout_ms = leaves && pick(20) == 0 ? 30 + pick(300) : CALLER_MS;
+    request.timeout_ms = may_hang_up && random_below(20) == 0
+                             ? 30 + random_below(300)
+                             : CALLER_TIMEOUT_MS;
     Http_Send(client, &request, on_answer,
-              new Attempt{this, id, leaves, now()});
+              new Attempt{this, id, may_hang_up, now()});
 }
 
 uint64_t
-Cluster::hand_in(uint32_t tasks, uint32_t cpu_milli, int64_t work_ms,
-                 bool leaves)
+Cluster::submit_job(uint32_t tasks, uint32_t cpu_milli, int64_t work_ms,
+                    bool may_hang_up)
 {
     uint64_t id = ++jobs;
 
     checker.add_job(id, tasks, cpu_milli, work_ms, now());
-    submit(id, leaves);
+    send_attempt(id, may_hang_up);
     return id;
 }
 
 uint64_t
-Cluster::hand_in_kept(uint32_t tasks, uint32_t cpu_milli, int64_t work_ms)
+Cluster::submit_durable_job(uint32_t tasks, uint32_t cpu_milli,
+                            int64_t work_ms)
 {
     uint64_t id = ++jobs;
 
-    checker.add_job(id, tasks, cpu_milli, work_ms, INT64_MIN).kept = true;
-    submit(id, false);
+    checker.add_job(id, tasks, cpu_milli, work_ms, INT64_MIN).durable = true;
+    send_attempt(id, false);
     return id;
 }
 
 void
-Cluster::look(uint64_t id)
+Cluster::query_state(uint64_t id)
 {
-    int entry = (int)pick((uint32_t)shape.entries);
+    int entry = (int)random_below((uint32_t)settings.entries);
     Http_ClientRequest request = {};
     char path[64];
 
     snprintf(path, sizeof(path), "/q/%016" PRIx64, id);
-    request.to = address(entry_host(entry), PORT_FRONT);
+    request.to = address(entry_host(entry), PORT_CALLERS);
     request.method = "GET";
     request.path = path;
-    request.timeout_ms = LOOK_MS;
-    Http_Send(client, &request, on_look, new Attempt{this, id, false, now()});
+    request.timeout_ms = STATE_QUERY_TIMEOUT_MS;
+    Http_Send(client, &request, on_state_answer,
+              new Attempt{this, id, false, now()});
 }
 
 void
-Cluster::on_look(void *context, const Http_ClientAnswer *http)
+Cluster::on_state_answer(void *context, const Http_ClientAnswer *http)
 {
     std::unique_ptr<Attempt> attempt((Attempt *)context);
     Cluster *self = attempt->cluster;
@@ -545,28 +564,29 @@
     Answer answer = {http->end == HTTP_CLIENT_ANSWERED, http->status, ""};
     uint64_t id = attempt->id;
 
-    if (answer.whole) {
+    if (answer.received) {
         answer.body.assign(http->body, http->length);
     }
-    self->checker.on_look(self->now(), *job, answer);
-    if (job->over_ms == 0) {
-        self->after(LOOK_AGAIN_MS, [self, id] { self->look(id); });
+    self->checker.on_state_answer(self->now(), *job, answer);
+    if (job->end_told_ms == 0) {
+        self->run_after(STATE_QUERY_INTERVAL_MS,
+                        [self, id] { self->query_state(id); });
     }
 }
 
 void
 Cluster::heal()
 {
-    say("heal");
-    store->manner = StoreManner::Well;
+    log_event("heal");
+    store->mode = StoreMode::Healthy;
     for (Proxy *proxy : proxies()) {
         proxy->heal();
     }
-    for (auto &one : upstreams) {
-        one->model.manner = {false, false, 1};
-        one->late_orders = false;
-        if (!one->model.is_up()) {
-            one->come_up();
+    for (auto &member : upstreams) {
+        member->model.manner = {false, false, 1};
+        member->delay_orders = false;
+        if (!member->model.is_up()) {
+            member->start_incarnation();
         }
     }
     for (Process *process : processes()) {
@@ -575,13 +595,13 @@
 }
 
 void
-Cluster::probe_routes()
+Cluster::check_routes_applied()
 {
-    for (int i = 0; i < shape.entries; i++) {
+    for (int i = 0; i < settings.entries; i++) {
         Http_ClientRequest request = {};
-        std::string path = "/v" + std::to_string(version) + "/";
+        std::string path = "/v" + std::to_string(routes_version) + "/";
 
-        request.to = address(entry_host(i), PORT_FRONT);
+        request.to = address(entry_host(i), PORT_CALLERS);
         request.method = "GET";
         request.path = path.c_str();
         request.timeout_ms = 1000;
@@ -593,7 +613,7 @@
                     answer->status != 200) {
                     self->checker.violation(
                         self->now(),
-                        "an entry does not know the newest configuration");
+                        "an entry has not applied the newest configuration");
                 }
             },
             this);
@@ -603,20 +623,20 @@
 void
 Cluster::finish()
 {
-    uint64_t own_ends = 0;
+    uint64_t unexpected_exits = 0;
 
     for (Process *process : processes()) {
-        own_ends += process->own_ends;
+        unexpected_exits += process->unexpected_exits;
     }
-    if (own_ends > 0) {
-        checker.violation(now(), std::to_string(own_ends) +
-                                     " processes ended by themselves");
+    if (unexpected_exits > 0) {
+        checker.violation(now(), std::to_string(unexpected_exits) +
+                                     " processes exited unexpectedly");
     }
     checker.finish(now());
     for (Process *process : processes()) {
-        process->finish();
+        process->kill_without_restart();
     }
-    after(300, [this] { uv_stop(loop); });
+    run_after(300, [this] { uv_stop(loop); });
 }
 
 } // namespace soak
--- a/tests/soak/cluster.h
+++ b/tests/soak/cluster.h
@@ -1,7 +1,8 @@
 /**
  * @file cluster.h
- * @brief Real processes, stand-ins and proxies on loopback, in one loop, with
- * callers that hand jobs in. The soak and the scenarios are played on it.
+ * @brief A cluster on loopback for the soak and the scenarios: real
+ * `levercoved` processes, stand-ins of the store and the upstreams, proxies,
+ * and callers that submit jobs, all driven by one event loop.
  */
 #ifndef LC_TESTS_SOAK_CLUSTER_H
 #define LC_TESTS_SOAK_CLUSTER_H
@@ -23,130 +24,136 @@
 namespace soak {
 
 /** Settings of a cluster. */
-struct Shape {
+struct ClusterSettings {
     int entries = 3;
     int companions = 6;
     int base_port = 21000;
-    std::string program; /**< levercoved */
-    std::string folder;  /**< for settings and logs */
+    std::string program; /**< path of levercoved */
+    std::string folder;  /**< for the processes' settings and logs */
     bool verbose = false;
     uint64_t seed = 1;
-    bool seeds_gone = false; /**< nobody is at the seeds' addresses */
-    double link_mbps = 0;    /**< of the first entry, as its settings tell; 0:
-                                  they do not */
+    /** Nothing listens at the seeds' addresses. */
+    bool seeds_unreachable = false;
+    double link_mbps = 0; /**< Mbit/s, in the settings of the first entry;
+                               0 leaves it out */
 };
 
-/** One cluster; lives as long as the process. */
+/** One cluster; it is never freed. */
 class Cluster {
   public:
-    explicit Cluster(const Shape &shape);
+    explicit Cluster(const ClusterSettings &settings);
 
     void start();
-    /** Ends all processes, then the loop. */
+    /** Runs the final checks, kills all processes and stops the loop. */
     void finish();
-    /** Stand-ins, proxies and processes are well again. */
+    /** Ends all faults of stand-ins, proxies and processes. */
     void heal();
 
-    /** Operators close one of the three halls, or open it again. */
-    void put_hall(int hall, bool closed);
-    /** Operators write the next version of the routes. */
-    void put_routes();
-    /** So many queues besides, that nobody uses, from the next version on. */
+    /** Closes one of the three halls, or opens it again, as operators do. */
+    void set_hall_closed(int hall, bool closed);
+    /** Publishes the next version of the routes, as operators do. */
+    void publish_routes();
+    /** Adds @p count unused queues to all versions of the routes from the next
+     * one on. */
     void
     add_idle_queues(int count)
     {
         idle_queues += count;
     }
-    /** All that other hosts send to an entry passes one line from now on. */
-    void narrow(int entry, int64_t bytes_per_s);
-    /** Every entry must know the newest routes by now. */
-    void probe_routes();
-
-    /** Makes a job and hands it in at a random entry; @p leaves says whether
-     * some callers hang up early. */
-    uint64_t hand_in(uint32_t tasks, uint32_t cpu_milli, int64_t work_ms,
-                     bool leaves);
-
-    /** The same for a job that must be kept, which is looked at from time to
-     * time until it is over. */
-    uint64_t hand_in_kept(uint32_t tasks, uint32_t cpu_milli, int64_t work_ms);
-
-    /** ms since the cluster was made. */
+    /** From now on, the answers of the store to an entry and those of all
+     * other entries share a link of this bandwidth. */
+    void limit_bandwidth(int entry, int64_t bytes_per_s);
+    /** Checks that every entry has applied the newest routes. */
+    void check_routes_applied();
+
+    /** Submits a new job at a random entry, or at target_entry; returns its
+     * id. With @p may_hang_up, one attempt in 20 hangs up early. */
+    uint64_t submit_job(uint32_t tasks, uint32_t cpu_milli, int64_t work_ms,
+                        bool may_hang_up);
+
+    /** Submits a new durable job in the same way and queries its state
+     * periodically until it has ended. */
+    uint64_t submit_durable_job(uint32_t tasks, uint32_t cpu_milli,
+                                int64_t work_ms);
+
+    /** ms since the cluster was created. */
     int64_t
     now() const
     {
         return (int64_t)uv_now(loop) - begin_ms;
     }
-    uint32_t pick(uint32_t below);
-    /** Notes what is done to the cluster, and prints it if wanted. */
-    void say(const std::string &text);
-    void after(int64_t ms, std::function<void()> run) const;
+    uint32_t random_below(uint32_t below);
+    /** Records a fault or change for the figures; prints it if verbose. */
+    void log_event(const std::string &text);
+    void run_after(int64_t ms, std::function<void()> run) const;
     std::vector<Proxy *> proxies();
-    /** Before one kind of address: "entries", "companions", "upstreams" or
-     * "store". */
+    /** The proxies in front of one kind of process: "entries", "companions",
+     * "upstreams" or "store". */
     std::vector<Proxy *> proxies_of(const std::string &kind);
-    /** Before the store, as one entry sees it. */
+    /** The proxy through which an entry reaches the store. */
     Proxy *
-    store_path(int entry)
+    store_proxy(int entry)
     {
-        return store_paths[(size_t)entry].get();
+        return store_proxies[(size_t)entry].get();
     }
     std::vector<Process *> processes();
 
-    Shape shape;
+    ClusterSettings settings;
     uv_loop_t *loop;
     Checker checker;
     std::unique_ptr<Store> store;
     std::vector<std::unique_ptr<Process>> entries;
     std::vector<std::unique_ptr<Process>> companions;
     std::vector<std::unique_ptr<Upstream>> upstreams;
-    /** What callers saw in one second, and what was done to the cluster. */
-    struct Second {
+    /** Answers to the attempts sent in one second, and the faults and changes
+     * of that second. */
+    struct SecondStats {
         int sent = 0;
         int done = 0;
         int refused = 0;         /**< 429 and 503 */
         int given_up = 0;        /**< 502 and 504 */
         int none = 0;            /**< no answer */
-        int64_t response_ms = 0; /**< sum over those done */
-        int64_t ideal_ms = 0;    /**< sum of their work */
+        int64_t response_ms = 0; /**< sum over the jobs done */
+        int64_t ideal_ms = 0;    /**< sum of the work of the same jobs */
         std::vector<std::string> faults;
     };
-    std::map<int64_t, Second> seconds;
-    /** Writes all seconds as JSON lines. */
+    std::map<int64_t, SecondStats> seconds;
+    /** Writes all seconds as JSON lines, for scripts/report.sh. */
     void write_figures(const std::string &file) const;
 
     uint64_t jobs = 0;
-    bool over = false;      /**< callers send nothing again */
-    int only_entry = -1;    /**< all callers come to this one; -1: to any */
-    int64_t slowest_ms = 0; /**< of all attempts that were answered */
+    bool submissions_stopped = false; /**< callers send no further attempts */
+    int target_entry = -1; /**< all callers submit here; -1: at a random one */
+    int64_t max_response_ms = 0; /**< longest time to an answer */
 
   private:
-    std::string place(int host, int port) const;
+    std::string address_text(int host, int port) const;
     Address address(int host, int port) const;
-    std::string common(const char *role, int host) const;
-    std::string limits(int entry) const;
-    void set_up();
-    void watch_upstreams();
-    void check_hall(int companion);
-    void submit(uint64_t id, bool leaves);
-    void end_on(uv_signal_t *handle, int number);
+    std::string common_settings(const char *role, int host) const;
+    std::string limits_settings(int entry) const;
+    void create_processes();
+    void connect_checker();
+    void check_closed_hall(int companion);
+    void send_attempt(uint64_t id, bool may_hang_up);
+    void finish_on_signal(uv_signal_t *handle, int number);
 
     struct Attempt;
-    void note(const Attempt &attempt, const Job &job, const Answer &answer);
+    void count_answer(const Attempt &attempt, const Job &job,
+                      const Answer &answer);
     static void on_answer(void *context, const Http_ClientAnswer *http);
-    void look(uint64_t id);
-    static void on_look(void *context, const Http_ClientAnswer *http);
+    void query_state(uint64_t id);
+    static void on_state_answer(void *context, const Http_ClientAnswer *http);
 
     int64_t begin_ms;
     uint64_t random_state;
     Http_Client *client;
-    std::vector<std::unique_ptr<Proxy>> entry_rpc;
-    std::vector<std::unique_ptr<Proxy>> companion_rpc;
-    std::vector<std::unique_ptr<Proxy>> upstream_app;
-    std::vector<std::unique_ptr<Proxy>> store_paths;
-    int64_t version = 0;
+    std::vector<std::unique_ptr<Proxy>> entry_proxies;
+    std::vector<std::unique_ptr<Proxy>> companion_proxies;
+    std::vector<std::unique_ptr<Proxy>> upstream_proxies;
+    std::vector<std::unique_ptr<Proxy>> store_proxies;
+    int64_t routes_version = 0;
     int idle_queues = 0;
-    std::map<int, int64_t> closed_since; /* halls that are */
+    std::map<int, int64_t> closed_since; /* loop time in ms, by closed hall */
     uv_signal_t terminate;
     uv_signal_t interrupt;
 };
--- a/tests/soak/process.cc
+++ b/tests/soak/process.cc
@@ -21,11 +21,12 @@
 
 } // namespace
 
-Process::Process(uv_loop_t *on, std::string called, std::string path,
-                 std::string folder, std::string settings)
-    : name(called), loop(on), program(path),
-      log_file(folder + "/" + called + ".log"),
-      settings_file(folder + "/" + called + ".json")
+Process::Process(uv_loop_t *event_loop, std::string process_name,
+                 std::string program_file, std::string folder,
+                 std::string settings)
+    : name(process_name), loop(event_loop), program(program_file),
+      log_file(folder + "/" + process_name + ".log"),
+      settings_file(folder + "/" + process_name + ".json")
 {
     FILE *file = fopen(settings_file.c_str(), "w");
 
@@ -41,8 +42,8 @@
     uv_process_options_t options = {};
     uv_stdio_container_t stdio[3] = {};
     int log = open(log_file.c_str(), O_CREAT | O_WRONLY | O_APPEND, 0644);
-    char *words[] = {(char *)program.c_str(), (char *)settings_file.c_str(),
-                     nullptr};
+    char *arguments[] = {(char *)program.c_str(),
+                         (char *)settings_file.c_str(), nullptr};
 
     stdio[0].flags = UV_IGNORE;
     stdio[1].flags = UV_INHERIT_FD;
@@ -55,7 +56,7 @@
         stdio[1].data.stream = (uv_stream_t *)&log_pipe;
     }
     options.file = program.c_str();
-    options.args = words;
+    options.args = arguments;
     options.stdio = stdio;
     options.stdio_count = 3;
     options.exit_cb = on_exit;
@@ -68,10 +69,10 @@
     close(log);
     starts++;
     started_ms = (int64_t)uv_now(loop);
-    troubled_ms = started_ms;
+    last_fault_ms = started_ms;
     up = true;
-    asked = false;
-    terminated_ms = 0;
+    exit_requested = false;
+    sigterm_ms = 0;
 }
 
 void
@@ -82,12 +83,12 @@
     uv_close((uv_handle_t *)process, on_closed);
     self->handle = nullptr;
     self->up = false;
-    if (!self->asked) {
-        self->own_ends++;
-        fprintf(stderr, "%s ended by itself: status %ld, signal %d\n",
+    if (!self->exit_requested) {
+        self->unexpected_exits++;
+        fprintf(stderr, "%s exited unexpectedly: status %ld, signal %d\n",
                 self->name.c_str(), (long)status, number);
     }
-    if (self->wanted) {
+    if (self->restart_enabled) {
         uv_timer_start(&self->restart, on_restart, (uint64_t)self->down_ms, 0);
     }
     self->down_ms = RESTART_MS;
@@ -131,28 +132,28 @@
     if (!up) {
         return;
     }
-    troubled_ms = (int64_t)uv_now(loop);
+    last_fault_ms = (int64_t)uv_now(loop);
     if (number == SIGTERM || number == SIGKILL) {
-        asked = true;
+        exit_requested = true;
     }
-    if (number == SIGTERM && terminated_ms == 0) {
-        terminated_ms = (int64_t)uv_now(loop);
+    if (number == SIGTERM && sigterm_ms == 0) {
+        sigterm_ms = (int64_t)uv_now(loop);
     }
     uv_process_kill(handle, number);
 }
 
 void
-Process::kill(int64_t for_ms)
+Process::kill(int64_t restart_delay_ms)
 {
-    down_ms = for_ms;
+    down_ms = restart_delay_ms;
     signal(SIGCONT);
     signal(SIGKILL);
 }
 
 void
-Process::finish()
+Process::kill_without_restart()
 {
-    wanted = false;
+    restart_enabled = false;
     uv_timer_stop(&restart);
     kill(0);
 }
--- a/tests/soak/process.h
+++ b/tests/soak/process.h
@@ -1,6 +1,7 @@
 /**
  * @file process.h
- * @brief A real `levercoved` that the soak starts, signals and starts again.
+ * @brief A real `levercoved` process that the soak starts, signals and
+ * restarts.
  */
 #ifndef LC_TESTS_SOAK_PROCESS_H
 #define LC_TESTS_SOAK_PROCESS_H
@@ -11,27 +12,28 @@
 
 namespace soak {
 
-/** One process and its successors at the same place. */
+/** One process, restarted with the same settings after each exit. */
 class Process {
   public:
     Process(uv_loop_t *loop, std::string name, std::string program,
             std::string folder, std::string settings);
 
     void start();
-    /** Sends a signal to the process, if it is there. */
+    /** Sends a signal to the process, if it is running. */
     void signal(int number);
-    /** Kills it; it starts again after @p down_ms. */
+    /** Kills the process; it is restarted after @p down_ms. */
     void kill(int64_t down_ms);
-    /** Ends it for good. */
-    void finish();
+    /** Kills the process and does not restart it. */
+    void kill_without_restart();
 
-    /** From the next start on, nobody reads the log until drain_log. */
+    /** From the next start on, the log goes to a pipe that nobody reads until
+     * drain_log. */
     void
     stall_log()
     {
         stalled = true;
     }
-    /** Reads what waits, and all that follows, into the log's file. */
+    /** Copies what the pipe holds, and all that follows, into the log file. */
     void drain_log();
 
     bool
@@ -45,10 +47,10 @@
         return up ? handle->pid : 0;
     }
     uint64_t starts = 0;
-    uint64_t own_ends = 0;     /**< ends that nobody asked for */
-    int64_t started_ms = 0;    /**< when this life began */
-    int64_t terminated_ms = 0; /**< when SIGTERM was sent to this life */
-    int64_t troubled_ms = 0;   /**< when it was last sent a signal or began */
+    uint64_t unexpected_exits = 0; /**< exits without SIGTERM or SIGKILL */
+    int64_t started_ms = 0;        /**< loop time of the last start */
+    int64_t sigterm_ms = 0; /**< loop time of the first SIGTERM since then */
+    int64_t last_fault_ms = 0; /**< loop time of the last signal or start */
 
     const std::string name;
 
@@ -67,8 +69,8 @@
     bool stalled = false;
     uv_timer_t restart;
     bool up = false;
-    bool wanted = true;
-    bool asked = false; /* the end was asked for */
+    bool restart_enabled = true;
+    bool exit_requested = false; /* SIGTERM or SIGKILL was sent */
     int64_t down_ms = 100;
 };
 
--- a/tests/soak/proxy.cc
+++ b/tests/soak/proxy.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-const size_t CHUNK = 65536;
+const size_t CHUNK_BYTES = 65536;
 const int64_t US_PER_MS = 1000;
 const int64_t US_PER_S = 1000000;
 
@@ -29,53 +29,53 @@
 } // namespace
 
 int64_t
-Line::carry(int64_t now_ms, size_t size)
+SharedLink::transmit(int64_t now_ms, size_t size)
 {
     free_at_us = std::max(free_at_us, now_ms * US_PER_MS) +
                  (int64_t)size * US_PER_S / rate;
     return free_at_us / US_PER_MS;
 }
 
-/* Bytes on their way to one side. */
-struct Piece {
+/* Bytes to be written to an endpoint, not before due_ms. */
+struct Chunk {
     int64_t due_ms;
     std::string bytes; /* empty for the end of the stream */
 };
 
-/* One side of a connection. */
-struct Side {
+/* One endpoint of a proxied connection. */
+struct Endpoint {
     uv_tcp_t tcp;
-    std::deque<Piece> waiting; /* to be written to this side */
+    std::deque<Chunk> pending; /* to be written to this endpoint */
     Proxy::Connection *connection;
     bool is_target;
     bool open = false; /* may be written to */
     bool shut = false;
-    bool paused = false; /* not read until the line has carried the rest */
+    bool paused = false; /* not read until the link has transmitted the rest */
 };
 
 struct Proxy::Connection {
     Proxy *proxy;
     uint64_t number;
-    Side client;
-    Side target;
+    Endpoint client;
+    Endpoint target;
     uv_connect_t connect;
     uv_timer_t timer;
     bool closing = false;
-    bool silent_in = false;
-    bool silent_out = false;
+    bool black_hole_in = false;
+    bool black_hole_out = false;
     int handles = 3;
 
     bool
-    is_harmed() const
+    is_affected() const
     {
-        return !proxy->half_only || number % 2 == 1;
+        return !proxy->odd_only || number % 2 == 1;
     }
 
     bool
-    is_held(const Side &to) const
+    is_blocked(const Endpoint &to) const
     {
-        return is_harmed() && (to.is_target ? proxy->current.hold_in
-                                            : proxy->current.hold_out);
+        return is_affected() && (to.is_target ? proxy->active_fault.block_in
+                                              : proxy->active_fault.block_out);
     }
 
     void
@@ -98,7 +98,7 @@
     }
 
     static void
-    gone(Connection *self)
+    release_handle(Connection *self)
     {
         if (--self->handles == 0) {
             delete self;
@@ -108,17 +108,17 @@
     static void
     on_closed(uv_handle_t *handle)
     {
-        gone(((Side *)handle->data)->connection);
+        release_handle(((Endpoint *)handle->data)->connection);
     }
 
     static void
     on_timer_closed(uv_handle_t *handle)
     {
-        gone((Connection *)handle->data);
+        release_handle((Connection *)handle->data);
     }
 
     void
-    wake_in(uint64_t ms)
+    arm_timer(uint64_t ms)
     {
         if (!uv_is_active((uv_handle_t *)&timer) ||
             uv_timer_get_due_in(&timer) > ms) {
@@ -126,46 +126,46 @@
         }
     }
 
-    /* Reads on once the line has carried all of it. */
+    /* Resumes reading once the link has transmitted everything read. */
     void
-    resume(Side &side)
+    resume(Endpoint &endpoint)
     {
-        if (!closing && side.paused) {
-            side.paused = false;
-            uv_read_start((uv_stream_t *)&side.tcp, on_alloc, on_read);
+        if (!closing && endpoint.paused) {
+            endpoint.paused = false;
+            uv_read_start((uv_stream_t *)&endpoint.tcp, on_alloc, on_read);
         }
     }
 
-    /* Writes what is due to a side. */
+    /* Writes the chunks that are due to an endpoint. */
     void
-    pump(Side &side)
+    flush(Endpoint &endpoint)
     {
         int64_t now = (int64_t)uv_now(proxy->loop);
 
-        while (!closing && side.open && !is_held(side) &&
-               !side.waiting.empty()) {
-            Piece &piece = side.waiting.front();
-            if (piece.due_ms > now) {
-                wake_in((uint64_t)(piece.due_ms - now));
+        while (!closing && endpoint.open && !is_blocked(endpoint) &&
+               !endpoint.pending.empty()) {
+            Chunk &next = endpoint.pending.front();
+            if (next.due_ms > now) {
+                arm_timer((uint64_t)(next.due_ms - now));
                 return;
             }
-            if (piece.bytes.empty()) {
+            if (next.bytes.empty()) {
                 close(false);
                 return;
             }
             Write *write = new Write;
-            write->bytes = std::move(piece.bytes);
-            side.waiting.pop_front();
+            write->bytes = std::move(next.bytes);
+            endpoint.pending.pop_front();
             uv_buf_t buffer = uv_buf_init(&write->bytes[0],
                                           (unsigned)write->bytes.size());
-            if (uv_write(&write->request, (uv_stream_t *)&side.tcp, &buffer, 1,
-                         on_written) != 0) {
+            if (uv_write(&write->request, (uv_stream_t *)&endpoint.tcp,
+                         &buffer, 1, on_written) != 0) {
                 delete write;
                 close(true);
             }
         }
-        if (side.waiting.empty()) {
-            resume(side.is_target ? client : target);
+        if (endpoint.pending.empty()) {
+            resume(endpoint.is_target ? client : target);
         }
     }
 
@@ -174,27 +174,27 @@
     {
         Connection *self = (Connection *)handle->data;
 
-        self->pump(self->client);
+        self->flush(self->client);
         if (!self->closing) {
-            self->pump(self->target);
+            self->flush(self->target);
         }
     }
 
     static void
     on_alloc(uv_handle_t *, size_t, uv_buf_t *buffer)
     {
-        static char chunk[CHUNK];
+        static char chunk[CHUNK_BYTES];
 
-        *buffer = uv_buf_init(chunk, CHUNK);
+        *buffer = uv_buf_init(chunk, CHUNK_BYTES);
     }
 
-    /* Bytes of a silent connection are taken, as a kernel would for some time,
-     * and lost. Who opened it may give it up; the other side's end is not
-     * told. */
+    /* Bytes of a black-holed connection are read, as a kernel would accept
+     * them for some time, and dropped. The client may close the connection; a
+     * close by the target is not forwarded. */
     void
-    lose(uv_stream_t *stream, const Side &side, ssize_t count)
+    discard(uv_stream_t *stream, const Endpoint &endpoint, ssize_t count)
     {
-        if (count < 0 && side.is_target) {
+        if (count < 0 && endpoint.is_target) {
             uv_read_stop(stream);
         }
         else if (count < 0) {
@@ -205,45 +205,45 @@
     static void
     on_read(uv_stream_t *stream, ssize_t count, const uv_buf_t *buffer)
     {
-        Side *side = (Side *)stream->data;
-        Connection *self = side->connection;
-        Side &other = side->is_target ? self->client : self->target;
+        Endpoint *endpoint = (Endpoint *)stream->data;
+        Connection *self = endpoint->connection;
+        Endpoint &other = endpoint->is_target ? self->client : self->target;
         int64_t due = (int64_t)uv_now(self->proxy->loop);
 
         if (count == 0) {
             return;
         }
-        if (self->is_harmed()) {
-            due += self->proxy->current.delay_ms;
+        if (self->is_affected()) {
+            due += self->proxy->active_fault.delay_ms;
         }
-        if (count > 0 && side->is_target && self->proxy->line != nullptr) {
-            due = self->proxy->line->carry(due, (size_t)count);
-            side->paused = true;
+        if (count > 0 && endpoint->is_target && self->proxy->link != nullptr) {
+            due = self->proxy->link->transmit(due, (size_t)count);
+            endpoint->paused = true;
             uv_read_stop(stream);
         }
-        if (side->is_target ? self->silent_out : self->silent_in) {
-            self->lose(stream, *side, count);
+        if (endpoint->is_target ? self->black_hole_out : self->black_hole_in) {
+            self->discard(stream, *endpoint, count);
             return;
         }
-        if (count == UV_ECONNRESET && !self->is_held(other)) {
+        if (count == UV_ECONNRESET && !self->is_blocked(other)) {
             self->close(true);
             return;
         }
-        other.waiting.push_back(
+        other.pending.push_back(
             {due, count < 0 ? std::string()
                             : std::string(buffer->base, (size_t)count)});
         if (count < 0) {
             uv_read_stop(stream);
         }
-        self->pump(other);
+        self->flush(other);
     }
 
     void
-    start_reading(Side &side)
+    start_reading(Endpoint &endpoint)
     {
-        side.open = true;
-        uv_tcp_nodelay(&side.tcp, 1);
-        uv_read_start((uv_stream_t *)&side.tcp, on_alloc, on_read);
+        endpoint.open = true;
+        uv_tcp_nodelay(&endpoint.tcp, 1);
+        uv_read_start((uv_stream_t *)&endpoint.tcp, on_alloc, on_read);
     }
 
     static void
@@ -259,20 +259,21 @@
             return;
         }
         self->start_reading(self->target);
-        self->pump(self->target);
+        self->flush(self->target);
     }
 
     void
-    init(Side &side, bool is_target)
+    init(Endpoint &endpoint, bool is_target)
     {
-        uv_tcp_init(proxy->loop, &side.tcp);
-        side.tcp.data = &side;
-        side.connection = this;
-        side.is_target = is_target;
+        uv_tcp_init(proxy->loop, &endpoint.tcp);
+        endpoint.tcp.data = &endpoint;
+        endpoint.connection = this;
+        endpoint.is_target = is_target;
     }
 };
 
-Proxy::Proxy(uv_loop_t *on, Address from, Address to) : loop(on), target(to)
+Proxy::Proxy(uv_loop_t *event_loop, Address from, Address to)
+    : loop(event_loop), target(to)
 {
     struct sockaddr_in local = Address_ToSocket(from);
 
@@ -315,59 +316,59 @@
 }
 
 void
-Proxy::harm(const Harm &harm, bool half)
+Proxy::inject(const LinkFault &fault, bool odd_connections)
 {
-    troubled_ms = (int64_t)uv_now(loop);
-    current = harm;
-    half_only = half;
+    last_fault_ms = (int64_t)uv_now(loop);
+    active_fault = fault;
+    odd_only = odd_connections;
 }
 
 void
 Proxy::heal()
 {
-    troubled_ms = (int64_t)uv_now(loop);
+    last_fault_ms = (int64_t)uv_now(loop);
     std::set<Connection *> all = connections;
-    bool lose = current.lose;
+    bool drop_blocked = active_fault.drop_blocked;
 
     for (Connection *connection : all) {
-        if (lose && connection->is_harmed()) {
+        if (drop_blocked && connection->is_affected()) {
             connection->close(true);
         }
     }
-    current = Harm();
-    half_only = false;
+    active_fault = LinkFault();
+    odd_only = false;
     all = connections;
     for (Connection *connection : all) {
-        connection->pump(connection->client);
+        connection->flush(connection->client);
         if (!connection->closing) {
-            connection->pump(connection->target);
+            connection->flush(connection->target);
         }
     }
 }
 
 void
-Proxy::silence(bool in, bool out)
+Proxy::black_hole(bool in, bool out)
 {
-    troubled_ms = (int64_t)uv_now(loop);
+    last_fault_ms = (int64_t)uv_now(loop);
     for (Connection *connection : connections) {
-        connection->silent_in |= in;
-        connection->silent_out |= out;
+        connection->black_hole_in |= in;
+        connection->black_hole_out |= out;
         if (in) {
-            connection->target.waiting.clear();
+            connection->target.pending.clear();
         }
         if (out) {
-            connection->client.waiting.clear();
+            connection->client.pending.clear();
         }
     }
 }
 
 void
-Proxy::reset(bool half)
+Proxy::reset(bool odd_connections)
 {
     std::set<Connection *> all = connections;
 
     for (Connection *connection : all) {
-        if (!half || connection->number % 2 == 1) {
+        if (!odd_connections || connection->number % 2 == 1) {
             connection->close(true);
         }
     }
--- a/tests/soak/proxy.h
+++ b/tests/soak/proxy.h
@@ -1,6 +1,6 @@
 /**
  * @file proxy.h
- * @brief A TCP proxy on loopback that harms what passes through it.
+ * @brief A TCP proxy on loopback that injects network faults.
  */
 #ifndef LC_TESTS_SOAK_PROXY_H
 #define LC_TESTS_SOAK_PROXY_H
@@ -18,53 +18,57 @@
 
 namespace soak {
 
-/** What a proxy does to bytes. */
-struct Harm {
-    bool hold_in = false;  /**< towards the target: held up until it ends */
-    bool hold_out = false; /**< away from the target */
-    bool lose = false;     /**< what was held is lost with its connections */
-    int64_t delay_ms = 0;  /**< of each piece of bytes */
+/** A network fault of a proxy. */
+struct LinkFault {
+    bool block_in = false;     /**< holds bytes to the target until healed */
+    bool block_out = false;    /**< the same for bytes from the target */
+    bool drop_blocked = false; /**< healing resets the connections, so that
+                         held bytes are lost */
+    int64_t delay_ms = 0;      /**< delay of each chunk, ms */
 };
 
-/** A line of limited rate, shared by the connections of several proxies: each
- * has one chunk of bytes on it at a time, so that all get as much. */
-class Line {
+/** A link of limited bandwidth that the connections of several proxies share.
+ * Each connection has one chunk on it at a time, so that all get the same
+ * bandwidth. */
+class SharedLink {
   public:
-    explicit Line(int64_t bytes_per_s) : rate(bytes_per_s)
+    explicit SharedLink(int64_t bytes_per_s) : rate(bytes_per_s)
     {
     }
 
-    /** Takes @p size bytes that come at @p now_ms; returns when they have
-     * passed. */
-    int64_t carry(int64_t now_ms, size_t size);
+    /** Transmits @p size bytes that arrive at @p now_ms; returns the time in
+     * ms at which the last of them has passed. */
+    int64_t transmit(int64_t now_ms, size_t size);
 
   private:
     int64_t rate;
     int64_t free_at_us = 0;
 };
 
-/** Passes connections of @p from on to @p to. */
+/** Accepts connections at @p from and forwards them to @p to. */
 class Proxy {
   public:
     Proxy(uv_loop_t *loop, Address from, Address to);
 
-    /** Harms all connections, or those with odd numbers alone. */
-    void harm(const Harm &harm, bool half);
-    /** Sends what leaves the target over a line from now on. */
+    /** Injects a fault into all connections, or only into those with odd
+     * numbers. */
+    void inject(const LinkFault &fault, bool odd_connections);
+    /** Sends all bytes from the target over a shared link from now on. */
     void
-    answer_over(std::shared_ptr<Line> wanted)
+    limit_responses(std::shared_ptr<SharedLink> shared_link)
     {
-        line = std::move(wanted);
+        link = std::move(shared_link);
     }
-    /** All connections open now pass nothing more that way, for good and
-     * without a word; new ones work. */
-    void silence(bool in, bool out);
-    /** Passes everything on again, but over connections that were silenced. */
+    /** Drops all further bytes of the connections that are open now, in the
+     * given directions, without closing them; new connections work. */
+    void black_hole(bool in, bool out);
+    /** Ends the fault; black-holed connections stay so. */
     void heal();
-    /** Resets all connections, or about half of them. */
-    void reset(bool half);
+    /** Resets all connections, or those with odd numbers. */
+    void reset(bool odd_connections);
 
-    int64_t troubled_ms = 0; /**< when anything was last done to it */
+    /** Loop time of the last change of its faults; resets do not count. */
+    int64_t last_fault_ms = 0;
 
     struct Connection;
 
@@ -77,9 +81,9 @@
     uv_tcp_t listener;
     std::set<Connection *> connections;
     uint64_t next_number = 0;
-    Harm current;
-    std::shared_ptr<Line> line;
-    bool half_only = false;
+    LinkFault active_fault;
+    std::shared_ptr<SharedLink> link;
+    bool odd_only = false;
 };
 
 } // namespace soak
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -1,9 +1,9 @@
 /*
  * A randomized soak: real `levercoved` processes between stand-ins of the
- * store, the upstreams and the callers, with a proxy before every address
- * that one process is reached at by another, and faults from outside.
+ * store, the upstreams and the callers, with a proxy in front of every address
+ * at which one process reaches another, and injected faults.
  *
- * One seed is one run. It prints what was done and every violation.
+ * Each run has one seed. It prints a summary and every violation.
  */
 
 #include <glib.h>
@@ -26,35 +26,40 @@
 gint seconds = 12;
 gint entry_count = 3;
 gint companion_count = 6;
-gint per_second = 40;
+gint jobs_per_second = 40;
 gdouble link_mbps = 0;
 gint base_port = 21000;
 gchar *program;
 gchar *folder;
-gchar *figures;
+gchar *figures_file;
 gboolean verbose;
 
 const int64_t START_MS = 2500;
-const int64_t SILENCE_LEAST_MS = 2000; /* between two faults of this kind */
-const int64_t CLOSED_LEAST_MS = 300;   /* of a hall */
-const int64_t CLOSED_MORE_MS = 6000;
-const int64_t LOADED_MS = 50;   /* from the start to main */
-const int64_t CALM_MS = 6000;   /* after the last fault */
-const int64_t SETTLE_MS = 3000; /* of it, until service must be back */
-const int64_t KEPT_MS = 20000;  /* since then, until all kept jobs are over */
+const int64_t BLACK_HOLE_MIN_MS = 2000; /* least time between two */
+const int64_t CLOSED_MIN_MS = 300;      /* least time that a hall is closed */
+const int64_t CLOSED_RANGE_MS = 6000;
+const int64_t EXEC_MS = 50;           /* upper bound from fork to main */
+const int64_t AFTER_FAULTS_MS = 6000; /* load after the faults have ended */
+const int64_t RECOVERY_MS = 3000;     /* of AFTER_FAULTS_MS: until service must
+                                      have recovered */
+const int64_t DURABLE_END_MS = 20000; /* after that: limit until all durable
+                                  jobs have ended */
 
 const GOptionEntry options[] = {
-    {"seed", 0, 0, G_OPTION_ARG_INT64, &seed, "Of all choices", "N"},
-    {"seconds", 0, 0, G_OPTION_ARG_INT, &seconds, "With faults", "N"},
-    {"entries", 0, 0, G_OPTION_ARG_INT, &entry_count, "Processes", "N"},
-    {"companions", 0, 0, G_OPTION_ARG_INT, &companion_count, "Processes", "N"},
+    {"seed", 0, 0, G_OPTION_ARG_INT64, &seed, "Seed of all random choices",
+     "N"},
+    {"seconds", 0, 0, G_OPTION_ARG_INT, &seconds, "Duration with faults", "N"},
+    {"entries", 0, 0, G_OPTION_ARG_INT, &entry_count, "Entry processes", "N"},
+    {"companions", 0, 0, G_OPTION_ARG_INT, &companion_count,
+     "Companion processes", "N"},
     {"link", 0, 0, G_OPTION_ARG_DOUBLE, &link_mbps,
-     "Of the first entry, in Mbit/s: it hands jobs on", "N"},
-    {"rate", 0, 0, G_OPTION_ARG_INT, &per_second, "Jobs a second", "N"},
+     "Bandwidth of the first entry, in Mbit/s: it then forwards jobs", "N"},
+    {"rate", 0, 0, G_OPTION_ARG_INT, &jobs_per_second, "Jobs per second", "N"},
     {"port", 0, 0, G_OPTION_ARG_INT, &base_port, "First port", "N"},
     {"program", 0, 0, G_OPTION_ARG_FILENAME, &program, "levercoved", "FILE"},
-    {"folder", 0, 0, G_OPTION_ARG_FILENAME, &folder, "For logs", "DIR"},
-    {"figures", 0, 0, G_OPTION_ARG_FILENAME, &figures,
+    {"folder", 0, 0, G_OPTION_ARG_FILENAME, &folder,
+     "Folder for settings and logs", "DIR"},
+    {"figures", 0, 0, G_OPTION_ARG_FILENAME, &figures_file,
      "JSON lines by second, for scripts/report.sh", "FILE"},
     {"verbose", 0, 0, G_OPTION_ARG_NONE, &verbose, "Print faults", nullptr},
     {nullptr, 0, 0, G_OPTION_ARG_NONE, nullptr, nullptr, nullptr},
@@ -66,144 +71,152 @@
 void
 make_job()
 {
-    static const int64_t works[] = {60, 60, 60, 200, 200, 700};
+    static const int64_t work_choices_ms[] = {60, 60, 60, 200, 200, 700};
 
-    if (cluster->over) {
+    if (cluster->submissions_stopped) {
         return;
     }
-    if (cluster->pick(5) == 0) {
-        cluster->hand_in_kept(1 + cluster->pick(4),
-                              1000 + cluster->pick(4) * 300,
-                              works[cluster->pick(6)]);
+    if (cluster->random_below(5) == 0) {
+        cluster->submit_durable_job(1 + cluster->random_below(4),
+                                    1000 + cluster->random_below(4) * 300,
+                                    work_choices_ms[cluster->random_below(6)]);
     }
     else {
-        cluster->hand_in(1 + cluster->pick(6), 1000 + cluster->pick(4) * 300,
-                         works[cluster->pick(6)], true);
+        cluster->submit_job(1 + cluster->random_below(6),
+                            1000 + cluster->random_below(4) * 300,
+                            work_choices_ms[cluster->random_below(6)], true);
     }
-    cluster->after(1 + cluster->pick((uint32_t)(2000 / per_second)), make_job);
+    cluster->run_after(
+        1 + cluster->random_below((uint32_t)(2000 / jobs_per_second)),
+        make_job);
 }
 
 /* ---- faults ---- */
 
 soak::Process &
-any_process()
+random_process()
 {
     std::vector<soak::Process *> all = cluster->processes();
 
-    return *all[cluster->pick((uint32_t)all.size())];
+    return *all[cluster->random_below((uint32_t)all.size())];
 }
 
 soak::Proxy &
-any_proxy()
+random_proxy()
 {
     std::vector<soak::Proxy *> all = cluster->proxies();
 
-    return *all[cluster->pick((uint32_t)all.size())];
+    return *all[cluster->random_below((uint32_t)all.size())];
 }
 
 void
 fault_kill()
 {
-    soak::Process &process = any_process();
+    soak::Process &process = random_process();
 
-    cluster->say("kill " + process.name);
-    process.kill(50 + cluster->pick(1500));
+    cluster->log_event("kill " + process.name);
+    process.kill(50 + cluster->random_below(1500));
 }
 
 void
 fault_pause()
 {
-    soak::Process &process = any_process();
-    int64_t ms = 100 + cluster->pick(2500);
+    soak::Process &process = random_process();
+    int64_t ms = 100 + cluster->random_below(2500);
 
-    cluster->say("pause " + process.name + " for " + std::to_string(ms));
+    cluster->log_event("pause " + process.name + " for " + std::to_string(ms));
     process.signal(SIGSTOP);
-    cluster->after(ms, [&process] { process.signal(SIGCONT); });
+    cluster->run_after(ms, [&process] { process.signal(SIGCONT); });
 }
 
 void
 fault_terminate()
 {
-    soak::Process &process = any_process();
+    soak::Process &process = random_process();
 
-    cluster->say("terminate " + process.name);
+    cluster->log_event("terminate " + process.name);
     process.signal(SIGTERM);
 }
 
-/* Before its first instruction no program can do anything about a signal. */
+/* Spares processes that may not have reached main yet: until then SIGHUP ends
+ * any program. */
 void
 fault_hangup()
 {
-    soak::Process &process = any_process();
+    soak::Process &process = random_process();
 
-    if ((int64_t)uv_now(cluster->loop) - process.started_ms >= LOADED_MS) {
+    if ((int64_t)uv_now(cluster->loop) - process.started_ms >= EXEC_MS) {
         process.signal(SIGHUP);
     }
 }
 
 void
-fault_harm()
+fault_network()
 {
-    static const char *const texts[] = {"one way held", "other way held",
-                                        "both held", "both lost", "delay"};
-    soak::Proxy &proxy = any_proxy();
-    soak::Harm harm;
-    int64_t ms = 100 + cluster->pick(2500);
-    uint32_t kind = cluster->pick(5);
-
-    harm.hold_in = kind == 0 || kind == 2 || kind == 3;
-    harm.hold_out = kind == 1 || kind == 2 || kind == 3;
-    harm.lose = kind == 3;
-    harm.delay_ms = kind == 4 ? 20 + cluster->pick(300) : 0;
-    cluster->say(std::string("network: ") + texts[kind] + " for " +
-                 std::to_string(ms));
-    proxy.harm(harm, cluster->pick(2) == 0);
-    cluster->after(ms, [&proxy] { proxy.heal(); });
+    static const char *const texts[] = {
+        "blocked to the target", "blocked from the target",
+        "blocked both ways", "lost both ways", "delay"};
+    soak::Proxy &proxy = random_proxy();
+    soak::LinkFault fault;
+    int64_t ms = 100 + cluster->random_below(2500);
+    uint32_t kind = cluster->random_below(5);
+
+    fault.block_in = kind == 0 || kind == 2 || kind == 3;
+    fault.block_out = kind == 1 || kind == 2 || kind == 3;
+    fault.drop_blocked = kind == 3;
+    fault.delay_ms = kind == 4 ? 20 + cluster->random_below(300) : 0;
+    cluster->log_event(std::string("network: ") + texts[kind] + " for " +
+                       std::to_string(ms));
+    proxy.inject(fault, cluster->random_below(2) == 0);
+    cluster->run_after(ms, [&proxy] { proxy.heal(); });
 }
 
 void
 fault_reset()
 {
-    cluster->say("reset");
-    any_proxy().reset(cluster->pick(2) == 0);
+    cluster->log_event("reset");
+    random_proxy().reset(cluster->random_below(2) == 0);
 }
 
 void
 fault_upstream()
 {
     soak::Upstream *upstream =
-        cluster->upstreams[cluster->pick((uint32_t)companion_count)].get();
-    int64_t ms = 200 + cluster->pick(2000);
+        cluster->upstreams[cluster->random_below((uint32_t)companion_count)]
+            .get();
+    int64_t ms = 200 + cluster->random_below(2000);
 
-    switch (cluster->pick(5)) {
+    switch (cluster->random_below(5)) {
     case 0:
-        cluster->say("crash " + upstream->name);
+        cluster->log_event("crash " + upstream->name);
         if (upstream->model.is_up()) {
             upstream->crash();
-            cluster->after(ms, [upstream] { upstream->come_up(); });
+            cluster->run_after(ms,
+                               [upstream] { upstream->start_incarnation(); });
         }
         break;
     case 1:
-        cluster->say("stuck " + upstream->name);
+        cluster->log_event("stuck " + upstream->name);
         upstream->model.manner.stuck = true;
-        cluster->after(ms,
-                       [upstream] { upstream->model.manner.stuck = false; });
+        cluster->run_after(
+            ms, [upstream] { upstream->model.manner.stuck = false; });
         break;
     case 2:
-        cluster->say("failing " + upstream->name);
+        cluster->log_event("failing " + upstream->name);
         upstream->model.manner.failing = true;
-        cluster->after(ms,
-                       [upstream] { upstream->model.manner.failing = false; });
+        cluster->run_after(
+            ms, [upstream] { upstream->model.manner.failing = false; });
         break;
     case 3:
-        cluster->say("slow " + upstream->name);
+        cluster->log_event("slow " + upstream->name);
         upstream->model.manner.slow = 6;
-        cluster->after(ms, [upstream] { upstream->model.manner.slow = 1; });
+        cluster->run_after(ms,
+                           [upstream] { upstream->model.manner.slow = 1; });
         break;
     default:
-        cluster->say("late orders at " + upstream->name);
-        upstream->late_orders = true;
-        cluster->after(ms, [upstream] { upstream->late_orders = false; });
+        cluster->log_event("late orders at " + upstream->name);
+        upstream->delay_orders = true;
+        cluster->run_after(ms, [upstream] { upstream->delay_orders = false; });
         break;
     }
 }
@@ -211,21 +224,22 @@
 void
 fault_store()
 {
-    soak::StoreManner manner = (soak::StoreManner)(
-        1 + cluster->pick((uint32_t)soak::StoreManner::Count - 1));
+    soak::StoreMode mode = (soak::StoreMode)(
+        1 + cluster->random_below((uint32_t)soak::StoreMode::Count - 1));
 
-    cluster->say(std::string("store ") + soak::StoreManner_Text(manner));
-    cluster->store->manner = manner;
-    cluster->after(300 + cluster->pick(2500),
-                   [] { cluster->store->manner = soak::StoreManner::Well; });
+    cluster->log_event(std::string("store ") + soak::StoreMode_Text(mode));
+    cluster->store->mode = mode;
+    cluster->run_after(300 + cluster->random_below(2500), [] {
+        cluster->store->mode = soak::StoreMode::Healthy;
+    });
 }
 
 void
 fault_routes()
 {
-    cluster->say("new routes");
-    cluster->put_routes();
-    if (cluster->pick(3) == 0) {
+    cluster->log_event("new routes");
+    cluster->publish_routes();
+    if (cluster->random_below(3) == 0) {
         cluster->store->compact();
     }
 }
@@ -233,24 +247,24 @@
 void
 fault_all()
 {
-    bool every = cluster->pick(2) == 0;
+    bool all_processes = cluster->random_below(2) == 0;
 
-    cluster->say(every ? "kill all" : "kill all entries");
+    cluster->log_event(all_processes ? "kill all" : "kill all entries");
     for (auto &process : cluster->entries) {
-        process->kill(100 + cluster->pick(300));
+        process->kill(100 + cluster->random_below(300));
     }
     for (auto &process : cluster->companions) {
-        if (every) {
-            process->kill(100 + cluster->pick(300));
+        if (all_processes) {
+            process->kill(100 + cluster->random_below(300));
         }
     }
 }
 
-/* Connections that are open go silent for good: of one address or of all,
- * both ways or one way. Drawn apart, so that the other faults of a seed stay
- * as they were. */
+/* Black-holes the connections that are open, at one address or at all, both
+ * ways or one way. It has its own random state, so that it does not change the
+ * other faults of a seed. */
 void
-next_silence()
+next_black_hole()
 {
     static uint64_t state = Random_Seed((uint64_t)seed);
     uint64_t draw = Random_Next(&state) >> 20;
@@ -262,52 +276,55 @@
         return;
     }
     faults++;
-    cluster->say(std::string("silent connections") + (in ? ", in" : "") +
-                 (out ? ", out" : "") + (draw % 5 == 0 ? ", all" : ""));
+    cluster->log_event(std::string("black-hole connections") +
+                       (in ? ", in" : "") + (out ? ", out" : "") +
+                       (draw % 5 == 0 ? ", all" : ""));
     for (size_t i = 0; i < all.size(); i++) {
         if (draw % 5 == 0 || i == (draw >> 8) % all.size()) {
-            all[i]->silence(in, out);
+            all[i]->black_hole(in, out);
         }
     }
-    cluster->after(SILENCE_LEAST_MS +
-                       (int64_t)((draw >> 24) % SILENCE_LEAST_MS),
-                   next_silence);
+    cluster->run_after(BLACK_HOLE_MIN_MS +
+                           (int64_t)((draw >> 24) % BLACK_HOLE_MIN_MS),
+                       next_black_hole);
 }
 
-/* Operators close a hall and open it again, also several, also again and
- * again. Drawn apart, likewise. */
+/* Closes a hall and opens it again after some time; several can be closed at
+ * once, and a closed one can be closed again. It has its own random state,
+ * too. */
 void
-next_closing()
+next_hall_closing()
 {
     static uint64_t state = Random_Seed((uint64_t)seed + 1);
     static int closings[3];
     uint64_t draw = Random_Next(&state) >> 20;
     int hall = (int)(draw % 3);
     int64_t end_ms = START_MS + (int64_t)seconds * 1000;
-    int64_t ms = CLOSED_LEAST_MS + (int64_t)((draw >> 8) % CLOSED_MORE_MS);
+    int64_t ms = CLOSED_MIN_MS + (int64_t)((draw >> 8) % CLOSED_RANGE_MS);
 
     if (cluster->now() > end_ms) {
         return;
     }
     faults++;
     int closing = ++closings[hall];
-    cluster->put_hall(hall, true);
-    cluster->after(std::min(ms, end_ms - cluster->now()), [hall, closing] {
+    cluster->set_hall_closed(hall, true);
+    cluster->run_after(std::min(ms, end_ms - cluster->now()), [hall, closing] {
         if (closings[hall] == closing) {
-            cluster->put_hall(hall, false);
+            cluster->set_hall_closed(hall, false);
         }
     });
-    cluster->after(CLOSED_LEAST_MS + (int64_t)((draw >> 32) % CLOSED_MORE_MS),
-                   next_closing);
+    cluster->run_after(CLOSED_MIN_MS +
+                           (int64_t)((draw >> 32) % CLOSED_RANGE_MS),
+                       next_hall_closing);
 }
 
 void
 next_fault()
 {
-    static void (*const kinds[])() = {
+    static void (*const injectors[])() = {
         fault_kill,      fault_kill,   fault_pause,    fault_pause,
-        fault_terminate, fault_hangup, fault_harm,     fault_harm,
-        fault_harm,      fault_reset,  fault_upstream, fault_upstream,
+        fault_terminate, fault_hangup, fault_network,  fault_network,
+        fault_network,   fault_reset,  fault_upstream, fault_upstream,
         fault_upstream,  fault_store,  fault_routes,   fault_all,
     };
 
@@ -315,36 +332,38 @@
         return;
     }
     faults++;
-    kinds[cluster->pick(G_N_ELEMENTS(kinds))]();
-    cluster->after(50 + cluster->pick(900), next_fault);
+    injectors[cluster->random_below(G_N_ELEMENTS(injectors))]();
+    cluster->run_after(50 + cluster->random_below(900), next_fault);
 }
 
-/* Kept jobs may need longer, if those who looked after them died at the
- * last. */
+/* Durable jobs may need longer if their owner died in one of the last faults.
+ */
 void
-finish_when_kept()
+finish_when_durable_ended()
 {
-    if (cluster->checker.kept_open() > 0 &&
-        cluster->now() < cluster->checker.calm_from_ms + KEPT_MS) {
-        cluster->after(200, finish_when_kept);
+    if (cluster->checker.durable_open() > 0 &&
+        cluster->now() <
+            cluster->checker.recovery_deadline_ms + DURABLE_END_MS) {
+        cluster->run_after(200, finish_when_durable_ended);
         return;
     }
     cluster->finish();
 }
 
 int
-report()
+print_report()
 {
     printf("seed %" G_GINT64_FORMAT ": %" PRIu64 " faults, %" PRIu64
            " jobs, %" PRIu64 " starts; answers 2xx %" PRIu64 ", 4xx %" PRIu64
            ", 5xx %" PRIu64 ", none %" PRIu64 "; %" PRIu64 " of %" PRIu64
-           " done in the calm; kept %" PRIu64 " of %" PRIu64
+           " done after recovery; kept %" PRIu64 " of %" PRIu64
            "; %zu violations\n",
            seed, faults, cluster->jobs, cluster->checker.starts,
            cluster->checker.answers[2], cluster->checker.answers[4],
            cluster->checker.answers[5], cluster->checker.answers[0],
-           cluster->checker.late_done, cluster->checker.late_jobs,
-           cluster->checker.kept_done, cluster->checker.kept_accepted,
+           cluster->checker.done_after_recovery,
+           cluster->checker.jobs_after_recovery, cluster->checker.durable_done,
+           cluster->checker.durable_accepted,
            cluster->checker.violations.size());
     for (const std::string &line : cluster->checker.violations) {
         printf("  %s\n", line.c_str());
@@ -353,23 +372,24 @@
 }
 
 bool
-parse(int *argc, char ***argv)
+parse_options(int *argc, char ***argv)
 {
-    GOptionContext *context = g_option_context_new("- soak of leased jobs");
+    GOptionContext *context = g_option_context_new(
+        "- randomized soak of leased jobs");
     GError *error = nullptr;
 
     g_option_context_add_main_entries(context, options, nullptr);
-    bool good = g_option_context_parse(context, argc, argv, &error);
-    if (!good) {
+    bool valid = g_option_context_parse(context, argc, argv, &error);
+    if (!valid) {
         fprintf(stderr, "soak: %s\n", error->message);
         g_error_free(error);
     }
     else if (program == nullptr || folder == nullptr) {
-        fprintf(stderr, "soak: --program and --folder are needed\n");
-        good = false;
+        fprintf(stderr, "soak: options --program and --folder are required\n");
+        valid = false;
     }
     g_option_context_free(context);
-    return good;
+    return valid;
 }
 
 } // namespace
@@ -377,36 +397,39 @@
 int
 main(int argc, char **argv)
 {
-    if (!parse(&argc, &argv)) {
+    if (!parse_options(&argc, &argv)) {
         return 2;
     }
     signal(SIGPIPE, SIG_IGN);
-    soak::Shape shape;
-    shape.entries = entry_count;
-    shape.companions = companion_count;
-    shape.base_port = base_port;
-    shape.program = program;
-    shape.folder = folder;
-    shape.verbose = verbose;
-    shape.seed = (uint64_t)seed;
-    shape.link_mbps = link_mbps;
-    cluster = new soak::Cluster(shape);
+    soak::ClusterSettings settings;
+    settings.entries = entry_count;
+    settings.companions = companion_count;
+    settings.base_port = base_port;
+    settings.program = program;
+    settings.folder = folder;
+    settings.verbose = verbose;
+    settings.seed = (uint64_t)seed;
+    settings.link_mbps = link_mbps;
+    cluster = new soak::Cluster(settings);
     cluster->start();
-    int64_t healed = START_MS + (int64_t)seconds * 1000 + 3000;
-    cluster->after(START_MS, make_job);
-    cluster->after(START_MS + 500, next_fault);
-    cluster->after(START_MS + 900, next_silence);
-    cluster->after(START_MS + 1200, next_closing);
-    cluster->after(healed, [] {
+    int64_t heal_ms = START_MS + (int64_t)seconds * 1000 + 3000;
+    cluster->run_after(START_MS, make_job);
+    cluster->run_after(START_MS + 500, next_fault);
+    cluster->run_after(START_MS + 900, next_black_hole);
+    cluster->run_after(START_MS + 1200, next_hall_closing);
+    cluster->run_after(heal_ms, [] {
         cluster->heal();
-        cluster->checker.calm_from_ms = cluster->now() + SETTLE_MS;
+        cluster->checker.recovery_deadline_ms = cluster->now() + RECOVERY_MS;
     });
-    cluster->after(healed + CALM_MS, [] { cluster->over = true; });
-    cluster->after(healed + CALM_MS + 1500, [] { cluster->probe_routes(); });
-    cluster->after(healed + CALM_MS + 3500, finish_when_kept);
+    cluster->run_after(heal_ms + AFTER_FAULTS_MS,
+                       [] { cluster->submissions_stopped = true; });
+    cluster->run_after(heal_ms + AFTER_FAULTS_MS + 1500,
+                       [] { cluster->check_routes_applied(); });
+    cluster->run_after(heal_ms + AFTER_FAULTS_MS + 3500,
+                       finish_when_durable_ended);
     uv_run(cluster->loop, UV_RUN_DEFAULT);
-    if (figures != nullptr) {
-        cluster->write_figures(figures);
+    if (figures_file != nullptr) {
+        cluster->write_figures(figures_file);
     }
-    return report();
+    return print_report();
 }
--- a/tests/soak/store.cc
+++ b/tests/soak/store.cc
@@ -12,34 +12,34 @@
 namespace {
 
 const int64_t TICK_MS = 5;
-const size_t PAGE = 500;
-const char *const OPERATORS = "keyed.op";
+const size_t PAGE_RECORDS = 500;
+const char *const OPERATORS_TOPIC = "keyed.op";
 const int64_t SLOW_MS = 400;
 
-/* Number behind NAME= in a query. */
+/* Value of a numeric query parameter, or 0; @p name ends in "=". */
 uint64_t
-number_of(const char *query, const char *name)
+query_number(const char *query, const char *name)
 {
-    const char *place = strstr(query, name);
+    const char *found = strstr(query, name);
 
-    return place == nullptr ? 0 : strtoull(place + strlen(name), nullptr, 10);
+    return found == nullptr ? 0 : strtoull(found + strlen(name), nullptr, 10);
 }
 
-/* Text behind NAME= in a query. */
+/* Value of a query parameter, or ""; @p name ends in "=". */
 std::string
-text_of(const char *query, const char *name)
+query_text(const char *query, const char *name)
 {
-    const char *place = strstr(query, name);
+    const char *found = strstr(query, name);
 
-    if (place == nullptr) {
+    if (found == nullptr) {
         return "";
     }
-    place += strlen(name);
-    return std::string(place, strcspn(place, "&"));
+    found += strlen(name);
+    return std::string(found, strcspn(found, "&"));
 }
 
 uint64_t
-read_big(const char *bytes)
+read_big_endian(const char *bytes)
 {
     uint64_t value = 0;
 
@@ -50,14 +50,14 @@
 }
 
 void
-append_big(std::string &out, uint64_t value, int size)
+append_big_endian(std::string &out, uint64_t value, int size)
 {
     for (int i = size - 1; i >= 0; i--) {
         out.push_back((char)(value >> (8 * i)));
     }
 }
 
-struct Later {
+struct DelayedResponse {
     uv_timer_t timer;
     Http_Server *server;
     uint64_t request;
@@ -78,32 +78,32 @@
 }
 
 void
-on_later_closed(uv_handle_t *handle)
+on_delay_closed(uv_handle_t *handle)
 {
-    delete (Later *)handle->data;
+    delete (DelayedResponse *)handle->data;
 }
 
 void
-on_later(uv_timer_t *timer)
+on_delay_over(uv_timer_t *timer)
 {
-    Later *later = (Later *)timer->data;
+    DelayedResponse *delayed = (DelayedResponse *)timer->data;
 
-    send(later->server, later->request, later->status, later->body);
-    uv_close((uv_handle_t *)timer, on_later_closed);
+    send(delayed->server, delayed->request, delayed->status, delayed->body);
+    uv_close((uv_handle_t *)timer, on_delay_closed);
 }
 
 } // namespace
 
 const char *
-StoreManner_Text(StoreManner manner)
+StoreMode_Text(StoreMode mode)
 {
     static const char *const texts[] = {"well", "busy", "silent", "slow",
                                         "lossy"};
 
-    return texts[(int)manner];
+    return texts[(int)mode];
 }
 
-Store::Store(uv_loop_t *on, Address address) : loop(on)
+Store::Store(uv_loop_t *event_loop, Address address) : loop(event_loop)
 {
     static const Http_Route routes[] = {{"/", serve}, {nullptr, nullptr}};
     Status status;
@@ -121,29 +121,30 @@
 void
 Store::put(const std::string &key, const std::string &value)
 {
-    topics[OPERATORS].records.push_back({key, value});
-    answer_readers();
+    topics[OPERATORS_TOPIC].records.push_back({key, value});
+    answer_pending_reads();
 }
 
 void
 Store::compact()
 {
     for (auto &pair : topics) {
-        pair.second.first = pair.second.records.size();
+        pair.second.first_offset = pair.second.records.size();
     }
 }
 
 void
 Store::respond(uint64_t request, int status, const std::string &body)
 {
-    if (manner == StoreManner::Lossy && rand() % 3 == 0) {
+    if (mode == StoreMode::Lossy && rand() % 3 == 0) {
         return;
     }
-    if (manner == StoreManner::Slow) {
-        Later *later = new Later{{}, server, request, status, body};
-        uv_timer_init(loop, &later->timer);
-        later->timer.data = later;
-        uv_timer_start(&later->timer, on_later, SLOW_MS, 0);
+    if (mode == StoreMode::Slow) {
+        DelayedResponse *delayed = new DelayedResponse{
+            {}, server, request, status, body};
+        uv_timer_init(loop, &delayed->timer);
+        delayed->timer.data = delayed;
+        uv_timer_start(&delayed->timer, on_delay_over, SLOW_MS, 0);
         return;
     }
     send(server, request, status, body);
@@ -152,8 +153,8 @@
 void
 Store::serve_newest(const Http_Request *request)
 {
-    const Topic &topic = topics[text_of(request->query, "topic=")];
-    std::string after = text_of(request->query, "depends_on=");
+    const Topic &topic = topics[query_text(request->query, "topic=")];
+    std::string after = query_text(request->query, "depends_on=");
     std::map<std::string, uint64_t> last;
     json_t *items = json_array();
     bool more = false;
@@ -168,7 +169,7 @@
         if (record.key <= after || record.value.empty()) {
             continue;
         }
-        if (json_array_size(items) == PAGE) {
+        if (json_array_size(items) == PAGE_RECORDS) {
             more = true;
             break;
         }
@@ -189,59 +190,61 @@
 }
 
 bool
-Store::answer_read(const Reader &reader)
+Store::answer_read(const PendingRead &read)
 {
-    const Topic &topic = topics[reader.topic];
+    const Topic &topic = topics[read.topic];
     uint64_t end = topic.records.size();
     std::string body;
 
-    if (reader.from < topic.first) {
-        respond(reader.request, 410,
-                "{\"first\":" + std::to_string(topic.first) + "}");
+    if (read.from < topic.first_offset) {
+        respond(read.request, 410,
+                "{\"first\":" + std::to_string(topic.first_offset) + "}");
         return true;
     }
-    if (reader.from >= end && (int64_t)uv_now(loop) < reader.until_ms) {
+    if (read.from >= end && (int64_t)uv_now(loop) < read.until_ms) {
         return false;
     }
-    append_big(body, end, 8);
-    append_big(body, topic.first, 8);
-    for (uint64_t i = reader.from; i < end; i++) {
+    append_big_endian(body, end, 8);
+    append_big_endian(body, topic.first_offset, 8);
+    for (uint64_t i = read.from; i < end; i++) {
         const Record &record = topic.records[i];
-        append_big(body, 1 + record.key.size() + record.value.size(), 4);
+        append_big_endian(body, 1 + record.key.size() + record.value.size(),
+                          4);
         body.push_back((char)record.key.size());
         body += record.key + record.value;
     }
-    respond(reader.request, 200, body);
+    respond(read.request, 200, body);
     return true;
 }
 
 void
 Store::serve_read(const Http_Request *request)
 {
-    Reader reader;
-
-    reader.request = request->id;
-    reader.topic = text_of(request->query, "topic=");
-    reader.from = number_of(request->query, "from=");
-    reader.until_ms = (int64_t)uv_now(loop) +
-                      (int64_t)number_of(request->query, "wait_ms=");
-    if (!answer_read(reader)) {
-        readers.push_back(reader);
+    PendingRead read;
+
+    read.request = request->id;
+    read.topic = query_text(request->query, "topic=");
+    read.from = query_number(request->query, "from=");
+    read.until_ms = (int64_t)uv_now(loop) +
+                    (int64_t)query_number(request->query, "wait_ms=");
+    if (!answer_read(read)) {
+        pending_reads.push_back(read);
     }
 }
 
-/* All or nothing, once for each number of a writer. */
+/* Appends all records of a request, once for each number of a producer. */
 void
 Store::serve_append(const Http_Request *request)
 {
-    Topic &topic = topics[text_of(request->query, "topic=")];
+    Topic &topic = topics[query_text(request->query, "topic=")];
     bool numbered = strstr(request->query, "producer=") != nullptr;
-    uint64_t sequence = number_of(request->query, "&seq=");
-    uint64_t &last = topic.sequences[text_of(request->query, "producer=")];
-    size_t place = 0;
+    uint64_t sequence = query_number(request->query, "&seq=");
+    uint64_t &last =
+        topic.last_sequences[query_text(request->query, "producer=")];
+    size_t position = 0;
 
     if (!numbered) {
-        sequence = last + 1; /* each copy counts */
+        sequence = last + 1; /* unnumbered: not deduplicated */
     }
     if (sequence <= last) {
         respond(request->id, 200, "{\"offset\":0,\"end\":0}");
@@ -254,33 +257,33 @@
         return;
     }
     last = sequence;
-    while (place + 4 < request->length) {
-        size_t size = read_big(request->body + place);
-        const char *bytes = request->body + place + 4;
+    while (position + 4 < request->length) {
+        size_t size = read_big_endian(request->body + position);
+        const char *bytes = request->body + position + 4;
         size_t key = (uint8_t)bytes[0];
         topic.records.push_back(
             {std::string(bytes + 1, key),
              std::string(bytes + 1 + key, size - 1 - key)});
-        place += 4 + size;
+        position += 4 + size;
     }
     respond(request->id, 200, "{\"offset\":0,\"end\":0}");
-    answer_readers();
+    answer_pending_reads();
 }
 
 void
-Store::answer_readers()
+Store::answer_pending_reads()
 {
-    std::vector<Reader> left;
+    std::vector<PendingRead> still_pending;
 
-    if (manner == StoreManner::Silent) {
+    if (mode == StoreMode::Silent) {
         return;
     }
-    for (const Reader &reader : readers) {
-        if (!answer_read(reader)) {
-            left.push_back(reader);
+    for (const PendingRead &read : pending_reads) {
+        if (!answer_read(read)) {
+            still_pending.push_back(read);
         }
     }
-    readers = left;
+    pending_reads = still_pending;
 }
 
 void
@@ -289,10 +292,10 @@
     Store *self = (Store *)context;
 
     self->calls++;
-    if (self->manner == StoreManner::Silent) {
+    if (self->mode == StoreMode::Silent) {
         return;
     }
-    if (self->manner == StoreManner::Busy) {
+    if (self->mode == StoreMode::Busy) {
         send(self->server, request->id, 503, "{}");
     }
     else if (strcmp(request->path, "/log-newest") == 0) {
@@ -314,10 +317,10 @@
 {
     Store *self = (Store *)timer->data;
 
-    if (self->manner != StoreManner::Well) {
-        self->troubled_ms = (int64_t)uv_now(self->loop);
+    if (self->mode != StoreMode::Healthy) {
+        self->last_fault_ms = (int64_t)uv_now(self->loop);
     }
-    self->answer_readers();
+    self->answer_pending_reads();
 }
 
 } // namespace soak
--- a/tests/soak/store.h
+++ b/tests/soak/store.h
@@ -1,8 +1,8 @@
 /**
  * @file store.h
- * @brief A stand-in of the platform's store: topics whose newest record of
- * each key stays, appended to under a writer's number, read whole and
- * followed. It may be down, silent, slow or lossy.
+ * @brief A stand-in of the platform's store: compacted topics with appends
+ * numbered by producer, snapshots of the newest records, and long-polled
+ * reads. It can be busy, silent, slow or lossy.
  */
 #ifndef LC_TESTS_SOAK_STORE_H
 #define LC_TESTS_SOAK_STORE_H
@@ -20,24 +20,27 @@
 
 namespace soak {
 
-/** How the store behaves. */
-enum class StoreManner { Well, Busy, Silent, Slow, Lossy, Count };
+/** How the store behaves: answers; answers 503; answers nothing; answers 400
+ * ms late; loses one in three answers. */
+enum class StoreMode { Healthy, Busy, Silent, Slow, Lossy, Count };
 
-/** For people. */
-const char *StoreManner_Text(StoreManner manner);
+/** Name for the figures. */
+const char *StoreMode_Text(StoreMode mode);
 
-/** The store. */
+/** The store, as an HTTP server. */
 class Store {
   public:
     Store(uv_loop_t *loop, Address address);
 
-    /** Writes the newest record of a key of the operators. */
+    /** Appends a record to the operators' topic. */
     void put(const std::string &key, const std::string &value);
-    /** Drops older records: who follows must read anew. */
+    /** Expires the history of all topics: readers of older offsets get 410 and
+     * must read a snapshot. */
     void compact();
 
-    StoreManner manner = StoreManner::Well;
-    int64_t troubled_ms = 0; /**< when it was last not well */
+    StoreMode mode = StoreMode::Healthy;
+    int64_t last_fault_ms =
+        0; /**< loop time at which it was last not healthy */
     uint64_t calls = 0;
 
   private:
@@ -46,11 +49,13 @@
         std::string value;
     };
     struct Topic {
-        std::vector<Record> records;               /* by offset */
-        uint64_t first = 0;                        /* older ones are gone */
-        std::map<std::string, uint64_t> sequences; /* by writer */
+        std::vector<Record> records; /* by offset */
+        uint64_t first_offset =
+            0; /* offset of the oldest record that can be read */
+        std::map<std::string, uint64_t>
+            last_sequences; /* last number, by producer */
     };
-    struct Reader {
+    struct PendingRead {
         uint64_t request;
         std::string topic;
         uint64_t from;
@@ -61,16 +66,16 @@
     static void on_tick(uv_timer_t *timer);
     void serve_newest(const Http_Request *request);
     void serve_append(const Http_Request *request);
-    void answer_readers();
+    void answer_pending_reads();
     void serve_read(const Http_Request *request);
-    bool answer_read(const Reader &reader);
+    bool answer_read(const PendingRead &read);
     void respond(uint64_t request, int status, const std::string &body);
 
     Http_Server *server;
     uv_loop_t *loop;
     uv_timer_t tick;
     std::map<std::string, Topic> topics;
-    std::vector<Reader> readers;
+    std::vector<PendingRead> pending_reads;
 };
 
 } // namespace soak
--- a/tests/soak/upstream.cc
+++ b/tests/soak/upstream.cc
@@ -14,9 +14,9 @@
 namespace {
 
 const int64_t TICK_MS = 2;
-const int64_t BEAT_MS = 300;
+const int64_t HEARTBEAT_MS = 300;
 
-struct Late {
+struct DelayedOrder {
     uv_timer_t timer;
     Upstream *upstream;
     std::string path;
@@ -40,7 +40,7 @@
 }
 
 std::string
-task_text(const lc_run_id &id)
+task_name(const lc_run_id &id)
 {
     char text[64];
 
@@ -50,17 +50,20 @@
 }
 
 void
-on_late_closed(uv_handle_t *handle)
+on_delayed_order_closed(uv_handle_t *handle)
 {
-    delete (Late *)handle->data;
+    delete (DelayedOrder *)handle->data;
 }
 
 } // namespace
 
-Upstream::Upstream(uv_loop_t *on, Http_Client *http, std::string called,
-                   Address address, Address beside)
-    : model(called, 0.98 + 0.0001 * (rand() % 200)), name(called), loop(on),
-      client(http), companion(beside), begin_ms((int64_t)uv_now(on) - 1000)
+Upstream::Upstream(uv_loop_t *event_loop, Http_Client *http_client,
+                   std::string upstream_name, Address address,
+                   Address companion_address)
+    : model(upstream_name, 0.98 + 0.0001 * (rand() % 200)),
+      name(upstream_name), loop(event_loop), client(http_client),
+      companion(companion_address),
+      begin_ms((int64_t)uv_now(event_loop) - 1000)
 {
     static const Http_Route routes[] = {{"/", serve}, {nullptr, nullptr}};
     Status status;
@@ -73,41 +76,42 @@
     uv_timer_init(loop, &tick);
     tick.data = this;
     uv_timer_start(&tick, on_tick, TICK_MS, TICK_MS);
-    uv_timer_init(loop, &beat);
-    beat.data = this;
-    uv_timer_start(&beat, on_beat, (uint64_t)(rand() % BEAT_MS), BEAT_MS);
+    uv_timer_init(loop, &heartbeat_timer);
+    heartbeat_timer.data = this;
+    uv_timer_start(&heartbeat_timer, on_heartbeat,
+                   (uint64_t)(rand() % HEARTBEAT_MS), HEARTBEAT_MS);
 }
 
 void
 Upstream::crash()
 {
-    dead = model.instance();
-    dead_born = model.born();
-    dead_beats = beats;
-    beats_since = 0;
+    crashed_instance = model.instance();
+    crashed_born_ms = model.born();
+    crashed_heartbeats = heartbeats;
+    heartbeats_since_crash = 0;
     model.crash(now(), false);
-    waiting.clear();
+    pending_polls.clear();
 }
 
 void
-Upstream::come_up()
+Upstream::start_incarnation()
 {
-    /* Every second life has the name of the one before. */
-    if (lives++ % 2 == 1) {
+    /* Every second incarnation keeps the instance name of the previous one. */
+    if (incarnations++ % 2 == 1) {
         model.come_again(now());
     }
     else {
         model.come_up(now());
     }
-    beats = 0;
+    heartbeats = 0;
 }
 
 void
-Upstream::respond(uint64_t request, Runner_OrderEnd end,
-                  const std::string &more)
+Upstream::respond(uint64_t request, Runner_OrderEnd result,
+                  const std::string &extra_fields)
 {
     static const struct {
-        Runner_OrderEnd end;
+        Runner_OrderEnd result;
         int status;
         const char *reason;
     } rows[] = {
@@ -122,49 +126,50 @@
 
     response.status = 400;
     for (const auto &row : rows) {
-        if (row.end == end) {
+        if (row.result == result) {
             response.status = row.status;
             if (row.reason != nullptr) {
                 body += std::string(",\"reason\":\"") + row.reason + "\"";
             }
         }
     }
-    body += more + "}";
+    body += extra_fields + "}";
     response.body = body.data();
     response.length = body.size();
     Http_Respond(server, request, &response);
 }
 
 bool
-Upstream::answer_look(Waiting &one)
+Upstream::answer_poll(PendingPoll &pending)
 {
     std::vector<Runner_Row> running;
     std::vector<Runner_EndRow> ended;
-    std::string more = ",\"born\":" + std::to_string(model.born()) +
-                       ",\"running\":[";
+    std::string extra_fields = ",\"born\":" + std::to_string(model.born()) +
+                               ",\"running\":[";
     static const char *const ends[] = {"done", "failed", "stopped", "lapsed"};
 
-    one.look.instance = one.instance.c_str();
-    Runner_OrderEnd end = model.look(now(), one.look, &running, &ended);
-    one.look.deadline_ms = 0; /* extended once */
-    if (end == RUNNER_ORDER_TAKEN && ended.empty() && now() < one.until_ms) {
+    pending.poll.instance = pending.instance.c_str();
+    Runner_OrderEnd result = model.look(now(), pending.poll, &running, &ended);
+    pending.poll.deadline_ms = 0; /* a poll extends the hold once */
+    if (result == RUNNER_ORDER_TAKEN && ended.empty() &&
+        now() < pending.until_ms) {
         return false;
     }
     for (size_t i = 0; i < running.size(); i++) {
-        more += std::string(i == 0 ? "" : ",") + "[\"" +
-                task_text(running[i].id) + "\"," +
-                std::to_string(running[i].id.run) + ",\"\"," +
-                std::to_string(running[i].percent) + "]";
+        extra_fields += std::string(i == 0 ? "" : ",") + "[\"" +
+                        task_name(running[i].id) + "\"," +
+                        std::to_string(running[i].id.run) + ",\"\"," +
+                        std::to_string(running[i].percent) + "]";
     }
-    more += "],\"ended\":[";
+    extra_fields += "],\"ended\":[";
     for (size_t i = 0; i < ended.size(); i++) {
-        more += std::string(i == 0 ? "" : ",") + "[" +
-                std::to_string(ended[i].number) + ",\"" +
-                task_text(ended[i].id) + "\"," +
-                std::to_string(ended[i].id.run) + ",\"" + ends[ended[i].end] +
-                "\",\"\"]";
+        extra_fields += std::string(i == 0 ? "" : ",") + "[" +
+                        std::to_string(ended[i].number) + ",\"" +
+                        task_name(ended[i].id) + "\"," +
+                        std::to_string(ended[i].id.run) + ",\"" +
+                        ends[ended[i].end] + "\",\"\"]";
     }
-    respond(one.request, end, more + "]");
+    respond(pending.request, result, extra_fields + "]");
     return true;
 }
 
@@ -175,7 +180,7 @@
     json_t *body = json_loads(text.c_str(), 0, nullptr);
     int64_t token = json_integer_value(json_object_get(body, "fencing_token"));
     Runner_Start start;
-    Waiting look;
+    PendingPoll poll;
     lc_run_id id;
 
     model.advance(now());
@@ -194,32 +199,33 @@
         respond(request, model.stop(now(), id, expected, token), "");
     }
     else if (path == "/hold") {
-        memset(&look.look, 0, sizeof(look.look));
-        look.request = request;
-        look.instance = expected;
-        look.look.token = token;
-        look.look.deadline_ms = json_integer_value(
+        memset(&poll.poll, 0, sizeof(poll.poll));
+        poll.request = request;
+        poll.instance = expected;
+        poll.poll.token = token;
+        poll.poll.deadline_ms = json_integer_value(
             json_object_get(body, "deadline_ms"));
-        look.look.last_seen = (uint64_t)json_integer_value(
+        poll.poll.last_seen = (uint64_t)json_integer_value(
             json_object_get(body, "last_seen"));
-        look.until_ms = now() +
+        poll.until_ms = now() +
                         json_integer_value(json_object_get(body, "wait_ms"));
-        if (!answer_look(look)) {
-            waiting.push_back(look);
+        if (!answer_poll(poll)) {
+            pending_polls.push_back(poll);
         }
     }
     json_decref(body);
 }
 
 void
-Upstream::on_late(uv_timer_t *timer)
+Upstream::on_delayed_order(uv_timer_t *timer)
 {
-    Late *late = (Late *)timer->data;
+    DelayedOrder *delayed = (DelayedOrder *)timer->data;
 
-    if (late->upstream->model.is_up()) {
-        late->upstream->handle(0, late->path, late->body, late->expected);
+    if (delayed->upstream->model.is_up()) {
+        delayed->upstream->handle(0, delayed->path, delayed->body,
+                                  delayed->expected);
     }
-    uv_close((uv_handle_t *)timer, on_late_closed);
+    uv_close((uv_handle_t *)timer, on_delayed_order_closed);
 }
 
 void
@@ -232,14 +238,15 @@
     std::string instance = expected == nullptr ? "" : expected;
 
     if (!self->model.is_up()) {
-        return; /* silent, as without power */
+        return; /* not answered, as after a power loss */
     }
-    if (self->late_orders && rand() % 3 == 0) {
-        Late *late = new Late{{}, self, request->path, body, instance};
-        uv_timer_init(self->loop, &late->timer);
-        late->timer.data = late;
-        uv_timer_start(&late->timer, on_late, (uint64_t)(1000 + rand() % 3000),
-                       0);
+    if (self->delay_orders && rand() % 3 == 0) {
+        DelayedOrder *delayed = new DelayedOrder{
+            {}, self, request->path, body, instance};
+        uv_timer_init(self->loop, &delayed->timer);
+        delayed->timer.data = delayed;
+        uv_timer_start(&delayed->timer, on_delayed_order,
+                       (uint64_t)(1000 + rand() % 3000), 0);
         return;
     }
     self->handle(request->id, request->path, body, instance);
@@ -249,31 +256,31 @@
 Upstream::on_tick(uv_timer_t *timer)
 {
     Upstream *self = (Upstream *)timer->data;
-    std::vector<Waiting> left;
+    std::vector<PendingPoll> still_pending;
 
-    if (self->late_orders) {
-        self->late_ms = (int64_t)uv_now(self->loop);
+    if (self->delay_orders) {
+        self->last_delayed_ms = (int64_t)uv_now(self->loop);
     }
     if (!self->model.is_up()) {
         return;
     }
     self->model.advance(self->now());
-    for (Waiting &one : self->waiting) {
-        if (!self->answer_look(one)) {
-            left.push_back(one);
+    for (PendingPoll &pending : self->pending_polls) {
+        if (!self->answer_poll(pending)) {
+            still_pending.push_back(pending);
         }
     }
-    self->waiting = left;
+    self->pending_polls = still_pending;
 }
 
 void
-Upstream::on_beat_answer(void *, const Http_ClientAnswer *)
+Upstream::on_heartbeat_answer(void *, const Http_ClientAnswer *)
 {
 }
 
 void
-Upstream::send_beat(const std::string &instance, uint64_t number,
-                    int64_t clock_ms, int64_t born_ms)
+Upstream::send_heartbeat(const std::string &instance, uint64_t number,
+                         int64_t clock_ms, int64_t born_ms)
 {
     Http_ClientRequest request = {};
     char body[400];
@@ -292,24 +299,27 @@
     request.body = body;
     request.length = strlen(body);
     request.timeout_ms = 1000;
-    Http_Send(client, &request, on_beat_answer, this);
+    Http_Send(client, &request, on_heartbeat_answer, this);
 }
 
-/* The last heartbeat of one that crashed comes when its successor has
- * registered. */
+/* Also sends the last heartbeat of a crashed incarnation late, after the
+ * second one of its successor. */
 void
-Upstream::on_beat(uv_timer_t *timer)
+Upstream::on_heartbeat(uv_timer_t *timer)
 {
     Upstream *self = (Upstream *)timer->data;
 
     if (!self->model.is_up()) {
         return;
     }
-    self->send_beat(self->model.instance(), ++self->beats,
-                    self->model.clock(self->now()), self->model.born());
-    if (!self->dead.empty() && ++self->beats_since == 2) {
-        self->send_beat(self->dead, self->dead_beats + 1, 1, self->dead_born);
-        self->dead.clear();
+    self->send_heartbeat(self->model.instance(), ++self->heartbeats,
+                         self->model.clock(self->now()), self->model.born());
+    if (!self->crashed_instance.empty() &&
+        ++self->heartbeats_since_crash == 2) {
+        self->send_heartbeat(self->crashed_instance,
+                             self->crashed_heartbeats + 1, 1,
+                             self->crashed_born_ms);
+        self->crashed_instance.clear();
     }
 }
 
--- a/tests/soak/upstream.h
+++ b/tests/soak/upstream.h
@@ -1,6 +1,6 @@
 /**
  * @file upstream.h
- * @brief A stand-in upstream that speaks as the platform's do, around the
+ * @brief A stand-in upstream with the platform's HTTP interface, around the
  * model of tests/lease_upstream.h.
  */
 #ifndef LC_TESTS_SOAK_UPSTREAM_H
@@ -23,42 +23,45 @@
 /** Capacity of each stand-in. */
 extern const lc_resources UPSTREAM_CAPACITY;
 
-/** One upstream beside one companion. */
+/** The upstream of one companion. */
 class Upstream {
   public:
     lease::Upstream model;
 
-    /** Serves orders at @p address and beats at @p companion. */
+    /** Serves orders at @p address and sends heartbeats to @p companion. */
     Upstream(uv_loop_t *loop, Http_Client *client, std::string name,
              Address address, Address companion);
 
     void crash();
-    void come_up();
+    void start_incarnation();
 
-    bool late_orders = false; /**< one in three is done seconds later */
-    int64_t late_ms = 0;      /**< when that was so last */
+    bool delay_orders = false; /**< one order in three is executed 1 to 4 s
+                                  late and not answered */
+    int64_t last_delayed_ms =
+        0; /**< loop time at which delay_orders was last set */
     const std::string name;
 
   private:
-    struct Waiting {
+    struct PendingPoll {
         uint64_t request;
         int64_t until_ms;
-        Runner_Look look;
+        Runner_Look poll;
         std::string instance;
     };
 
     static void serve(void *context, const Http_Request *request);
     static void on_tick(uv_timer_t *timer);
-    static void on_beat(uv_timer_t *timer);
-    static void on_beat_answer(void *context, const Http_ClientAnswer *answer);
-    static void on_late(uv_timer_t *timer);
-    void send_beat(const std::string &instance, uint64_t number,
-                   int64_t clock_ms, int64_t born_ms);
+    static void on_heartbeat(uv_timer_t *timer);
+    static void on_heartbeat_answer(void *context,
+                                    const Http_ClientAnswer *answer);
+    static void on_delayed_order(uv_timer_t *timer);
+    void send_heartbeat(const std::string &instance, uint64_t number,
+                        int64_t clock_ms, int64_t born_ms);
     void handle(uint64_t request, const std::string &path,
                 const std::string &body, const std::string &expected);
-    bool answer_look(Waiting &waiting);
-    void respond(uint64_t request, Runner_OrderEnd end,
-                 const std::string &more);
+    bool answer_poll(PendingPoll &pending);
+    void respond(uint64_t request, Runner_OrderEnd result,
+                 const std::string &extra_fields);
     int64_t
     now() const
     {
@@ -70,15 +73,16 @@
     Http_Server *server;
     Address companion;
     uv_timer_t tick;
-    uv_timer_t beat;
+    uv_timer_t heartbeat_timer;
     int64_t begin_ms;
-    uint64_t beats = 0;
-    std::string dead; /**< its last heartbeat is still on its way */
-    int64_t dead_born = 0;
-    uint64_t dead_beats = 0;
-    int beats_since = 0;
-    uint32_t lives = 0;
-    std::vector<Waiting> waiting;
+    uint64_t heartbeats = 0;
+    std::string crashed_instance; /**< instance whose last heartbeat is sent
+                                         late; empty if none */
+    int64_t crashed_born_ms = 0;
+    uint64_t crashed_heartbeats = 0;
+    int heartbeats_since_crash = 0;
+    uint32_t incarnations = 0;
+    std::vector<PendingPoll> pending_polls;
 };
 
 } // namespace soak
--- a/tests/soak_checker.cc
+++ b/tests/soak_checker.cc
@@ -1,6 +1,6 @@
 /*
- * The soak's checker must itself be right: it is told of each kind of wrong,
- * and of a run without any.
+ * Tests the checker of the soak: each kind of violation must be found, and
+ * none in a correct run.
  */
 
 #include <glib.h>
@@ -9,8 +9,8 @@
 
 namespace {
 
-const char *const PLACE = "upstream-0";
-const char *const OTHER = "upstream-1";
+const char *const UPSTREAM = "upstream-0";
+const char *const OTHER_UPSTREAM = "upstream-1";
 const int64_t INCARNATION = 1700000000000;
 const int64_t NEXT_INCARNATION = 1700000005000;
 
@@ -26,131 +26,141 @@
 }
 
 size_t
-count(soak::Checker &checker)
+count_violations(soak::Checker &checker)
 {
     checker.finish(1000);
     return checker.violations.size();
 }
 
 void
-test_nothing_wrong()
+test_no_violation()
 {
     soak::Checker checker;
     soak::Job &job = checker.add_job(1, 1, 1000, 100, 0);
 
-    checker.on_start(10, PLACE, run_of(1, 0, 1));
-    checker.on_end(110, PLACE, INCARNATION, run_of(1, 0, 1), RUNNER_END_DONE);
+    checker.on_start(10, UPSTREAM, run_of(1, 0, 1));
+    checker.on_end(110, UPSTREAM, INCARNATION, run_of(1, 0, 1),
+                   RUNNER_END_DONE);
     checker.on_answer(111, job, {true, 200, "{\"state\":\"succeeded\"}"});
-    g_assert_cmpuint(count(checker), ==, 0);
+    g_assert_cmpuint(count_violations(checker), ==, 0);
 }
 
-/* A kept job whose task ended well, and was taken note of, twice. */
+/* Accepts a durable job and plays one successful run of its task; the end is
+ * acknowledged if asked for. */
 soak::Job &
-play_kept(soak::Checker &checker, bool noted_before)
+play_durable(soak::Checker &checker, bool acknowledged)
 {
     soak::Job &job = checker.add_job(1, 1, 1000, 100, 0);
 
-    job.kept = true;
+    job.durable = true;
     checker.on_answer(5, job, {true, 200, "{}"});
-    checker.on_start(10, PLACE, run_of(1, 0, 1));
-    checker.on_end(110, PLACE, INCARNATION, run_of(1, 0, 1), RUNNER_END_DONE);
-    if (noted_before) {
-        checker.on_noted(120, PLACE, INCARNATION, run_of(1, 0, 1),
-                         RUNNER_END_DONE);
+    checker.on_start(10, UPSTREAM, run_of(1, 0, 1));
+    checker.on_end(110, UPSTREAM, INCARNATION, run_of(1, 0, 1),
+                   RUNNER_END_DONE);
+    if (acknowledged) {
+        checker.on_end_acknowledged(120, UPSTREAM, INCARNATION,
+                                    run_of(1, 0, 1), RUNNER_END_DONE);
     }
     return job;
 }
 
 void
-test_kept_well()
+test_durable_no_violation()
 {
     soak::Checker checker;
-    soak::Job &job = play_kept(checker, true);
+    soak::Job &job = play_durable(checker, true);
 
-    checker.on_look(130, job, {true, 410, "{}"});
-    checker.on_look(150, job, {true, 200, "{\"state\":\"succeeded\"}"});
-    g_assert_cmpuint(count(checker), ==, 0);
+    checker.on_state_answer(130, job, {true, 410, "{}"});
+    checker.on_state_answer(150, job,
+                            {true, 200, "{\"state\":\"succeeded\"}"});
+    g_assert_cmpuint(count_violations(checker), ==, 0);
 }
 
 void
-test_kept_again()
+test_durable_started_again()
 {
     soak::Checker checker;
-    soak::Job &job = play_kept(checker, true);
+    soak::Job &job = play_durable(checker, true);
 
-    checker.on_start(200, OTHER, run_of(1, 0, 2));
-    checker.on_end(300, OTHER, INCARNATION, run_of(1, 0, 2), RUNNER_END_DONE);
-    checker.on_look(310, job, {true, 200, "{\"state\":\"succeeded\"}"});
-    g_assert_cmpuint(count(checker), ==, 1);
+    checker.on_start(200, OTHER_UPSTREAM, run_of(1, 0, 2));
+    checker.on_end(300, OTHER_UPSTREAM, INCARNATION, run_of(1, 0, 2),
+                   RUNNER_END_DONE);
+    checker.on_state_answer(310, job,
+                            {true, 200, "{\"state\":\"succeeded\"}"});
+    g_assert_cmpuint(count_violations(checker), ==, 1);
 }
 
 void
-test_kept_noted_late()
+test_durable_acknowledged_late()
 {
     soak::Checker checker;
-    soak::Job &job = play_kept(checker, false);
-
-    checker.on_start(200, OTHER, run_of(1, 0, 2));
-    checker.on_end(300, OTHER, INCARNATION, run_of(1, 0, 2), RUNNER_END_DONE);
-    checker.on_noted(305, PLACE, INCARNATION, run_of(1, 0, 1),
-                     RUNNER_END_DONE);
-    checker.on_look(310, job, {true, 200, "{\"state\":\"succeeded\"}"});
-    g_assert_cmpuint(count(checker), ==, 1);
+    soak::Job &job = play_durable(checker, false);
+
+    checker.on_start(200, OTHER_UPSTREAM, run_of(1, 0, 2));
+    checker.on_end(300, OTHER_UPSTREAM, INCARNATION, run_of(1, 0, 2),
+                   RUNNER_END_DONE);
+    checker.on_end_acknowledged(305, UPSTREAM, INCARNATION, run_of(1, 0, 1),
+                                RUNNER_END_DONE);
+    checker.on_state_answer(310, job,
+                            {true, 200, "{\"state\":\"succeeded\"}"});
+    g_assert_cmpuint(count_violations(checker), ==, 1);
 }
 
 /* Plays a late copy of the start that the next incarnation executes, and whose
  * end is acknowledged. */
 void
-play_late_copy(soak::Checker &checker, bool noted_before)
+play_late_copy(soak::Checker &checker, bool acknowledged)
 {
-    soak::Job &job = play_kept(checker, noted_before);
+    soak::Job &job = play_durable(checker, acknowledged);
 
-    checker.on_start(200, PLACE, run_of(1, 0, 1));
-    checker.on_end(300, PLACE, NEXT_INCARNATION, run_of(1, 0, 1),
+    checker.on_start(200, UPSTREAM, run_of(1, 0, 1));
+    checker.on_end(300, UPSTREAM, NEXT_INCARNATION, run_of(1, 0, 1),
                    RUNNER_END_DONE);
-    checker.on_noted(305, PLACE, NEXT_INCARNATION, run_of(1, 0, 1),
-                     RUNNER_END_DONE);
-    checker.on_look(310, job, {true, 200, "{\"state\":\"succeeded\"}"});
+    checker.on_end_acknowledged(305, UPSTREAM, NEXT_INCARNATION,
+                                run_of(1, 0, 1), RUNNER_END_DONE);
+    checker.on_state_answer(310, job,
+                            {true, 200, "{\"state\":\"succeeded\"}"});
 }
 
 /* Guards against confusing the copy's end with the end lost in the crash. */
 void
-test_kept_end_lost_in_crash()
+test_durable_end_lost_in_crash()
 {
     soak::Checker checker;
 
     play_late_copy(checker, false);
-    g_assert_cmpuint(count(checker), ==, 0);
+    g_assert_cmpuint(count_violations(checker), ==, 0);
 }
 
 /* Guards against missing a second execution after an acknowledged end. */
 void
-test_kept_late_copy_after_noted_end()
+test_durable_late_copy_after_acknowledged_end()
 {
     soak::Checker checker;
 
     play_late_copy(checker, true);
-    g_assert_cmpuint(count(checker), ==, 1);
+    g_assert_cmpuint(count_violations(checker), ==, 1);
 }
 
 void
-test_kept_lost()
+test_durable_lost()
 {
     soak::Checker checker;
 
-    play_kept(checker, true);
-    g_assert_cmpuint(count(checker), ==, 1);
+    play_durable(checker, true);
+    g_assert_cmpuint(count_violations(checker), ==, 1);
 }
 
 void
-test_kept_unknown()
+test_durable_unknown()
 {
     soak::Checker checker;
-    soak::Job &job = play_kept(checker, true);
+    soak::Job &job = play_durable(checker, true);
 
-    checker.on_look(4000, job, {true, 410, "{}"});
-    checker.on_look(4010, job, {true, 200, "{\"state\":\"succeeded\"}"});
-    g_assert_cmpuint(count(checker), ==, 1);
+    checker.on_state_answer(4000, job, {true, 410, "{}"});
+    checker.on_state_answer(4010, job,
+                            {true, 200, "{\"state\":\"succeeded\"}"});
+    g_assert_cmpuint(count_violations(checker), ==, 1);
 }
 
 void
@@ -159,29 +169,31 @@
     soak::Checker checker;
     soak::Job &job = checker.add_job(1, 1, 1000, 100, 0);
 
-    checker.on_start(10, PLACE, run_of(1, 0, 1));
-    checker.on_start(20, OTHER, run_of(1, 0, 2));
-    checker.on_end(30, PLACE, INCARNATION, run_of(1, 0, 1), RUNNER_END_DONE);
-    checker.on_end(30, OTHER, INCARNATION, run_of(1, 0, 2), RUNNER_END_DONE);
+    checker.on_start(10, UPSTREAM, run_of(1, 0, 1));
+    checker.on_start(20, OTHER_UPSTREAM, run_of(1, 0, 2));
+    checker.on_end(30, UPSTREAM, INCARNATION, run_of(1, 0, 1),
+                   RUNNER_END_DONE);
+    checker.on_end(30, OTHER_UPSTREAM, INCARNATION, run_of(1, 0, 2),
+                   RUNNER_END_DONE);
     checker.on_answer(40, job, {false, 0, ""});
-    g_assert_cmpuint(count(checker), ==, 1);
+    g_assert_cmpuint(count_violations(checker), ==, 1);
 }
 
 void
-test_over_room()
+test_over_capacity()
 {
     soak::Checker checker;
 
     for (uint64_t id = 1; id <= 2; id++) {
         soak::Job &job = checker.add_job(id, 1, 9000, 100, 0);
-        checker.on_start(10, PLACE, run_of(id, 0, 1));
+        checker.on_start(10, UPSTREAM, run_of(id, 0, 1));
         checker.on_answer(40, job, {false, 0, ""});
     }
     for (uint64_t id = 1; id <= 2; id++) {
-        checker.on_end(50, PLACE, INCARNATION, run_of(id, 0, 1),
+        checker.on_end(50, UPSTREAM, INCARNATION, run_of(id, 0, 1),
                        RUNNER_END_DONE);
     }
-    g_assert_cmpuint(count(checker), ==, 1);
+    g_assert_cmpuint(count_violations(checker), ==, 1);
 }
 
 void
@@ -190,10 +202,11 @@
     soak::Checker checker;
     soak::Job &job = checker.add_job(1, 2, 1000, 100, 0);
 
-    checker.on_start(10, PLACE, run_of(1, 0, 1));
-    checker.on_end(110, PLACE, INCARNATION, run_of(1, 0, 1), RUNNER_END_DONE);
+    checker.on_start(10, UPSTREAM, run_of(1, 0, 1));
+    checker.on_end(110, UPSTREAM, INCARNATION, run_of(1, 0, 1),
+                   RUNNER_END_DONE);
     checker.on_answer(111, job, {true, 200, "{\"state\":\"succeeded\"}"});
-    g_assert_cmpuint(count(checker), ==, 1);
+    g_assert_cmpuint(count_violations(checker), ==, 1);
 }
 
 void
@@ -202,22 +215,22 @@
     soak::Checker checker;
     soak::Job &job = checker.add_job(1, 1, 1000, 100, 0);
 
-    checker.on_start(10, PLACE, run_of(1, 0, 1));
-    checker.on_end(20, PLACE, INCARNATION, run_of(1, 0, 1),
+    checker.on_start(10, UPSTREAM, run_of(1, 0, 1));
+    checker.on_end(20, UPSTREAM, INCARNATION, run_of(1, 0, 1),
                    RUNNER_END_STOPPED);
     checker.on_answer(111, job, {true, 503, "{}"});
-    g_assert_cmpuint(count(checker), ==, 1);
+    g_assert_cmpuint(count_violations(checker), ==, 1);
 }
 
 void
-test_start_of_no_job()
+test_start_of_unknown_job()
 {
     soak::Checker checker;
 
-    checker.on_start(10, PLACE, run_of(7, 0, 1));
-    checker.on_end(20, PLACE, INCARNATION, run_of(7, 0, 1),
+    checker.on_start(10, UPSTREAM, run_of(7, 0, 1));
+    checker.on_end(20, UPSTREAM, INCARNATION, run_of(7, 0, 1),
                    RUNNER_END_STOPPED);
-    g_assert_cmpuint(count(checker), ==, 1);
+    g_assert_cmpuint(count_violations(checker), ==, 1);
 }
 
 void
@@ -226,42 +239,43 @@
     soak::Checker checker;
     soak::Job &job = checker.add_job(1, 1, 1000, 100, 0);
 
-    checker.on_start(10, PLACE, run_of(1, 0, 1));
+    checker.on_start(10, UPSTREAM, run_of(1, 0, 1));
     checker.on_answer(40, job, {false, 0, ""});
-    g_assert_cmpuint(count(checker), ==, 1);
+    g_assert_cmpuint(count_violations(checker), ==, 1);
 }
 
 void
-test_service_not_back()
+test_service_not_recovered()
 {
     soak::Checker checker;
 
-    checker.calm_from_ms = 100;
+    checker.recovery_deadline_ms = 100;
     checker.add_job(1, 1, 1000, 100, 200);
-    g_assert_cmpuint(count(checker), ==, 1);
+    g_assert_cmpuint(count_violations(checker), ==, 1);
 }
 
 const struct {
     const char *name;
     void (*run)();
 } tests[] = {
-    {"/checker/nothing wrong", test_nothing_wrong},
-    {"/checker/a kept job, nothing wrong", test_kept_well},
-    {"/checker/a kept task again after its end", test_kept_again},
-    {"/checker/a kept end noted after another start", test_kept_noted_late},
+    {"/checker/nothing wrong", test_no_violation},
+    {"/checker/a kept job, nothing wrong", test_durable_no_violation},
+    {"/checker/a kept task again after its end", test_durable_started_again},
+    {"/checker/a kept end noted after another start",
+     test_durable_acknowledged_late},
     {"/checker/a kept end lost in an upstream's crash",
-     test_kept_end_lost_in_crash},
+     test_durable_end_lost_in_crash},
     {"/checker/a late copy after a kept end was noted",
-     test_kept_late_copy_after_noted_end},
-    {"/checker/a kept job not over", test_kept_lost},
-    {"/checker/a kept job told as unknown", test_kept_unknown},
+     test_durable_late_copy_after_acknowledged_end},
+    {"/checker/a kept job not over", test_durable_lost},
+    {"/checker/a kept job told as unknown", test_durable_unknown},
     {"/checker/two runs at once", test_two_runs},
-    {"/checker/over room", test_over_room},
+    {"/checker/over room", test_over_capacity},
     {"/checker/done without all tasks", test_done_without_all},
     {"/checker/refused but ran", test_refused_but_ran},
-    {"/checker/a start of no job", test_start_of_no_job},
+    {"/checker/a start of no job", test_start_of_unknown_job},
     {"/checker/still running", test_still_running},
-    {"/checker/service not back", test_service_not_back},
+    {"/checker/service not back", test_service_not_recovered},
 };
 
 } // namespace
@@ -270,8 +284,8 @@
 main(int argc, char **argv)
 {
     g_test_init(&argc, &argv, nullptr);
-    for (const auto &one : tests) {
-        g_test_add_func(one.name, one.run);
+    for (const auto &test : tests) {
+        g_test_add_func(test.name, test.run);
     }
     return g_test_run();
 }
