--- a/tests/process/leased_stop.sh
+++ b/tests/process/leased_stop.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# A planned stop of an entry of leased jobs under load must not abort anything:
-# every request that it accepted gets its result, and it exits by itself.
+# The graceful shutdown of an entry of leased jobs under load must not abort
+# anything: every request that it accepted gets its result, and it exits by itself.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
--- a/tests/process/stop_store_silent.sh
+++ b/tests/process/stop_store_silent.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# A planned stop must end within the grace time (3 s here) even if the store does
+# A graceful shutdown must end within the grace time (3 s here) even if the store does
 # not answer and durable jobs are open.
 set -u
 cd "$(dirname "$0")/../.."
--- a/tests/soak/checker.cc
+++ b/tests/soak/checker.cc
@@ -117,7 +117,7 @@
 }
 
 void
-Checker::on_end_acknowledged(int64_t now_ms, const std::string &upstream,
+Checker::on_acknowledged_end(int64_t now_ms, const std::string &upstream,
                              int64_t incarnation, const lc_run_id &id,
                              Runner_End end)
 {
--- a/tests/soak/checker.h
+++ b/tests/soak/checker.h
@@ -56,7 +56,7 @@
     void on_end(int64_t now_ms, const std::string &upstream,
                 int64_t incarnation, const lc_run_id &id, Runner_End end);
     /** The companion acknowledged an end while the lease was valid. */
-    void on_end_acknowledged(int64_t now_ms, const std::string &upstream,
+    void on_acknowledged_end(int64_t now_ms, const std::string &upstream,
                              int64_t incarnation, const lc_run_id &id,
                              Runner_End end);
     void on_answer(int64_t now_ms, Job &job, const Answer &answer);
--- a/tests/soak/cluster.cc
+++ b/tests/soak/cluster.cc
@@ -307,7 +307,7 @@
         };
         upstream->model.on_noted = [this, upstream](const lc_run_id &id,
                                                     Runner_End end) {
-            checker.on_end_acknowledged(now(), upstream->name,
+            checker.on_acknowledged_end(now(), upstream->name,
                                         upstream->model.born(), id, end);
         };
         upstream->model.work_of = [this](const lc_run_id &id) {
@@ -578,7 +578,7 @@
 Cluster::heal()
 {
     log_event("heal");
-    store->mode = StoreMode::Healthy;
+    store->mode = StoreFaultMode::Healthy;
     for (Proxy *proxy : proxies()) {
         proxy->heal();
     }
--- a/tests/soak/scenario.cc
+++ b/tests/soak/scenario.cc
@@ -19,7 +19,8 @@
 
 const int64_t START_MS = 2500;
 const int64_t END_MS = 4500; /* after START_MS */
-/* Longer than the grace time of a planned stop, grace_ms in cluster.cc. */
+/* Longer than the grace time of a graceful shutdown, grace_ms in cluster.cc.
+ */
 const int64_t STOP_END_MS = 5500;
 const int64_t STALL_MS = 9000;
 /* Longer than a lease and a hold, so that tasks are restarted elsewhere in the
@@ -129,8 +130,8 @@
     stalled_load();
 }
 
-/* An entry is stopped as planned under load: every caller that can connect to
- * it until it exits gets an answer. */
+/* An entry is shut down gracefully under load: every caller that can connect
+ * to it until it exits gets an answer. */
 void
 stopping_load()
 {
@@ -296,8 +297,8 @@
     cluster->run_after(2000, submit_durable_jobs);
 }
 
-/* An entry with durable jobs is stopped while the store does not answer the
- * entries, on half of their connections. */
+/* An entry with durable jobs is shut down gracefully while the store does not
+ * answer the entries, on half of their connections. */
 void
 play_stop_store_silent()
 {
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -49,9 +49,8 @@
     {"seed", 0, 0, G_OPTION_ARG_INT64, &seed, "Seed of all random choices",
      "N"},
     {"seconds", 0, 0, G_OPTION_ARG_INT, &seconds, "Duration with faults", "N"},
-    {"entries", 0, 0, G_OPTION_ARG_INT, &entry_count, "Entry processes", "N"},
-    {"companions", 0, 0, G_OPTION_ARG_INT, &companion_count,
-     "Companion processes", "N"},
+    {"entries", 0, 0, G_OPTION_ARG_INT, &entry_count, "Processes", "N"},
+    {"companions", 0, 0, G_OPTION_ARG_INT, &companion_count, "Processes", "N"},
     {"link", 0, 0, G_OPTION_ARG_DOUBLE, &link_mbps,
      "Bandwidth of the first entry, in Mbit/s: it then forwards jobs", "N"},
     {"rate", 0, 0, G_OPTION_ARG_INT, &jobs_per_second, "Jobs per second", "N"},
@@ -224,13 +223,14 @@
 void
 fault_store()
 {
-    soak::StoreMode mode = (soak::StoreMode)(
-        1 + cluster->random_below((uint32_t)soak::StoreMode::Count - 1));
+    soak::StoreFaultMode mode = (soak::StoreFaultMode)(
+        1 + cluster->random_below((uint32_t)soak::StoreFaultMode::Count - 1));
 
-    cluster->log_event(std::string("store ") + soak::StoreMode_Text(mode));
+    cluster->log_event(std::string("store ") +
+                       soak::StoreFaultMode_Text(mode));
     cluster->store->mode = mode;
     cluster->run_after(300 + cluster->random_below(2500), [] {
-        cluster->store->mode = soak::StoreMode::Healthy;
+        cluster->store->mode = soak::StoreFaultMode::Healthy;
     });
 }
 
--- a/tests/soak/store.cc
+++ b/tests/soak/store.cc
@@ -95,7 +95,7 @@
 } // namespace
 
 const char *
-StoreMode_Text(StoreMode mode)
+StoreFaultMode_Text(StoreFaultMode mode)
 {
     static const char *const texts[] = {"well", "busy", "silent", "slow",
                                         "lossy"};
@@ -136,10 +136,10 @@
 void
 Store::respond(uint64_t request, int status, const std::string &body)
 {
-    if (mode == StoreMode::Lossy && rand() % 3 == 0) {
+    if (mode == StoreFaultMode::Lossy && rand() % 3 == 0) {
         return;
     }
-    if (mode == StoreMode::Slow) {
+    if (mode == StoreFaultMode::Slow) {
         DelayedResponse *delayed = new DelayedResponse{
             {}, server, request, status, body};
         uv_timer_init(loop, &delayed->timer);
@@ -275,7 +275,7 @@
 {
     std::vector<PendingRead> still_pending;
 
-    if (mode == StoreMode::Silent) {
+    if (mode == StoreFaultMode::Silent) {
         return;
     }
     for (const PendingRead &read : pending_reads) {
@@ -292,10 +292,10 @@
     Store *self = (Store *)context;
 
     self->calls++;
-    if (self->mode == StoreMode::Silent) {
+    if (self->mode == StoreFaultMode::Silent) {
         return;
     }
-    if (self->mode == StoreMode::Busy) {
+    if (self->mode == StoreFaultMode::Busy) {
         send(self->server, request->id, 503, "{}");
     }
     else if (strcmp(request->path, "/log-newest") == 0) {
@@ -317,7 +317,7 @@
 {
     Store *self = (Store *)timer->data;
 
-    if (self->mode != StoreMode::Healthy) {
+    if (self->mode != StoreFaultMode::Healthy) {
         self->last_fault_ms = (int64_t)uv_now(self->loop);
     }
     self->answer_pending_reads();
--- a/tests/soak/store.h
+++ b/tests/soak/store.h
@@ -22,10 +22,10 @@
 
 /** How the store behaves: answers; answers 503; answers nothing; answers 400
  * ms late; loses one in three answers. */
-enum class StoreMode { Healthy, Busy, Silent, Slow, Lossy, Count };
+enum class StoreFaultMode { Healthy, Busy, Silent, Slow, Lossy, Count };
 
 /** Name for the figures. */
-const char *StoreMode_Text(StoreMode mode);
+const char *StoreFaultMode_Text(StoreFaultMode mode);
 
 /** The store, as an HTTP server. */
 class Store {
@@ -38,7 +38,7 @@
      * must read a snapshot. */
     void compact();
 
-    StoreMode mode = StoreMode::Healthy;
+    StoreFaultMode mode = StoreFaultMode::Healthy;
     int64_t last_fault_ms =
         0; /**< loop time at which it was last not healthy */
     uint64_t calls = 0;
--- a/tests/soak_checker.cc
+++ b/tests/soak_checker.cc
@@ -58,7 +58,7 @@
     checker.on_end(110, UPSTREAM, INCARNATION, run_of(1, 0, 1),
                    RUNNER_END_DONE);
     if (acknowledged) {
-        checker.on_end_acknowledged(120, UPSTREAM, INCARNATION,
+        checker.on_acknowledged_end(120, UPSTREAM, INCARNATION,
                                     run_of(1, 0, 1), RUNNER_END_DONE);
     }
     return job;
@@ -99,7 +99,7 @@
     checker.on_start(200, OTHER_UPSTREAM, run_of(1, 0, 2));
     checker.on_end(300, OTHER_UPSTREAM, INCARNATION, run_of(1, 0, 2),
                    RUNNER_END_DONE);
-    checker.on_end_acknowledged(305, UPSTREAM, INCARNATION, run_of(1, 0, 1),
+    checker.on_acknowledged_end(305, UPSTREAM, INCARNATION, run_of(1, 0, 1),
                                 RUNNER_END_DONE);
     checker.on_state_answer(310, job,
                             {true, 200, "{\"state\":\"succeeded\"}"});
@@ -116,7 +116,7 @@
     checker.on_start(200, UPSTREAM, run_of(1, 0, 1));
     checker.on_end(300, UPSTREAM, NEXT_INCARNATION, run_of(1, 0, 1),
                    RUNNER_END_DONE);
-    checker.on_end_acknowledged(305, UPSTREAM, NEXT_INCARNATION,
+    checker.on_acknowledged_end(305, UPSTREAM, NEXT_INCARNATION,
                                 run_of(1, 0, 1), RUNNER_END_DONE);
     checker.on_state_answer(310, job,
                             {true, 200, "{\"state\":\"succeeded\"}"});
