--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -149,7 +149,7 @@
     done
 }
 
-# reap NAME: waits for a process that was killed on purpose
+# reap NAME: waits for a process that was ended on purpose, and forgets its pid
 reap() {
     wait "${PIDS[$1]}" 2>/dev/null
     unset "PIDS[$1]"
