--- a/core/companion.c
+++ b/core/companion.c
@@ -10,14 +10,14 @@
 
 #define RELAY_RECORDS 256
 
-/* Highest sequence number seen of an entry: older calls are refused. */
+/* Highest sequence number received from an entry: older calls are stale. */
 typedef struct {
     lc_node entry;
     uint64_t sequence;
     int64_t seen_ms;
-} sequence_row;
+} entry_sequence;
 
-/* A call in flight; a RELAY has no grant. */
+/* A pending call; `grant` is 0 for a RELAY. */
 typedef struct {
     uint64_t grant;
 } pending_call;
@@ -29,13 +29,13 @@
     Node_Time now;
     Counters counters;
     Fold *fold;
-    Records *records;
+    TaskRecords *records;
     Arbiter *arbiter;
-    GHashTable *sequences; /* lc_node -> sequence_row */
+    GHashTable *sequences; /* lc_node -> entry_sequence */
     Handle_Table *calls;   /* pending_call */
     int64_t down_until_ms;
-    bool hangs;    /* its last task timed out: one task at a time */
-    bool was_down; /* the last connection to the upstream was refused */
+    bool last_timed_out; /* the last task timed out: run one at a time */
+    bool was_down;       /* the last connection to the upstream was refused */
     uint32_t running;
     bool draining;
 };
@@ -69,8 +69,8 @@
     companion->context = context;
     companion->now = now;
     companion->fold = Fold_New(config->window_ms + config->skew_ms);
-    companion->records = Records_New(config->max_records,
-                                     config->max_result_bytes);
+    companion->records = TaskRecords_New(config->max_records,
+                                         config->max_result_bytes);
     companion->arbiter = Arbiter_New(config->slots, config->grant_ms,
                                      config->seed);
     companion->sequences = g_hash_table_new_full(Node_Hash, Node_Equal, NULL,
@@ -93,7 +93,7 @@
     Handle_FreeTable(companion->calls);
     g_hash_table_unref(companion->sequences);
     Arbiter_Free(companion->arbiter);
-    Records_Free(companion->records);
+    TaskRecords_Free(companion->records);
     Fold_Free(companion->fold);
     g_free(companion);
 }
@@ -110,20 +110,23 @@
     return companion->now.mono_ms < companion->down_until_ms;
 }
 
-/* An upstream whose last task timed out gets one task to show it works. */
+/*
+ * After a timeout the upstream gets one task at a time until one ends in
+ * time.
+ */
 static bool
-is_on_trial(const Companion *companion)
+is_probing(const Companion *companion)
 {
-    return companion->hangs && companion->running > 0;
+    return companion->last_timed_out && companion->running > 0;
 }
 
 static uint32_t
-open_slots(const Companion *companion)
+available_slots(const Companion *companion)
 {
-    if (companion->draining || is_down(companion) || is_on_trial(companion)) {
+    if (companion->draining || is_down(companion) || is_probing(companion)) {
         return 0;
     }
-    if (companion->hangs) {
+    if (companion->last_timed_out) {
         return 1;
     }
     return Arbiter_FreeSlots(companion->arbiter);
@@ -135,7 +138,7 @@
     Msg_Reply reply = {.kind = MSG_START};
 
     reply.u.start.status = status;
-    reply.u.start.free = open_slots(companion);
+    reply.u.start.free = available_slots(companion);
     reply.u.start.grant_group = (char *)(uintptr_t) "";
     reply.u.start.position = Fold_Position(companion->fold);
     return reply;
@@ -168,7 +171,8 @@
 {
     Arbiter_Grant grant;
 
-    if (companion->draining || is_down(companion) || companion->hangs) {
+    if (companion->draining || is_down(companion) ||
+        companion->last_timed_out) {
         return;
     }
     while (Arbiter_Offer(companion->arbiter, companion->now.mono_ms, &grant)) {
@@ -177,7 +181,7 @@
 }
 
 static lc_start_status
-ended_status(const Record *record)
+ended_status(const TaskRecord *record)
 {
     switch (record->state) {
     case LC_TASK_DONE:
@@ -190,16 +194,16 @@
 }
 
 static void
-fill_result(Msg_Reply *reply, const Record *record)
+fill_result(Msg_Reply *reply, const TaskRecord *record)
 {
     reply->u.start.code = record->code;
     reply->u.start.result.result_len = record->length;
     reply->u.start.result.result_val = (char *)record->result;
 }
 
-/* A task that was started before: answer from its record. */
+/* Duplicate START of a recorded task: reply from its record, or at its end. */
 static void
-attach(Companion *companion, Record *record, uint64_t reply_id)
+attach(Companion *companion, TaskRecord *record, uint64_t reply_id)
 {
     Msg_Reply reply;
 
@@ -213,15 +217,18 @@
     companion->ports.reply(companion->context, reply_id, &reply);
 }
 
-/* Whether a call is newer than all before it of the same entry. */
+/*
+ * Records the sequence number of a call; false if the same entry has sent one
+ * at least as high before.
+ */
 static bool
-note_sequence(Companion *companion, const lc_start_args *args)
+advance_sequence(Companion *companion, const lc_start_args *args)
 {
-    sequence_row *row = g_hash_table_lookup(companion->sequences,
-                                            &args->owner);
+    entry_sequence *row = g_hash_table_lookup(companion->sequences,
+                                              &args->owner);
 
     if (row == NULL) {
-        row = g_new0(sequence_row, 1);
+        row = g_new0(entry_sequence, 1);
         row->entry = args->owner;
         g_hash_table_insert(companion->sequences, &row->entry, row);
     }
@@ -234,7 +241,7 @@
 }
 
 static lc_start_status
-refuse_entry(Companion *companion, const lc_start_args *args)
+fence_entry(Companion *companion, const lc_start_args *args)
 {
     char text[ADDRESS_TEXT_SIZE];
 
@@ -243,12 +250,12 @@
     return LC_START_FENCED;
 }
 
-/* LC_START_DONE stands for "nothing speaks against it". */
+/* Returns LC_START_DONE if the task may be started. */
 static lc_start_status
-judge_start(Companion *companion, const lc_start_args *args)
+check_start(Companion *companion, const lc_start_args *args)
 {
     const View *view = get_view(companion);
-    bool newer = note_sequence(companion, args);
+    bool newer = advance_sequence(companion, args);
 
     if (!newer) {
         return LC_START_STALE;
@@ -257,22 +264,22 @@
         return LC_START_BEHIND;
     }
     if (View_Find(view, &args->owner) == NULL) {
-        return refuse_entry(companion, args);
+        return fence_entry(companion, args);
     }
     Arbiter_SetDemand(companion->arbiter, &args->owner,
                       args->demand.demand_val, args->demand.demand_len);
     if (companion->draining) {
         return LC_START_DRAINING;
     }
-    if (is_down(companion) || is_on_trial(companion)) {
+    if (is_down(companion) || is_probing(companion)) {
         return LC_START_DOWN;
     }
     return LC_START_DONE;
 }
 
 static void
-run_record(Companion *companion, const Record *record,
-           const lc_start_args *args)
+run_task(Companion *companion, const TaskRecord *record,
+         const lc_start_args *args)
 {
     Node_Task task = {.key = record->key,
                       .index = record->index,
@@ -290,13 +297,13 @@
 start_task(Companion *companion, uint64_t reply_id, const Key *key,
            const lc_start_args *args)
 {
-    Record *record;
+    TaskRecord *record;
 
     if (!Arbiter_Take(companion->arbiter, &args->owner, args->grant,
                       args->group, Fold_Table(companion->fold))) {
         return LC_START_BUSY;
     }
-    record = Records_Add(companion->records, key, args->index);
+    record = TaskRecords_Add(companion->records, key, args->index);
     if (record == NULL) {
         Arbiter_Return(companion->arbiter, args->group,
                        Fold_Table(companion->fold));
@@ -307,7 +314,7 @@
     record->group = g_intern_string(args->group);
     record->started_ms = companion->now.mono_ms;
     g_array_append_val(record->waiters, reply_id);
-    run_record(companion, record, args);
+    run_task(companion, record, args);
     return LC_START_DONE;
 }
 
@@ -316,16 +323,17 @@
 {
     Key key = Node_KeyOf(&args->key);
     lc_start_status status;
-    Record *record;
+    TaskRecord *record;
 
     if (args->target != companion->config.self.incarnation) {
         answer_start(companion, reply_id, LC_START_GONE);
         return;
     }
-    /* A record comes first: "refused" would say that it did not start. */
-    record = Records_Find(companion->records, &key, args->index);
+    /* Look for a record before any check: a refusal would mean that the task
+     * was not started. */
+    record = TaskRecords_Find(companion->records, &key, args->index);
     if (record != NULL) {
-        note_sequence(companion, args);
+        advance_sequence(companion, args);
         attach(companion, record, reply_id);
         return;
     }
@@ -333,22 +341,23 @@
         answer_start(companion, reply_id, LC_START_GONE);
         return;
     }
-    status = judge_start(companion, args);
+    status = check_start(companion, args);
     if (status == LC_START_DONE) {
         status = start_task(companion, reply_id, &key, args);
     }
     if (status != LC_START_DONE) {
         answer_start(companion, reply_id, status);
     }
-    /* Slots still free are not offered: the entry is sending already. */
+    /* Free slots are not offered here: the entry is already sending STARTs. */
 }
 
 /*
- * An entry that has nothing yet, or missed what the log no longer keeps,
- * gets the state from here: companions outlive a replacement of all entries.
+ * Relays the state to an entry that has applied no record yet, or that missed
+ * records which the log no longer holds. When all entries are replaced, only
+ * the companions still have the state.
  */
 static void
-relay_to(Companion *companion, const lc_ping_args *args)
+relay_state(Companion *companion, const lc_ping_args *args)
 {
     lc_record records[RELAY_RECORDS];
     Msg_Call call = {.kind = MSG_RELAY};
@@ -382,9 +391,9 @@
                                 NULL;
     reply.u.ping.draining = companion->draining;
     reply.u.ping.slots = Arbiter_Slots(companion->arbiter);
-    reply.u.ping.free = open_slots(companion);
+    reply.u.ping.free = available_slots(companion);
     companion->ports.reply(companion->context, reply_id, &reply);
-    relay_to(companion, args);
+    relay_state(companion, args);
 }
 
 static void
@@ -438,7 +447,7 @@
                           args->demand.demand_val, args->demand.demand_len);
     }
     offer_slots(companion);
-    reply.u.decline.free = open_slots(companion);
+    reply.u.decline.free = available_slots(companion);
     companion->ports.reply(companion->context, reply_id, &reply);
 }
 
@@ -488,7 +497,7 @@
     default:
         Counter_Add(&companion->counters, COUNTER_RPC_BAD, 1);
         companion->ports.event(companion->context, EVENT_RPC_BAD,
-                               "a call for entries sent to a companion");
+                               "received a call that only entries serve");
         return false;
     }
     return true;
@@ -511,9 +520,9 @@
     g_free(call);
 }
 
-/* Puts a grant into the reply where it goes to the same entry. */
+/* Replies to all waiting calls; a grant is put into the first reply only. */
 static void
-reply_to_waiters(Companion *companion, const Record *record,
+reply_to_waiters(Companion *companion, const TaskRecord *record,
                  const Arbiter_Grant *grant)
 {
     Msg_Reply reply = start_reply(companion, ended_status(record));
@@ -533,11 +542,11 @@
 }
 
 static void
-end_record(Companion *companion, Record *record)
+end_record(Companion *companion, TaskRecord *record)
 {
     Arbiter_Grant grant;
     bool granted = !companion->draining && !is_down(companion) &&
-                   !companion->hangs &&
+                   !companion->last_timed_out &&
                    Arbiter_Offer(companion->arbiter, companion->now.mono_ms,
                                  &grant);
     bool same = granted && record->waiters->len > 0 &&
@@ -551,9 +560,9 @@
     offer_slots(companion);
 }
 
-/* The upstream took a connection. */
+/* The upstream accepted a connection. */
 static void
-note_up(Companion *companion)
+report_upstream_up(Companion *companion)
 {
     if (companion->was_down) {
         companion->was_down = false;
@@ -561,9 +570,12 @@
     }
 }
 
-/* The upstream refuses connections: nothing of the task has run. */
+/*
+ * The upstream refused the connection, so the task has not started: removes
+ * its record and replies LC_START_DOWN.
+ */
 static void
-unstart_record(Companion *companion, Record *record)
+undo_start(Companion *companion, TaskRecord *record)
 {
     GArray *waiters = g_array_ref(record->waiters);
     guint i;
@@ -576,7 +588,7 @@
                                companion->config.down_ms;
     Arbiter_Return(companion->arbiter, record->group,
                    Fold_Table(companion->fold));
-    Records_Remove(companion->records, record);
+    TaskRecords_Remove(companion->records, record);
     for (i = 0; i < waiters->len; i++) {
         answer_start(companion, g_array_index(waiters, uint64_t, i),
                      LC_START_DOWN);
@@ -589,7 +601,7 @@
                 Companion_Run result, uint32_t code, const void *data,
                 uint32_t length)
 {
-    Record *record = Records_Get(companion->records, run_id);
+    TaskRecord *record = TaskRecords_Get(companion->records, run_id);
 
     companion->now = now;
     if (record == NULL) {
@@ -597,12 +609,12 @@
     }
     companion->running--;
     if (result == COMPANION_RUN_UNREACHED) {
-        unstart_record(companion, record);
+        undo_start(companion, record);
         return;
     }
-    note_up(companion);
+    report_upstream_up(companion);
     record->timed_out = result == COMPANION_RUN_TIMEOUT;
-    companion->hangs = record->timed_out;
+    companion->last_timed_out = record->timed_out;
     Counter_Add(&companion->counters,
                 result == COMPANION_RUN_DONE ? COUNTER_TASKS_DONE
                                              : COUNTER_TASKS_FAILED,
@@ -610,13 +622,17 @@
     Arbiter_Release(companion->arbiter, record->group,
                     now.mono_ms - record->started_ms,
                     Fold_Table(companion->fold));
-    Records_End(companion->records, record,
-                result == COMPANION_RUN_DONE ? LC_TASK_DONE : LC_TASK_FAILED,
-                code, data, length, now.mono_ms);
+    TaskRecords_End(companion->records, record,
+                    result == COMPANION_RUN_DONE ? LC_TASK_DONE
+                                                 : LC_TASK_FAILED,
+                    code, data, length, now.mono_ms);
     end_record(companion, record);
 }
 
-/* Entries that are long gone can send nothing that is still under way. */
+/*
+ * Once an entry has left the view and been silent for the dedupe window, no
+ * call of it can still be in flight.
+ */
 static void
 expire_sequences(Companion *companion)
 {
@@ -625,7 +641,7 @@
 
     g_hash_table_iter_init(&iter, companion->sequences);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const sequence_row *row = value;
+        const entry_sequence *row = value;
         if (companion->now.mono_ms - row->seen_ms >
                 companion->config.window_ms &&
             View_Find(get_view(companion), &row->entry) == NULL) {
@@ -642,9 +658,9 @@
     companion->now = now;
     lapsed = Arbiter_Lapse(companion->arbiter, now.mono_ms);
     Counter_Add(&companion->counters, COUNTER_WASTED_GRANT, lapsed);
-    Records_Expire(companion->records, now.mono_ms -
-                                           companion->config.window_ms -
-                                           2 * companion->config.skew_ms);
+    TaskRecords_Expire(companion->records, now.mono_ms -
+                                               companion->config.window_ms -
+                                               2 * companion->config.skew_ms);
     expire_sequences(companion);
     offer_slots(companion);
 }
@@ -688,11 +704,11 @@
         "role", "companion", "self", "address",
         Address_Text(companion->config.self.address), "incarnation", number,
         "slots", (int)Arbiter_Slots(companion->arbiter), "free",
-        (int)open_slots(companion), "running", (int)companion->running,
+        (int)available_slots(companion), "running", (int)companion->running,
         "draining", (int)companion->draining, "upstream_down",
         (int)is_down(companion), "records",
-        (json_int_t)Records_Count(companion->records), "result_bytes",
-        (json_int_t)Records_Bytes(companion->records), "next_offset",
+        (json_int_t)TaskRecords_Count(companion->records), "result_bytes",
+        (json_int_t)TaskRecords_Bytes(companion->records), "next_offset",
         (json_int_t)Fold_Next(companion->fold), "view",
         View_ToJson(get_view(companion)), "table",
         Table_ToJson(Fold_Table(companion->fold)));
--- a/core/drain.c
+++ b/core/drain.c
@@ -2,8 +2,8 @@
 
 #include "core/members.h"
 
-/* How long a stop waits for a log that is down, once its jobs are over. */
-#define LOG_PATIENCE_MS 5000
+/* How long a shutdown waits for an unreachable log after the last job. */
+#define LOG_DOWN_TIMEOUT_MS 5000
 #define RETRY_MS 500
 
 void
@@ -18,9 +18,9 @@
                 g_hash_table_size(board->active));
 }
 
-/* Whether a caller or a peer still waits for an answer through us. */
+/* Whether a caller or a peer still waits for an answer of this entry. */
 static bool
-is_awaited(const Board *board)
+has_waiters(const Board *board)
 {
     uint32_t i;
 
@@ -48,15 +48,16 @@
     if (board->draining && board->deposed) {
         return true;
     }
-    if (!board->draining || is_awaited(board)) {
+    if (!board->draining || has_waiters(board)) {
         return false;
     }
     if (!Board_IsMember(board)) {
         return true;
     }
-    /* Others learn from the host list, and companions tell what ran. */
+    /* The log is down: the other entries learn of the stop from the host list
+     * and recover started tasks from the companions. */
     return !board->log_up &&
-           board->now.mono_ms - board->drain_ms > LOG_PATIENCE_MS;
+           board->now.mono_ms - board->drain_ms > LOG_DOWN_TIMEOUT_MS;
 }
 
 void
@@ -70,7 +71,7 @@
     if (Board_IsOwner(board)) {
         Members_ProposeSelf(board, "leave");
     }
-    else if (!is_awaited(board)) {
+    else if (!has_waiters(board)) {
         Members_ProposeSelf(board, "remove");
     }
 }
--- a/core/drain.h
+++ b/core/drain.h
@@ -1,20 +1,21 @@
 /**
  * @file drain.h
- * @brief Controller of the planned stop of an entry: it stops owning keys,
- * ends the jobs it has, and leaves the view when nothing waits on it.
+ * @brief Controller of the planned shutdown of an entry: the entry gives up
+ * the ownership of keys, finishes its jobs, and leaves the view when no
+ * caller or peer waits for an answer.
  */
 #ifndef LC_CORE_DRAIN_H
 #define LC_CORE_DRAIN_H
 
 #include "core/board.h"
 
-/** Begins the planned stop. */
+/** Begins the planned shutdown. */
 void Drain_Start(Board *board);
 
-/** Whether the stop has come so far that no new requests should come. */
+/** Whether the entry drains and has left the view: no new requests. */
 bool Drain_IsClosed(const Board *board);
 
-/** Whether nothing is left to wait for. */
+/** Whether the process may exit. */
 bool Drain_IsDone(const Board *board);
 
 void Drain_Tick(Board *board);
--- a/core/entry.c
+++ b/core/entry.c
@@ -9,14 +9,14 @@
 #include "core/overdue.h"
 #include "core/ownership.h"
 
-/* Keys of active jobs that a dump names. */
+/* Most active jobs whose keys a state dump lists. */
 #define MAX_DUMPED_JOBS 100
 
 struct Entry {
     Board *board;
 };
 
-/* Controllers in the order in which they run each tick. */
+/* Tick functions of the controllers, in the order in which they run. */
 static void (*const controllers[])(Board *board) = {
     Members_Tick, Ownership_Tick, Limits_Tick,   Edits_Tick,
     Drain_Tick,   Overdue_Tick,   Dispatch_Tick,
@@ -95,7 +95,7 @@
         Limits_AnswerBorrow(board, reply_id, &call->u.borrow);
         break;
     default:
-        /* A call for companions: its sender takes us for another process. */
+        /* Only companions serve it: the sender has a wrong address. */
         Counter_Add(&board->counters, COUNTER_RPC_BAD, 1);
         Board_Event(board, EVENT_RPC_BAD, "%s sent to an entry",
                     Msg_Name(call->kind));
@@ -105,7 +105,7 @@
 }
 
 static void
-end_call(Board *board, const Call *call, const Msg_Reply *reply)
+dispatch_reply(Board *board, const Call *call, const Msg_Reply *reply)
 {
     switch (call->kind) {
     case MSG_PING:
@@ -134,7 +134,7 @@
         break;
     case MSG_GRANT:
     case MSG_DECLINE:
-    default: /* of leased jobs, which are not served here */
+    default: /* calls for leased jobs, which are not served here */
         break;
     }
 }
@@ -151,7 +151,7 @@
         Counter_Add(&board->counters, COUNTER_WASTED_LATE, 1);
         return;
     }
-    end_call(board, call, reply);
+    dispatch_reply(board, call, reply);
     g_free(call);
 }
 
@@ -178,7 +178,8 @@
         return;
     }
     if (read->first > Fold_Next(board->fold)) {
-        Board_Event(board, EVENT_LOG_GAP, "from %llu to %llu",
+        Board_Event(board, EVENT_LOG_GAP,
+                    "records from %llu up to %llu expired unread",
                     (unsigned long long)Fold_Next(board->fold),
                     (unsigned long long)read->first);
         Fold_Expired(board->fold, read->first);
@@ -300,8 +301,8 @@
 static json_t *
 peer_to_json(const Board *board, const Peer *peer)
 {
-    static const char *const host_texts[] = {"unlisted", "live", "leaving",
-                                             "gone"};
+    static const char *const host_states[] = {"unlisted", "live", "leaving",
+                                              "gone"};
     char number[20];
 
     g_snprintf(number, sizeof(number), "%llx",
@@ -310,7 +311,7 @@
         "{s:s, s:s, s:s, s:s, s:b, s:b, s:I, s:i, s:i, s:i}", "address",
         Address_Text(peer->address), "role",
         peer->role == LC_ROLE_ENTRY ? "entry" : "companion", "incarnation",
-        number, "host", host_texts[peer->host], "usable",
+        number, "host", host_states[peer->host], "usable",
         (int)Members_Usable(board, peer), "silent", peer->silent_since_ms != 0,
         "offset", (json_int_t)peer->position.offset, "slots", (int)peer->slots,
         "running", (int)peer->running, "others", (int)peer->others);
--- a/core/fold.c
+++ b/core/fold.c
@@ -14,10 +14,10 @@
 struct Fold {
     int64_t window_ms;
     uint64_t next;
-    uint64_t last; /* offset of the last record that was no snapshot */
+    uint64_t last_offset; /* of the last record, snapshots excluded */
     uint64_t since_snapshot;
     bool synced;
-    uint64_t first_read; /* while out of step: where reading resumed */
+    uint64_t resume_offset; /* while not synced: where reading resumed */
     View *view;
     Table *table;
     GArray *retained;
@@ -108,7 +108,7 @@
 }
 
 static void
-remember_edit(Fold *fold, const char *id, uint64_t offset, bool accepted)
+record_edit_result(Fold *fold, const char *id, uint64_t offset, bool accepted)
 {
     Fold_Edit *edit;
     char *key;
@@ -138,9 +138,9 @@
     g_array_append_val(fold->retained, kept);
 }
 
-/* Readers in step need no more of a snapshot than where it stands. */
+/* Synced readers need only the offset of a snapshot, not its state. */
 static void
-retain_stub(Fold *fold, uint64_t offset, uint64_t as_of)
+retain_placeholder(Fold *fold, uint64_t offset, uint64_t as_of)
 {
     char text[64];
 
@@ -176,12 +176,12 @@
         Err_Set(status, ERR_STALE_ROW, "edit of %s is based on %lld, not %llu",
                 group, (long long)json_integer_value(base),
                 (unsigned long long)version);
-        remember_edit(fold, id, offset, false);
+        record_edit_result(fold, id, offset, false);
         return FOLD_EDIT_REFUSED;
     }
     row.version = offset;
     Table_Put(fold->table, &row);
-    remember_edit(fold, id, offset, true);
+    record_edit_result(fold, id, offset, true);
     Err_Set(status, ERR_OK, "%s", group);
     return FOLD_EDIT;
 }
@@ -195,9 +195,9 @@
     return FOLD_VIEW;
 }
 
-/* Replaces the state; false leaves it as it was. */
+/* Replaces the state by that of a record; on false it is unchanged. */
 static bool
-load_state(Fold *fold, const json_t *record, uint64_t as_of)
+replace_state(Fold *fold, const json_t *record, uint64_t as_of)
 {
     View *view = View_FromJson(json_object_get(record, "view"),
                                fold->window_ms);
@@ -212,13 +212,13 @@
     Table_Free(fold->table);
     fold->view = view;
     fold->table = table;
-    fold->last = as_of;
+    fold->last_offset = as_of;
     fold->synced = true;
     g_array_set_size(fold->retained, 0);
     return true;
 }
 
-/* A snapshot in the log: needed only by a reader that missed records. */
+/* Snapshot record of the log; only readers that missed records load it. */
 static Fold_Result
 apply_snapshot(Fold *fold, uint64_t offset, const json_t *record,
                Status *status)
@@ -227,17 +227,18 @@
         json_object_get(record, "as_of"));
 
     if (fold->synced) {
-        retain_stub(fold, offset, as_of);
-        if (as_of == fold->last) {
+        retain_placeholder(fold, offset, as_of);
+        if (as_of == fold->last_offset) {
             fold->since_snapshot = 0;
             return FOLD_SNAPSHOT;
         }
         Err_Set(status, ERR_BAD_RECORD, "snapshot as of %llu, not %llu",
-                (unsigned long long)as_of, (unsigned long long)fold->last);
+                (unsigned long long)as_of,
+                (unsigned long long)fold->last_offset);
         return FOLD_SKIPPED;
     }
-    if (as_of < fold->last || as_of + 1 < fold->first_read ||
-        !load_state(fold, record, as_of)) {
+    if (as_of < fold->last_offset || as_of + 1 < fold->resume_offset ||
+        !replace_state(fold, record, as_of)) {
         Err_Set(status, ERR_BAD_RECORD, "snapshot as of %llu does not serve",
                 (unsigned long long)as_of);
         return FOLD_SKIPPED;
@@ -246,7 +247,7 @@
     return FOLD_LOADED;
 }
 
-/* Whole state of a peer, for a reader whose missing records are gone. */
+/* State relayed by a peer that no longer retains the missing records. */
 static Fold_Result
 apply_relayed_state(Fold *fold, uint64_t offset, const json_t *record,
                     Status *status)
@@ -254,7 +255,7 @@
     uint64_t as_of = (uint64_t)json_integer_value(
         json_object_get(record, "as_of"));
 
-    if (!load_state(fold, record, as_of)) {
+    if (!replace_state(fold, record, as_of)) {
         Err_Set(status, ERR_BAD_RECORD, "relayed state is malformed");
         return FOLD_SKIPPED;
     }
@@ -269,7 +270,7 @@
     if (strcmp(kind, "snapshot") == 0) {
         return apply_snapshot(fold, offset, record, status);
     }
-    fold->last = offset;
+    fold->last_offset = offset;
     fold->since_snapshot++;
     if (!fold->synced) {
         return FOLD_GAP;
@@ -324,7 +325,7 @@
         return;
     }
     fold->synced = false;
-    fold->first_read = first;
+    fold->resume_offset = first;
     fold->next = first;
 }
 
@@ -332,10 +333,10 @@
 Fold_EditRecord(const char *id, const char *group, uint64_t base,
                 const Table_Row *row)
 {
-    json_t *cells = row == NULL ? json_null() : Table_RowToJson(row);
+    json_t *row_json = row == NULL ? json_null() : Table_RowToJson(row);
     json_t *record = json_pack("{s:s, s:s, s:s, s:I, s:o}", "kind", "edit",
                                "id", id, "group", group, "base",
-                               (json_int_t)base, "row", cells);
+                               (json_int_t)base, "row", row_json);
     char *text = json_dumps(record, JSON_COMPACT);
 
     json_decref(record);
@@ -343,7 +344,7 @@
 }
 
 static char *
-state_text(const Fold *fold, const char *kind, uint64_t as_of)
+encode_state(const Fold *fold, const char *kind, uint64_t as_of)
 {
     json_t *record = json_pack(
         "{s:s, s:I, s:o, s:o}", "kind", kind, "as_of", (json_int_t)as_of,
@@ -357,7 +358,7 @@
 char *
 Fold_SnapshotRecord(const Fold *fold)
 {
-    return state_text(fold, "snapshot", fold->last);
+    return encode_state(fold, "snapshot", fold->last_offset);
 }
 
 uint32_t
@@ -388,7 +389,7 @@
     if (count > 0) {
         return count;
     }
-    *state = state_text(fold, "state", fold->last);
+    *state = encode_state(fold, "state", fold->last_offset);
     out[0].offset = fold->next - 1;
     out[0].data = *state;
     return 1;
--- a/core/inventory.c
+++ b/core/inventory.c
@@ -4,12 +4,12 @@
 
 #define PAGE_BYTES ((size_t)1024 * 1024)
 
-/* Collects what an entry inherits. */
+/* State of a search for the starts to report to the caller. */
 typedef struct {
     const View *view;
     const lc_inventory_args *args;
-    const View_Epoch *settled; /* epoch the caller settled last, or NULL */
-    GArray *tasks;             /* lc_started, borrowing from records */
+    const View_Epoch *settled; /* last epoch the caller settled, or NULL */
+    GArray *tasks;             /* lc_started; results borrowed from records */
     size_t bytes;
     uint64_t last;
     bool more;
@@ -29,9 +29,9 @@
     return NULL;
 }
 
-/* Whether the caller learned of this start when it settled before. */
+/* Whether the caller learned of this start when it settled that epoch. */
 static bool
-is_known_to_caller(const inventory_search *search, const Record *record)
+is_known_to_caller(const inventory_search *search, const TaskRecord *record)
 {
     const View *view = search->view;
     const View_Removed *removed = View_FindRemoved(view, &record->starter);
@@ -46,7 +46,7 @@
 }
 
 static bool
-is_inherited(const inventory_search *search, const Record *record)
+is_inherited(const inventory_search *search, const TaskRecord *record)
 {
     const View *view = search->view;
     lc_node owner = View_Owner(view, &record->key);
@@ -57,7 +57,7 @@
 }
 
 static bool
-collect_record(const Record *record, void *context)
+collect_record(const TaskRecord *record, void *context)
 {
     inventory_search *search = context;
     lc_started started;
@@ -85,7 +85,7 @@
 }
 
 Inventory_Page
-Inventory_Collect(const Records *records, const View *view,
+Inventory_Collect(const TaskRecords *records, const View *view,
                   const lc_inventory_args *args)
 {
     inventory_search search = {
@@ -96,7 +96,7 @@
     };
     Inventory_Page page;
 
-    Records_Each(records, args->cursor, collect_record, &search);
+    TaskRecords_Each(records, args->cursor, collect_record, &search);
     page.tasks = search.tasks;
     page.next = search.more ? (uint32_t)search.last : 0;
     return page;
--- a/core/members.c
+++ b/core/members.c
@@ -8,8 +8,8 @@
 #include "core/placement.h"
 
 #define RELAY_RECORDS 256
-#define RELAY_LATE_MS 2000
-#define APPEND_PATIENCE_MS 2000
+#define RELAY_BACKUP_DELAY_MS 2000
+#define APPEND_TIMEOUT_MS 2000
 #define RANK_DELAY_MS 1000
 
 static bool
@@ -105,7 +105,7 @@
 }
 
 static bool
-is_wanted(const Board *board, const Peer *peer)
+should_ping(const Board *board, const Peer *peer)
 {
     return peer->host == HOST_LIVE || peer->host == HOST_LEAVING ||
            View_FindAddress(Board_View(board), peer->address) != NULL;
@@ -119,12 +119,13 @@
     if (pending != NULL) {
         if (board->now.mono_ms - pending->sent_ms >=
             board->config.suspect_ms / 2) {
-            /* A silent cut would end no call; a second try comes in time. */
+            /* A network partition ends no call by itself. Resetting at half
+             * of suspect_ms leaves time for a second ping. */
             board->ports.reset(board->context, peer->address);
         }
         return;
     }
-    if (board->now.mono_ms < peer->next_ping_ms || !is_wanted(board, peer)) {
+    if (board->now.mono_ms < peer->next_ping_ms || !should_ping(board, peer)) {
         return;
     }
     peer->next_ping_ms = board->now.mono_ms + ping_interval(board, peer);
@@ -143,9 +144,12 @@
     }
 }
 
-/* The host list's or the view's word on its role may be older than it. */
+/*
+ * A ping reply overrides the role and incarnation that the host list or the
+ * view gave for the address: those may describe an older process.
+ */
 static void
-take_identity(Board *board, Peer *peer, const lc_ping_res *reply)
+update_identity(Board *board, Peer *peer, const lc_ping_res *reply)
 {
     lc_node before = peer->node;
 
@@ -166,8 +170,8 @@
 }
 
 static void
-take_evidence(Board *board, const Call *call, const Peer *peer,
-              const lc_ping_res *reply)
+extend_evidence(Board *board, const Call *call, const Peer *peer,
+                const lc_ping_res *reply)
 {
     int64_t until = call->sent_ms + board->config.evidence_ms;
 
@@ -197,13 +201,13 @@
                           peer->draining != reply->draining ||
                           !Node_Same(&peer->node, &reply->node);
     peer->silent_since_ms = 0;
-    take_identity(board, peer, reply);
+    update_identity(board, peer, reply);
     peer->draining = reply->draining;
     peer->complied = reply->complied;
     peer->slots = reply->slots;
     Members_Heard(board, peer, &reply->position);
     if (is_entry(peer)) {
-        take_evidence(board, call, peer, reply);
+        extend_evidence(board, call, peer, reply);
     }
     else {
         Placement_HeardFree(peer, reply->free);
@@ -253,8 +257,8 @@
 static void
 relay_if_due(Board *board, Peer *peer)
 {
-    lc_node feeder;
-    bool late;
+    lc_node relayer;
+    bool overdue;
 
     if (peer->node.incarnation == 0 || peer->relaying ||
         peer->silent_since_ms != 0 ||
@@ -264,10 +268,11 @@
     if (peer->behind_since_ms == 0) {
         peer->behind_since_ms = board->now.mono_ms;
     }
-    late = board->now.mono_ms - peer->behind_since_ms >= RELAY_LATE_MS;
-    feeder = View_Feeder(Board_View(board), peer->address);
-    if (peer->wants_relay || late ||
-        (!is_entry(peer) && Node_Same(&feeder, &board->config.self))) {
+    overdue = board->now.mono_ms - peer->behind_since_ms >=
+              RELAY_BACKUP_DELAY_MS;
+    relayer = View_Feeder(Board_View(board), peer->address);
+    if (peer->wants_relay || overdue ||
+        (!is_entry(peer) && Node_Same(&relayer, &board->config.self))) {
         relay(board, peer);
     }
 }
@@ -298,11 +303,11 @@
     board->ports.reply(board->context, reply_id, &reply);
 }
 
-/* Wanted changes of the view. */
+/* Proposals of view changes. */
 
 static void
-want(GArray *changes, const char *op, const lc_node *node, bool entry,
-     bool gone)
+add_change(GArray *changes, const char *op, const lc_node *node, bool entry,
+           bool gone)
 {
     View_Change change = {op, *node, entry, gone};
 
@@ -310,15 +315,15 @@
 }
 
 static void
-want_companion(Board *board, const Peer *peer, GArray *changes)
+add_join(Board *board, const Peer *peer, GArray *changes)
 {
-    bool fresh = peer->silent_since_ms == 0 && !peer->draining &&
-                 peer->host == HOST_LIVE;
+    bool joinable = peer->silent_since_ms == 0 && !peer->draining &&
+                    peer->host == HOST_LIVE;
 
-    if (fresh && peer->node.incarnation != 0 &&
+    if (joinable && peer->node.incarnation != 0 &&
         View_Find(Board_View(board), &peer->node) == NULL &&
         View_FindRemoved(Board_View(board), &peer->node) == NULL) {
-        want(changes, "add", &peer->node, false, false);
+        add_change(changes, "add", &peer->node, false, false);
     }
 }
 
@@ -351,7 +356,10 @@
     return reachable;
 }
 
-/* More than half; of two halves the one with the lowest address. */
+/*
+ * More than half of the entries; of two equal halves the one that has the
+ * entry with the lowest address.
+ */
 static bool
 has_majority(const Board *board)
 {
@@ -368,7 +376,7 @@
 }
 
 static void
-want_removals(Board *board, GArray *changes)
+add_removals(Board *board, GArray *changes)
 {
     const View *view = Board_View(board);
     bool majority = has_majority(board);
@@ -382,17 +390,18 @@
             continue;
         }
         if (Board_IsGone(board, &member->node, member->added_ms)) {
-            want(changes, "remove", &member->node, member->is_entry, true);
+            add_change(changes, "remove", &member->node, member->is_entry,
+                       true);
         }
         else if (member->is_entry && majority && is_suspect(board, peer)) {
             Board_Event(board, EVENT_SUSPECT, "%s",
                         Address_Text(peer->address));
-            want(changes, "remove", &member->node, true, false);
+            add_change(changes, "remove", &member->node, true, false);
         }
     }
 }
 
-/* How many entries of the view come before this one and seem to work. */
+/* Number of answering owner entries with a lower address than this one. */
 static uint32_t
 own_rank(const Board *board)
 {
@@ -416,7 +425,7 @@
 static bool
 may_append(const Board *board)
 {
-    /* What our last append came to must have been read first. */
+    /* The result of the last append must have been read from the log. */
     return board->log_up && board->append_pending == 0 &&
            board->log_tail_ms > board->append_end_ms &&
            Fold_Synced(board->fold);
@@ -436,8 +445,9 @@
 {
     char *record = View_Record(Board_View(board), board->now.wall_ms, changes);
 
-    Board_Event(board, EVENT_VIEW_PROPOSED, "%u changes after %llu",
-                changes->len, (unsigned long long)Board_View(board)->seq);
+    Board_Event(board, EVENT_VIEW_PROPOSED,
+                "%u changes to the view at offset %llu", changes->len,
+                (unsigned long long)Board_View(board)->seq);
     append(board, record);
     free(record);
 }
@@ -447,7 +457,7 @@
 {
     (void)confirmed;
     if (append_id == board->append_pending) {
-        /* Whether it took effect is read from the log, not from here. */
+        /* Whether it took effect is learned by reading the log. */
         board->append_pending = 0;
         board->append_end_ms = board->now.mono_ms;
         board->proposal_ms = 0;
@@ -460,8 +470,8 @@
     GArray *changes = g_array_new(FALSE, FALSE, sizeof(View_Change));
 
     if (may_append(board)) {
-        want(changes, op, &board->config.self, true,
-             strcmp(op, "remove") == 0);
+        add_change(changes, op, &board->config.self, true,
+                   strcmp(op, "remove") == 0);
         append_changes(board, changes);
     }
     g_array_unref(changes);
@@ -488,10 +498,10 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const Peer *peer = value;
         if (!is_entry(peer)) {
-            want_companion(board, peer, changes);
+            add_join(board, peer, changes);
         }
     }
-    want_removals(board, changes);
+    add_removals(board, changes);
     if (changes->len == 0) {
         board->proposal_ms = 0;
     }
@@ -531,7 +541,7 @@
     gpointer value;
 
     if (board->append_pending != 0 &&
-        board->now.mono_ms - board->append_ms > APPEND_PATIENCE_MS) {
+        board->now.mono_ms - board->append_ms > APPEND_TIMEOUT_MS) {
         board->append_pending = 0;
         board->append_end_ms = board->now.mono_ms;
     }
--- a/core/members.h
+++ b/core/members.h
@@ -3,10 +3,11 @@
  * @brief Controller of membership: pings peers, relays log records to those
  * that lack them, reads the host list and proposes view changes.
  *
- * Every entry works out the same wanted changes; the one with the lowest
- * address that it does not suspect appends them, the others only after a
- * delay. A view record that lost the race names a stale predecessor and is
- * skipped by all, so a proposal sent twice does no harm.
+ * Every entry computes the changes that the view needs; the answering entry
+ * with the lowest address appends them at once, the others after a delay that
+ * grows with their rank. A view record that lost the race names a stale
+ * predecessor and is skipped by every reader, so duplicate proposals are
+ * harmless.
  */
 #ifndef LC_CORE_MEMBERS_H
 #define LC_CORE_MEMBERS_H
@@ -20,13 +21,13 @@
     bool leaving;
 } Members_Host;
 
-/** The host list was read. */
+/** Handles a new copy of the host list. */
 void Members_OnHosts(Board *board, const Members_Host *hosts, uint32_t count);
 
-/** A ping was answered, or lost (@p reply NULL). */
+/** Handles the reply to a ping; @p reply is NULL if the call was lost. */
 void Members_OnPing(Board *board, const Call *call, const lc_ping_res *reply);
 
-/** A relay was answered, or lost (@p reply NULL). */
+/** Handles the reply to a relay; @p reply is NULL if the call was lost. */
 void Members_OnRelay(Board *board, const Call *call,
                      const lc_relay_res *reply);
 
@@ -34,23 +35,26 @@
 void Members_AnswerPing(Board *board, uint64_t reply_id,
                         const lc_ping_args *args);
 
-/** Applies relayed records. */
+/** Applies the log records that a peer relayed, and answers. */
 void Members_AnswerRelay(Board *board, uint64_t reply_id,
                          const lc_relay_args *args);
 
-/** A peer told how far it has applied the log. */
+/** Records how far a peer has applied the log. */
 void Members_Heard(Board *board, Peer *peer, const lc_position *position);
 
-/** An append of this controller ended. */
+/** Handles the end of an append of this controller. */
 void Members_OnAppend(Board *board, uint64_t append_id, bool confirmed);
 
-/** Appends the change by which this entry stops owning keys or leaves. */
+/**
+ * Appends a view record that changes this entry; @p op is "add", "leave" (it
+ * owns no keys any more) or "remove".
+ */
 void Members_ProposeSelf(Board *board, const char *op);
 
-/** Whether a companion may be sent work. */
+/** Whether tasks may be sent to a companion. */
 bool Members_Usable(const Board *board, const Peer *peer);
 
-/** Companions that may be sent work, as of now. Borrowed. */
+/** Companions to which tasks may be sent now. Borrowed. */
 const GPtrArray *Members_AllUsable(Board *board);
 
 void Members_Tick(Board *board);
--- a/core/node.h
+++ b/core/node.h
@@ -1,11 +1,12 @@
 /**
  * @file node.h
- * @brief What every node of core/ is given from outside: its identity, the
- * time, and the table of functions through which it acts.
+ * @brief Interface between a node of core/ (entry or companion) and the
+ * process that runs it: the time of an input, the output ports, and helpers
+ * for node identities and keys.
  *
- * core/ does no I/O and reads no clock. Everything that happens reaches it
- * as a function call that carries the time; everything it does leaves it
- * through Node_Ports. Ports never call back into the node.
+ * core/ does no I/O and reads no clock. Each input is a function call that
+ * carries the time; each output is a call of a function of Node_Ports. Ports
+ * never call back into the node.
  */
 #ifndef LC_CORE_NODE_H
 #define LC_CORE_NODE_H
@@ -30,18 +31,18 @@
     int64_t wall_ms; /**< Unix epoch, within the skew margin of others */
 } Node_Time;
 
-/** Whole answer to a caller. Borrowed by the port that delivers it. */
+/** Complete answer to a caller. Valid only during the port call. */
 typedef struct {
     Key key;
     Err_Kind kind;
     const char *message;
-    bool running;      /**< a look found the job still running */
-    uint32_t retry_ms; /**< when to come back; 0 for never */
+    bool running;      /**< answer to a state query: the job still runs */
+    uint32_t retry_ms; /**< time to wait before a retry; 0: do not retry */
     const lc_result *results;
     uint32_t count;
 } Node_Answer;
 
-/** One task for the upstream. Borrowed. */
+/** One task for the upstream. Valid only during the port call. */
 typedef struct {
     Key key;
     uint32_t index;
@@ -51,30 +52,30 @@
     uint32_t length;
 } Node_Task;
 
-/** Functions through which a node acts; none may call the node back. */
+/** Output functions of a node; none may call back into the node. */
 typedef struct {
-    /** Sends a call; its end comes back with @p call_id. */
+    /** Sends a call; its reply or loss is reported with @p call_id. */
     void (*call)(void *context, Address to, uint64_t call_id,
                  const Msg_Call *call);
     /** Answers a call of a peer. */
     void (*reply)(void *context, uint64_t reply_id, const Msg_Reply *reply);
-    /** Breaks the connection to a peer. */
+    /** Closes the connection to a peer, which ends its pending calls. */
     void (*reset)(void *context, Address to);
-    /** Answers a caller. Entry only. */
+    /** Answers the request of a caller. Entry only. */
     void (*answer)(void *context, uint64_t request_id,
                    const Node_Answer *answer);
-    /** Appends to the log. Entry only. */
+    /** Appends a record to the log. Entry only. */
     void (*append)(void *context, uint64_t append_id, const char *record);
-    /** Ends an edit of the table. Entry only. */
+    /** Reports the result of an edit of the table. Entry only. */
     void (*edited)(void *context, uint64_t request_id, const Status *status,
                    uint64_t version);
     /** Runs a task on the upstream. Companion only. */
     void (*run)(void *context, uint64_t run_id, const Node_Task *task);
-    /** Writes a numbered event. */
+    /** Logs a numbered event. */
     void (*event)(void *context, Event_Id id, const char *detail);
 } Node_Ports;
 
-/** Whether two nodes are the same incarnation at the same address. */
+/** Whether two nodes have the same address and incarnation. */
 static inline bool
 Node_Same(const lc_node *a, const lc_node *b)
 {
@@ -97,7 +98,7 @@
     return Node_Same((const lc_node *)a, (const lc_node *)b);
 }
 
-/** Key as carried by messages. */
+/** Converts a key to its wire form. */
 static inline lc_key
 Node_WireKey(const Key *key)
 {
@@ -109,7 +110,7 @@
     return wire;
 }
 
-/** Key out of a message. */
+/** Converts a key from its wire form. */
 static inline Key
 Node_KeyOf(const lc_key *wire)
 {
--- a/core/ownership.c
+++ b/core/ownership.c
@@ -5,8 +5,8 @@
 #include "core/members.h"
 #include "core/recovery.h"
 
-/* Tries that fit into the wait for an inventory. */
-#define TRIES 10
+/* Number of retries within the wait for an inventory. */
+#define INVENTORY_RETRIES 10
 
 bool
 Ownership_HasEvidence(const Board *board)
@@ -15,7 +15,10 @@
            board->now.mono_ms < board->evidence_until_ms;
 }
 
-/* First settle from @p epoch on: the one that learned a key's past. */
+/*
+ * The first completed settle of `epoch` or later. It established whether the
+ * keys owned since then had been started.
+ */
 static const Settled *
 settled_since(const Board *board, uint64_t epoch)
 {
@@ -38,9 +41,12 @@
     return Node_Same(&owner, node);
 }
 
-/* Whether an owner before epoch number @p first is no longer there to ask. */
+/*
+ * Whether an owner of the key in the epochs before index `first` has left the
+ * view, so that it cannot be asked.
+ */
 static bool
-had_lost_owner(const View *view, guint first, const Key *key)
+had_departed_owner(const View *view, guint first, const Key *key)
 {
     guint i;
 
@@ -87,7 +93,7 @@
         return OWN_UNSURE;
     }
     if (minted_ms < settled->unsure_before_ms &&
-        had_lost_owner(view, first, key)) {
+        had_departed_owner(view, first, key)) {
         return OWN_UNSURE;
     }
     return OWN_CLEAN;
@@ -130,12 +136,12 @@
 typedef struct {
     const Board *board;
     bool found;
-} lost_search;
+} holder_search;
 
 static void
-find_lost_holder(Job *job, void *context)
+find_departed_holder(Job *job, void *context)
 {
-    lost_search *search = context;
+    holder_search *search = context;
 
     if (job->state == JOB_HELD &&
         View_Find(Board_View(search->board), &job->holder) == NULL) {
@@ -144,15 +150,16 @@
 }
 
 /*
- * Whether a job's holder has left: what companions told of it before was not
- * kept, because the holder knew better, and must be asked for again.
+ * Whether the holder of a job has left the view. What companions reported of
+ * such a job was discarded while its holder was a member, because the holder
+ * had the authoritative state, so it must be queried again.
  */
 static bool
-has_lost_holder(const Board *board)
+has_departed_holder(const Board *board)
 {
-    lost_search search = {board, false};
+    holder_search search = {board, false};
 
-    Ledger_Each(board->ledger, find_lost_holder, &search);
+    Ledger_Each(board->ledger, find_departed_holder, &search);
     return search.found;
 }
 
@@ -167,7 +174,7 @@
     }
     settle->epoch = view->epoch;
     settle->active = Board_IsOwner(board);
-    if (Recovery_DropForeign(board) > 0 || has_lost_holder(board)) {
+    if (Recovery_DropForeign(board) > 0 || has_departed_holder(board)) {
         settle->full = true;
     }
     settle->started_ms = board->now.mono_ms;
@@ -251,8 +258,9 @@
 }
 
 /*
- * The peer of a reply that still counts, or NULL: the reply must answer the
- * call we wait for, and its sender be the member that was asked.
+ * The settle peer that a reply belongs to, or NULL if the reply is stale: it
+ * must answer a call of the current settle, and its sender must be the member
+ * that was called.
  */
 static Settle_Peer *
 match_reply(Board *board, GHashTable *peers, const Call *call,
@@ -266,7 +274,8 @@
         return NULL;
     }
     peer->call = 0;
-    peer->retry_ms = board->now.mono_ms + board->config.inventory_ms / TRIES;
+    peer->retry_ms = board->now.mono_ms +
+                     board->config.inventory_ms / INVENTORY_RETRIES;
     member = View_FindAddress(Board_View(board), call->to);
     if (node == NULL || member == NULL || !Node_Same(&member->node, node)) {
         return NULL;
@@ -274,9 +283,12 @@
     return peer;
 }
 
-/* Whether a peer stands at our epoch; one that is behind gets the records. */
+/*
+ * Whether a peer is at the epoch being settled. A peer that is behind is
+ * marked for a relay of the records that it lacks.
+ */
 static bool
-same_epoch(Board *board, Address address, const lc_position *position)
+is_at_epoch(Board *board, Address address, const lc_position *position)
 {
     Peer *peer = Board_Peer(board, address);
 
@@ -288,7 +300,7 @@
 }
 
 static void
-note_held(Board *board, const Key *key, const lc_node *holder)
+record_held(Board *board, const Key *key, const lc_node *holder)
 {
     Job *job = Ledger_Find(board->ledger, key);
 
@@ -318,12 +330,12 @@
                                     reply == NULL ? NULL : &reply->node);
     u_int i;
 
-    if (peer == NULL || !same_epoch(board, call->to, &reply->position)) {
+    if (peer == NULL || !is_at_epoch(board, call->to, &reply->position)) {
         return;
     }
     for (i = 0; i < reply->keys.keys_len; i++) {
         Key key = Node_KeyOf(&reply->keys.keys_val[i]);
-        note_held(board, &key, &reply->node);
+        record_held(board, &key, &reply->node);
     }
     for (i = 0; i < reply->discharged.discharged_len; i++) {
         discharge(board, &reply->discharged.discharged_val[i]);
@@ -339,7 +351,7 @@
                                     reply == NULL ? NULL : &reply->node);
     u_int i;
 
-    if (peer == NULL || !same_epoch(board, call->to, &reply->position)) {
+    if (peer == NULL || !is_at_epoch(board, call->to, &reply->position)) {
         return;
     }
     for (i = 0; i < reply->tasks.tasks_len; i++) {
@@ -363,7 +375,7 @@
 }
 
 static void
-ask_settle(Board *board, Settle_Peer *peer)
+call_settle(Board *board, Settle_Peer *peer)
 {
     Msg_Call call = {.kind = MSG_SETTLE};
     Call info = {.to = peer->address, .epoch = board->settle.epoch};
@@ -374,7 +386,7 @@
 }
 
 static void
-ask_inventory(Board *board, Settle_Peer *peer)
+call_inventory(Board *board, Settle_Peer *peer)
 {
     Msg_Call call = {.kind = MSG_INVENTORY};
     Call info = {.to = peer->address, .epoch = board->settle.epoch};
@@ -386,10 +398,10 @@
     peer->call = Board_Call(board, &call, &info);
 }
 
-/* Asks every peer that is due; returns how many are not done. */
+/* Calls every peer whose call is due; returns the number not done. */
 static uint32_t
-ask_all(Board *board, GHashTable *peers,
-        void (*ask)(Board *board, Settle_Peer *peer))
+call_pending(Board *board, GHashTable *peers,
+             void (*call)(Board *board, Settle_Peer *peer))
 {
     GHashTableIter iter;
     gpointer value;
@@ -404,23 +416,25 @@
         missing++;
         if (Handle_Get(board->calls, peer->call) == NULL &&
             board->now.mono_ms >= peer->retry_ms) {
-            ask(board, peer);
+            call(board, peer);
         }
     }
     return missing;
 }
 
 /*
- * Whether no removed entry can admit a job any more. One that is not known
- * to be gone lives on the word of members alone, and all of them have
- * applied its removal since `applied_ms`; but two such could vouch for each
- * other, so with two nothing short of the host list will do.
+ * Whether no removed entry can admit a job any more. A removed entry that may
+ * still run acts only on evidence of membership that members give it. All
+ * members have applied its removal since `applied_ms`, so its evidence expires
+ * after evidence_ms (a tenth is added as margin). Two such entries could give
+ * evidence to each other, so then they stay undischarged until one of them is
+ * known to be gone, for instance by the host list.
  */
 static bool
 all_discharged(Board *board)
 {
     const View *view = Board_View(board);
-    const View_Removed *open = NULL;
+    const View_Removed *undischarged = NULL;
     int64_t wait_ms = board->config.evidence_ms * 11 / 10;
     guint i;
 
@@ -432,24 +446,27 @@
             Board_IsGone(board, &removed->node, removed->added_ms)) {
             continue;
         }
-        if (open != NULL) {
+        if (undischarged != NULL) {
             return false;
         }
-        open = removed;
+        undischarged = removed;
     }
-    if (open == NULL) {
+    if (undischarged == NULL) {
         return true;
     }
     if (board->now.mono_ms - board->settle.applied_ms < wait_ms) {
         return false;
     }
-    discharge(board, &open->node);
+    discharge(board, &undischarged->node);
     return true;
 }
 
-/* Before when a start may have happened that no companion tells of. */
+/*
+ * Wall-clock time before which tasks may have been started without a record
+ * at any reachable companion; 0 if there is none.
+ */
 static int64_t
-unsure_before(const Board *board, uint32_t silent_companions)
+unsure_before_wall_ms(const Board *board, uint32_t silent_companions)
 {
     const View *view = Board_View(board);
     int64_t before_ms = 0;
@@ -472,7 +489,7 @@
 }
 
 static void
-forget_old_settles(Board *board)
+drop_old_settles(Board *board)
 {
     const View *view = Board_View(board);
     uint64_t oldest = g_array_index(view->epochs, View_Epoch, 0).offset;
@@ -484,21 +501,22 @@
 }
 
 static void
-complete(Board *board, uint32_t silent_companions)
+complete_settle(Board *board, uint32_t silent_companions)
 {
     Settled settled = {board->settle.epoch,
-                       unsure_before(board, silent_companions)};
+                       unsure_before_wall_ms(board, silent_companions)};
 
     board->settle.active = false;
     board->settle.full = false;
-    Board_Event(board, EVENT_INVENTORY, "%u starts inherited",
+    Board_Event(board, EVENT_INVENTORY,
+                "%u task starts recovered from companions",
                 board->settle.found->len);
     Recovery_Merge(board, board->settle.found, settled.unsure_before_ms);
     g_ptr_array_set_size(board->settle.found, 0);
     g_array_append_val(board->settles, settled);
-    forget_old_settles(board);
+    drop_old_settles(board);
     Board_Event(board, EVENT_SETTLED,
-                "epoch %llu in %lld ms, %u companions silent",
+                "epoch %llu settled in %lld ms, %u companions did not answer",
                 (unsigned long long)settled.epoch,
                 (long long)(board->now.mono_ms - board->settle.started_ms),
                 silent_companions);
@@ -514,8 +532,8 @@
     if (!settle->active) {
         return;
     }
-    entries = ask_all(board, settle->entries, ask_settle);
-    companions = ask_all(board, settle->companions, ask_inventory);
+    entries = call_pending(board, settle->entries, call_settle);
+    companions = call_pending(board, settle->companions, call_inventory);
     if (entries > 0) {
         return;
     }
@@ -529,5 +547,5 @@
         board->now.mono_ms - settle->started_ms < board->config.inventory_ms) {
         return;
     }
-    complete(board, companions);
+    complete_settle(board, companions);
 }
--- a/core/records.c
+++ b/core/records.c
@@ -2,21 +2,21 @@
 
 #include <string.h>
 
-struct Records {
+struct TaskRecords {
     uint32_t max_records;
     size_t max_bytes;
     size_t bytes;
     uint64_t last_number;
-    GHashTable *by_task; /* set of Record by key and index */
+    GHashTable *by_task; /* set of TaskRecord, by key and index */
     Handle_Table *handles;
-    GQueue order;        /* all records by number */
+    GQueue order;        /* all records, ascending by number */
     GQueue with_results; /* ended records with results, oldest first */
 };
 
 static guint
 hash_record(gconstpointer item)
 {
-    const Record *record = item;
+    const TaskRecord *record = item;
 
     return Key_Hash(&record->key) ^ (record->index * 0x9E3779B1U);
 }
@@ -24,8 +24,8 @@
 static gboolean
 equal_records(gconstpointer a, gconstpointer b)
 {
-    const Record *left = a;
-    const Record *right = b;
+    const TaskRecord *left = a;
+    const TaskRecord *right = b;
 
     return left->index == right->index && Key_Equal(&left->key, &right->key);
 }
@@ -33,7 +33,7 @@
 static void
 free_record(gpointer item)
 {
-    Record *record = item;
+    TaskRecord *record = item;
 
     g_free(record->result);
     if (record->waiters != NULL) {
@@ -42,10 +42,10 @@
     g_free(record);
 }
 
-Records *
-Records_New(uint32_t max_records, size_t max_bytes)
+TaskRecords *
+TaskRecords_New(uint32_t max_records, size_t max_bytes)
 {
-    Records *records = g_new0(Records, 1);
+    TaskRecords *records = g_new0(TaskRecords, 1);
 
     records->max_records = max_records;
     records->max_bytes = max_bytes;
@@ -58,7 +58,7 @@
 }
 
 void
-Records_Free(Records *records)
+TaskRecords_Free(TaskRecords *records)
 {
     if (records == NULL) {
         return;
@@ -70,31 +70,31 @@
     g_free(records);
 }
 
-Record *
-Records_Find(const Records *records, const Key *key, uint32_t index)
+TaskRecord *
+TaskRecords_Find(const TaskRecords *records, const Key *key, uint32_t index)
 {
-    Record wanted;
+    TaskRecord wanted;
 
     wanted.key = *key;
     wanted.index = index;
     return g_hash_table_lookup(records->by_task, &wanted);
 }
 
-Record *
-Records_Get(const Records *records, Handle handle)
+TaskRecord *
+TaskRecords_Get(const TaskRecords *records, Handle handle)
 {
     return Handle_Get(records->handles, handle);
 }
 
-Record *
-Records_Add(Records *records, const Key *key, uint32_t index)
+TaskRecord *
+TaskRecords_Add(TaskRecords *records, const Key *key, uint32_t index)
 {
-    Record *record;
+    TaskRecord *record;
 
     if (g_hash_table_size(records->by_task) >= records->max_records) {
         return NULL;
     }
-    record = g_new0(Record, 1);
+    record = g_new0(TaskRecord, 1);
     record->key = *key;
     record->index = index;
     record->number = ++records->last_number;
@@ -107,7 +107,7 @@
 }
 
 static void
-drop_result(Records *records, Record *record)
+drop_result(TaskRecords *records, TaskRecord *record)
 {
     if (record->length == 0) {
         return;
@@ -120,7 +120,7 @@
 }
 
 void
-Records_Remove(Records *records, Record *record)
+TaskRecords_Remove(TaskRecords *records, TaskRecord *record)
 {
     drop_result(records, record);
     g_queue_remove(&records->order, record);
@@ -129,19 +129,19 @@
 }
 
 static void
-evict_results(Records *records)
+evict_results(TaskRecords *records)
 {
     while (records->bytes > records->max_bytes) {
-        Record *record = g_queue_peek_head(&records->with_results);
+        TaskRecord *record = g_queue_peek_head(&records->with_results);
         drop_result(records, record);
         record->state = LC_TASK_EVICTED;
     }
 }
 
 void
-Records_End(Records *records, Record *record, lc_task_state state,
-            uint32_t code, const void *result, uint32_t length,
-            int64_t mono_ms)
+TaskRecords_End(TaskRecords *records, TaskRecord *record, lc_task_state state,
+                uint32_t code, const void *result, uint32_t length,
+                int64_t mono_ms)
 {
     record->state = state;
     record->code = code;
@@ -157,37 +157,38 @@
 }
 
 void
-Records_Expire(Records *records, int64_t mono_ms)
+TaskRecords_Expire(TaskRecords *records, int64_t mono_ms)
 {
-    Record *record = g_queue_peek_head(&records->order);
+    TaskRecord *record = g_queue_peek_head(&records->order);
 
     while (record != NULL && record->state != LC_TASK_RUNNING &&
            record->ended_ms < mono_ms) {
-        Records_Remove(records, record);
+        TaskRecords_Remove(records, record);
         record = g_queue_peek_head(&records->order);
     }
 }
 
 uint32_t
-Records_Count(const Records *records)
+TaskRecords_Count(const TaskRecords *records)
 {
     return g_hash_table_size(records->by_task);
 }
 
 size_t
-Records_Bytes(const Records *records)
+TaskRecords_Bytes(const TaskRecords *records)
 {
     return records->bytes;
 }
 
 void
-Records_Each(const Records *records, uint64_t after,
-             bool (*visit)(const Record *record, void *context), void *context)
+TaskRecords_Each(const TaskRecords *records, uint64_t after,
+                 bool (*visit)(const TaskRecord *record, void *context),
+                 void *context)
 {
     const GList *place;
 
     for (place = records->order.head; place != NULL; place = place->next) {
-        const Record *record = place->data;
+        const TaskRecord *record = place->data;
         if (record->number > after && !visit(record, context)) {
             return;
         }
--- a/core/records.h
+++ b/core/records.h
@@ -1,13 +1,13 @@
 /**
  * @file records.h
- * @brief What a companion ever started: the record that makes a repeated
- * START safe and that entries inherit from.
+ * @brief Records of the tasks that a companion has started. They make a
+ * repeated START idempotent, and new owners of keys recover jobs from them.
  *
- * A record is made before the task is passed on and kept for the dedupe
- * window after its end. Results are dropped first under memory pressure,
- * oldest first; the records stay.
+ * A record is created before the task is passed to the upstream and kept for
+ * the dedupe window after the task's end. When memory is short, results are
+ * evicted, oldest first; the records stay.
  *
- * Ownership: the table owns its records; a Record is valid until it is
+ * Memory: the table owns its records; a TaskRecord is valid until it is
  * removed or expires.
  */
 #ifndef LC_CORE_RECORDS_H
@@ -23,9 +23,9 @@
     Key key;
     uint32_t index;
     uint32_t total;
-    uint64_t number; /**< rises with each record */
+    uint64_t number; /**< ascending in order of creation */
     Handle handle;
-    lc_node starter;   /**< entry that had it started */
+    lc_node starter;   /**< entry that sent the START call */
     const char *group; /**< interned */
     lc_task_state state;
     uint32_t code;
@@ -34,38 +34,42 @@
     int64_t started_ms;
     int64_t ended_ms;
     bool timed_out;
-    GArray *waiters; /**< uint64_t reply ids */
-} Record;
+    GArray *waiters; /**< uint64_t: ids of calls to reply to at the end */
+} TaskRecord;
 
-/** Opaque table. */
-typedef struct Records Records;
+typedef struct TaskRecords TaskRecords;
 
-Records *Records_New(uint32_t max_records, size_t max_bytes);
-void Records_Free(Records *records);
+/** Creates a table; @p max_bytes limits the memory of results. */
+TaskRecords *TaskRecords_New(uint32_t max_records, size_t max_bytes);
+void TaskRecords_Free(TaskRecords *records);
 
-Record *Records_Find(const Records *records, const Key *key, uint32_t index);
-Record *Records_Get(const Records *records, Handle handle);
+TaskRecord *TaskRecords_Find(const TaskRecords *records, const Key *key,
+                             uint32_t index);
+TaskRecord *TaskRecords_Get(const TaskRecords *records, Handle handle);
 
-/** New record in state running, or NULL when the table is full. */
-Record *Records_Add(Records *records, const Key *key, uint32_t index);
+/** Adds a record in state LC_TASK_RUNNING; NULL if the table is full. */
+TaskRecord *TaskRecords_Add(TaskRecords *records, const Key *key,
+                            uint32_t index);
 
-/** Forgets a task that did not start after all. */
-void Records_Remove(Records *records, Record *record);
+/** Removes the record of a task that was not started after all. */
+void TaskRecords_Remove(TaskRecords *records, TaskRecord *record);
 
-/** Marks the task ended and keeps a copy of its result. */
-void Records_End(Records *records, Record *record, lc_task_state state,
-                 uint32_t code, const void *result, uint32_t length,
-                 int64_t mono_ms);
+/** Marks the task as ended and stores a copy of its result. */
+void TaskRecords_End(TaskRecords *records, TaskRecord *record,
+                     lc_task_state state, uint32_t code, const void *result,
+                     uint32_t length, int64_t mono_ms);
 
-/** Removes records that ended before @p mono_ms. */
-void Records_Expire(Records *records, int64_t mono_ms);
+/** Removes records of tasks that ended before @p mono_ms. */
+void TaskRecords_Expire(TaskRecords *records, int64_t mono_ms);
 
-uint32_t Records_Count(const Records *records);
-size_t Records_Bytes(const Records *records);
+uint32_t TaskRecords_Count(const TaskRecords *records);
 
-/** Visits records numbered above @p after until @p visit says false. */
-void Records_Each(const Records *records, uint64_t after,
-                  bool (*visit)(const Record *record, void *context),
-                  void *context);
+/** Bytes of the results held. */
+size_t TaskRecords_Bytes(const TaskRecords *records);
+
+/** Visits records numbered above @p after until @p visit returns false. */
+void TaskRecords_Each(const TaskRecords *records, uint64_t after,
+                      bool (*visit)(const TaskRecord *record, void *context),
+                      void *context);
 
 #endif
--- a/core/recovery.c
+++ b/core/recovery.c
@@ -38,7 +38,10 @@
            View_Find(Board_View(board), &job->holder) != NULL;
 }
 
-/* The job that a start belongs to, or NULL where it is known better. */
+/*
+ * The job of a reported start; NULL if the ledger is full or this entry or a
+ * live holder has the authoritative state of the job.
+ */
 static Job *
 recovered_job(Board *board, const Recovery_Started *started)
 {
@@ -70,7 +73,7 @@
 }
 
 static void
-put_started(Job *job, const Recovery_Started *started)
+apply_started(Job *job, const Recovery_Started *started)
 {
     Task *task;
 
@@ -104,12 +107,12 @@
     Board *board;
     int64_t unsure_before_ms;
     GPtrArray *jobs;
-} merge_search;
+} unresolved_search;
 
 static void
-collect_undecided(Job *job, void *context)
+collect_unresolved(Job *job, void *context)
 {
-    merge_search *search = context;
+    unresolved_search *search = context;
 
     if (job->state == JOB_RECOVERED ||
         (job->state == JOB_HELD && !is_live_holder(search->board, job))) {
@@ -131,28 +134,29 @@
 }
 
 static void
-decide(merge_search *search, Job *job)
+resolve_job(unresolved_search *search, Job *job)
 {
     bool unsure = Key_Time(&job->key) < search->unsure_before_ms;
-    /* Tasks nobody tells of may have run where nobody can tell any more. */
-    bool open = job->state == JOB_HELD || job->waiting > 0;
+    /* Unreported tasks may have run on companions that are lost. */
+    bool incomplete = job->state == JOB_HELD || job->waiting > 0;
     bool failed = has_failed_task(job);
 
     if (job->state == JOB_FAILED) {
-        /* Its results were evicted while others were decided. */
+        /* Its results were evicted while other jobs were resolved. */
         return;
     }
     Ledger_Reopen(search->board->ledger, job);
     if (job->state == JOB_HELD && !unsure) {
         Ledger_Remove(search->board->ledger, job);
     }
-    else if (unsure && open && !failed) {
-        Outcome_Fail(search->board, job, ERR_LOST,
-                     "its entry and a companion were lost");
+    else if (unsure && incomplete && !failed) {
+        Outcome_Fail(
+            search->board, job, ERR_LOST,
+            "its entry and a companion were lost; tasks may have run");
     }
     else if (failed) {
         Outcome_Fail(search->board, job, ERR_UPSTREAM_FAILED,
-                     "a task failed before its entry was lost");
+                     "a task of the job failed before its entry was lost");
     }
     else if (job->done == job->total) {
         Outcome_Done(search->board, job);
@@ -165,19 +169,19 @@
 void
 Recovery_Merge(Board *board, const GPtrArray *found, int64_t unsure_before_ms)
 {
-    merge_search search = {board, unsure_before_ms, g_ptr_array_new()};
+    unresolved_search search = {board, unsure_before_ms, g_ptr_array_new()};
     guint i;
 
     for (i = 0; i < found->len; i++) {
         const Recovery_Started *started = g_ptr_array_index(found, i);
         Job *job = recovered_job(board, started);
         if (job != NULL) {
-            put_started(job, started);
+            apply_started(job, started);
         }
     }
-    Ledger_Each(board->ledger, collect_undecided, &search);
+    Ledger_Each(board->ledger, collect_unresolved, &search);
     for (i = 0; i < search.jobs->len; i++) {
-        decide(&search, g_ptr_array_index(search.jobs, i));
+        resolve_job(&search, g_ptr_array_index(search.jobs, i));
     }
     g_ptr_array_unref(search.jobs);
 }
--- a/core/recovery.h
+++ b/core/recovery.h
@@ -1,14 +1,14 @@
 /**
  * @file recovery.h
- * @brief Taking over jobs of entries that are gone, from what companions
- * recorded of their starts.
+ * @brief Recovery of jobs of entries that have left the view, from the task
+ * starts that companions have recorded.
  */
 #ifndef LC_CORE_RECOVERY_H
 #define LC_CORE_RECOVERY_H
 
 #include "core/board.h"
 
-/** A start told by a companion. */
+/** A task start that a companion reported. */
 typedef struct {
     Key key;
     uint32_t index;
@@ -21,21 +21,22 @@
     uint32_t length;
 } Recovery_Started;
 
-/** Copies a start out of a message; free with Recovery_FreeStarted. */
+/** Copies a start from a message; release with Recovery_FreeStarted. */
 Recovery_Started *Recovery_CopyStarted(const lc_started *started,
                                        const lc_node *companion);
 void Recovery_FreeStarted(gpointer item);
 
 /**
- * Forgets what was recovered for keys that this entry no longer owns: their
- * owner may go on with them. Returns how many jobs were forgotten.
+ * Removes recovered jobs whose keys this entry no longer owns: their new
+ * owner may continue them. Returns the number of jobs removed.
  */
 uint32_t Recovery_DropForeign(Board *board);
 
 /**
- * Puts the starts of @p found (Recovery_Started) into the ledger and decides
- * on jobs whose holder has left the view: known from companions, never
- * started, or lost when minted before @p unsure_before_ms.
+ * Merges the starts of @p found (Recovery_Started) into the ledger and
+ * resolves the jobs whose holder has left the view: recovered from the
+ * reports of companions, never started, or, if their key was minted before
+ * @p unsure_before_ms (wall clock), possibly lost.
  */
 void Recovery_Merge(Board *board, const GPtrArray *found,
                     int64_t unsure_before_ms);
--- a/core/view.c
+++ b/core/view.c
@@ -53,12 +53,13 @@
 static View_Member *
 find_address(const View *view, Address address)
 {
-    guint place = GPOINTER_TO_UINT(g_hash_table_lookup(view->index, &address));
+    guint position = GPOINTER_TO_UINT(
+        g_hash_table_lookup(view->index, &address));
 
-    if (place == 0) {
+    if (position == 0) {
         return NULL;
     }
-    return &g_array_index(view->members, View_Member, place - 1);
+    return &g_array_index(view->members, View_Member, position - 1);
 }
 
 static View_Member *
@@ -99,7 +100,10 @@
     return NULL;
 }
 
-/* Rendezvous hash: the highest score wins, by address, not incarnation. */
+/*
+ * Rendezvous hashing: the highest score wins. The score depends on the
+ * address, not on the incarnation, so a restart moves no keys.
+ */
 static lc_node
 choose_owner(const GArray *owners, const void *bytes, size_t length)
 {
@@ -119,7 +123,7 @@
 }
 
 static const View_Epoch *
-last_epoch(const View *view)
+current_epoch(const View *view)
 {
     if (view->epochs->len == 0) {
         return NULL;
@@ -136,7 +140,7 @@
 lc_node
 View_Owner(const View *view, const Key *key)
 {
-    const View_Epoch *epoch = last_epoch(view);
+    const View_Epoch *epoch = current_epoch(view);
     lc_node none = {0, 0};
 
     return epoch == NULL ? none : View_EpochOwner(epoch, key);
@@ -145,7 +149,7 @@
 lc_node
 View_Feeder(const View *view, Address address)
 {
-    const View_Epoch *epoch = last_epoch(view);
+    const View_Epoch *epoch = current_epoch(view);
     lc_node none = {0, 0};
 
     if (epoch == NULL) {
@@ -154,7 +158,7 @@
     return choose_owner(epoch->owners, &address, sizeof(address));
 }
 
-/* One change of a record, checked for its form. */
+/* One change of a view record, after syntax checks. */
 typedef struct {
     char op;
     lc_node node;
@@ -227,16 +231,19 @@
                          view->at_ms};
 
     if (older != NULL) {
-        /* One address holds one process: the older one is proved gone. */
+        /* Only one process can use an address: the older one is dead. */
         remove_member(view, older, offset, true);
     }
     g_array_append_val(view->members, fresh);
     rebuild_index(view);
 }
 
-/* Whether a change can be made; none of a record is made if one cannot. */
+/*
+ * Whether a change can be applied. A record is applied as a whole: if one
+ * change is not applicable, none is applied.
+ */
 static bool
-is_possible(const View *view, const parsed_change *change)
+is_applicable(const View *view, const parsed_change *change)
 {
     const View_Member *member = find_member(view, &change->node);
 
@@ -247,7 +254,7 @@
 }
 
 static void
-make_change(View *view, const parsed_change *change, uint64_t offset)
+apply_change(View *view, const parsed_change *change, uint64_t offset)
 {
     View_Member *member = find_member(view, &change->node);
 
@@ -263,7 +270,7 @@
 }
 
 static void
-push_epoch(View *view, uint64_t offset, int64_t at_ms)
+append_epoch(View *view, uint64_t offset, int64_t at_ms)
 {
     View_Epoch epoch = {offset, at_ms,
                         g_array_new(FALSE, FALSE, sizeof(lc_node))};
@@ -280,7 +287,10 @@
     view->epoch = offset;
 }
 
-/* Forgets what ended before the window; the epoch in force then stays. */
+/*
+ * Removes history from before the window. The epoch that was in force at its
+ * start stays, and so do removed entries that may still run.
+ */
 static void
 prune(View *view)
 {
@@ -317,7 +327,7 @@
             return Err_Set(status, ERR_BAD_RECORD,
                            "view: changes[%zu] is malformed", i);
         }
-        if (!is_possible(view, &change)) {
+        if (!is_applicable(view, &change)) {
             return Err_Set(status, ERR_BAD_RECORD,
                            "view: changes[%zu] does not apply to %s", i,
                            Address_Text(change.node.address));
@@ -359,10 +369,10 @@
     view->seq = offset;
     view->at_ms = json_integer_value(at);
     for (i = 0; i < changes->len; i++) {
-        make_change(view, &g_array_index(changes, parsed_change, i), offset);
+        apply_change(view, &g_array_index(changes, parsed_change, i), offset);
     }
     if (entries_change) {
-        push_epoch(view, offset, view->at_ms);
+        append_epoch(view, offset, view->at_ms);
     }
     prune(view);
 done:
--- a/tests/availability.cc
+++ b/tests/availability.cc
@@ -1,8 +1,8 @@
 /*
- * What one failure and each pair of failures costs in service: the share of
- * requests, over many seeds, that were answered done, failed, not_run or
- * unknown. The pump's times are a twelfth of the default settings; a fault
- * lasts 2 s of its 4 s, and callers do not send again.
+ * Effect of each single failure and each pair of failures on availability:
+ * the share of requests, over many seeds, that were answered done, failed,
+ * not_run or unknown. The times of the simulation are a twelfth of the default
+ * settings; a fault lasts 2 s of a run of 4 s, and callers do not retry.
  */
 
 #include <cstdio>
@@ -47,12 +47,12 @@
         pump::Plan plan;
         plan.seed = (uint64_t)seed;
         plan.jobs = 200;
-        plan.most_tasks = 2;
+        plan.max_tasks = 2;
         plan.slots = 8;
         plan.late_permille = 0;
         plan.drop_permille = 0;
         plan.duplicate_permille = 0;
-        plan.once = true;
+        plan.no_retries = true;
         for (size_t i = 0; i < faults.size(); i++) {
             int64_t length_ms = faults[i] == pump::Fault::KillEntry ||
                                         faults[i] == pump::Fault::KillCompanion
--- a/tests/prop_cluster.cc
+++ b/tests/prop_cluster.cc
@@ -1,8 +1,8 @@
 /*
- * Properties of many nodes together, over random schedules of faults. The
- * seed comes from RC_PARAMS (scripts/test.sh fixes it). PUMP_PLAN replays
- * the plan that a failed property printed, and PUMP_TRACE prints the nodes'
- * events.
+ * Property tests of a simulated cluster (pump.h) under random schedules of
+ * faults. The seed comes from RC_PARAMS (scripts/test.sh fixes it). PUMP_PLAN
+ * replays the plan that a failed property printed, and PUMP_TRACE prints the
+ * events of the nodes.
  */
 
 #include <rapidcheck.h>
@@ -57,12 +57,12 @@
 }
 
 void
-check_plan(pump::Plan plan, std::vector<pump::Fault> faults, int most)
+check_plan(pump::Plan plan, std::vector<pump::Fault> faults, int max_actions)
 {
     plan.seed = *rc::gen::inRange<uint64_t>(1, 1ULL << 40);
     plan.actions = *rc::gen::resize(
-        most, rc::gen::container<std::vector<pump::Action>>(
-                  gen_action(faults, plan.length_ms)));
+        max_actions, rc::gen::container<std::vector<pump::Action>>(
+                         gen_action(faults, plan.length_ms)));
     pump::Report report = pump::run(plan);
     schedules++;
     requests += report.requests;
@@ -76,7 +76,7 @@
 }
 
 pump::Plan
-full_plan()
+small_memory_plan()
 {
     pump::Plan plan;
 
@@ -88,7 +88,7 @@
 }
 
 pump::Plan
-short_plan()
+short_window_plan()
 {
     pump::Plan plan;
 
@@ -97,31 +97,31 @@
 }
 
 pump::Plan
-capped_plan()
+max_running_plan()
 {
     pump::Plan plan;
 
-    plan.cap = 2;
+    plan.max_running = 2;
     plan.max_wait_ms = 700;
     return plan;
 }
 
-/* More jobs of the limited group than it may start in the time. */
+/* More jobs of the limited group than its rate allows within the run. */
 pump::Plan
-rated_plan()
+rate_plan()
 {
     pump::Plan plan;
 
-    plan.rate = 10;
+    plan.starts_per_s = 10;
     plan.jobs = 130;
-    plan.most_tasks = 1;
+    plan.max_tasks = 1;
     plan.length_ms = 1000;
     plan.max_wait_ms = 3000;
-    plan.once = true; /* or they come back to the end */
+    plan.no_retries = true; /* retries would keep the queue full to the end */
     return plan;
 }
 
-/* Callers come all the time, on both sides. */
+/* Callers submit throughout, on both sides of a partition. */
 pump::Plan
 split_plan()
 {
@@ -129,31 +129,31 @@
 
     plan.entries = 4;
     plan.jobs = 150;
-    plan.most_tasks = 2;
-    plan.twin_permille = 600;
+    plan.max_tasks = 2;
+    plan.resubmit_permille = 600;
     plan.evidence_ms = 900;
     return plan;
 }
 
-/* More work than slots, so that jobs wait half begun. */
+/* More work than slots, so that partly started jobs wait. */
 pump::Plan
-loaded_plan()
+overload_plan()
 {
     pump::Plan plan;
 
     plan.companions = 2;
     plan.jobs = 30;
     plan.hang_permille = 4;
-    plan.twin_permille = 300;
+    plan.resubmit_permille = 300;
     return plan;
 }
 
 pump::Plan
-planned_plan()
+planned_shutdown_plan()
 {
     pump::Plan plan;
 
-    plan.planned = true;
+    plan.planned_only = true;
     plan.companions = 3;
     plan.slots = 1;
     plan.late_permille = 0;
@@ -172,12 +172,12 @@
     char comma;
 
     in >> kind;
-    pump::Plan plan = kind == "full"      ? full_plan()
-                      : kind == "short"   ? short_plan()
-                      : kind == "capped"  ? capped_plan()
+    pump::Plan plan = kind == "full"      ? small_memory_plan()
+                      : kind == "short"   ? short_window_plan()
+                      : kind == "capped"  ? max_running_plan()
                       : kind == "split"   ? split_plan()
-                      : kind == "loaded"  ? loaded_plan()
-                      : kind == "planned" ? planned_plan()
+                      : kind == "loaded"  ? overload_plan()
+                      : kind == "planned" ? planned_shutdown_plan()
                                           : pump::Plan();
     in >> plan.seed;
     while (in >> fault >> comma >> action.at_ms >> comma >> action.length_ms >>
@@ -216,29 +216,29 @@
                    6);
     });
     property("a full ledger and full record tables",
-             [] { check_plan(full_plan(), all_faults(), 6); });
+             [] { check_plan(small_memory_plan(), all_faults(), 6); });
     property("a short dedupe window",
-             [] { check_plan(short_plan(), all_faults(), 6); });
+             [] { check_plan(short_window_plan(), all_faults(), 6); });
     property("caps and waits while entries come and go", [] {
-        check_plan(capped_plan(),
+        check_plan(max_running_plan(),
                    {pump::Fault::KillEntry, pump::Fault::KillEntryHost,
                     pump::Fault::Freeze, pump::Fault::CutAll,
                     pump::Fault::CutPair, pump::Fault::DrainEntry,
                     pump::Fault::LogOutage, pump::Fault::Burst},
                    6);
     });
-    property("rates", [] { check_plan(rated_plan(), {}, 0); });
+    property("rates", [] { check_plan(rate_plan(), {}, 0); });
     property("rates while entries come and go", [] {
-        check_plan(rated_plan(),
+        check_plan(rate_plan(),
                    {pump::Fault::KillEntry, pump::Fault::KillEntryHost,
                     pump::Fault::Freeze, pump::Fault::CutAll,
                     pump::Fault::DrainEntry, pump::Fault::LogOutage},
                    2);
     });
     property("no faults but late and lost messages",
-             [] { check_plan(capped_plan(), {pump::Fault::Burst}, 0); });
+             [] { check_plan(max_running_plan(), {pump::Fault::Burst}, 0); });
     property("entries frozen with work queued, tasks that hang", [] {
-        check_plan(loaded_plan(), {pump::Fault::Freeze, pump::Fault::Burst},
+        check_plan(overload_plan(), {pump::Fault::Freeze, pump::Fault::Burst},
                    6);
     });
     property("two sides that lose each other", [] {
@@ -248,7 +248,7 @@
                    3);
     });
     property("planned replacement of every process", [] {
-        check_plan(planned_plan(),
+        check_plan(planned_shutdown_plan(),
                    {pump::Fault::DrainEntry, pump::Fault::DrainCompanion,
                     pump::Fault::LeaveCompanion, pump::Fault::LogOutage,
                     pump::Fault::Burst},
--- a/tests/pump.cc
+++ b/tests/pump.cc
@@ -32,7 +32,7 @@
 
 namespace {
 
-/* C ports that forward to the node's world. */
+/* Ports that forward to the simulation of the node. */
 
 Node *
 node_of(void *context)
@@ -145,27 +145,30 @@
     if (faults_on_ && chance(plan_.late_permille)) {
         return (int64_t)below((uint64_t)plan_.late_ms);
     }
-    return 1 + (int64_t)below((uint64_t)plan_.most_delay_ms);
+    return 1 + (int64_t)below((uint64_t)plan_.max_delay_ms);
 }
 
 void
-World::at(int64_t when_ms, std::function<void()> act)
+World::schedule(int64_t when_ms, std::function<void()> act)
 {
     events_.push({when_ms, ++order_, std::move(act)});
 }
 
-/* Input for one life of a node; a frozen node gets it when it wakes. */
+/*
+ * Schedules an input for one generation of a node. A frozen node gets it when
+ * the freeze ends.
+ */
 void
-World::to_node(Address address, uint64_t life, int64_t when_ms,
-               std::function<void(Node *)> act)
+World::schedule_input(Address address, uint64_t generation, int64_t when_ms,
+                      std::function<void(Node *)> act)
 {
-    at(when_ms, [this, address, life, act = std::move(act)] {
+    schedule(when_ms, [this, address, generation, act = std::move(act)] {
         Node *node = find(address);
-        if (!node->alive || node->life != life) {
+        if (!node->alive || node->generation != generation) {
             return;
         }
         if (now_ms_ < node->frozen_until_ms) {
-            to_node(address, life, node->frozen_until_ms, act);
+            schedule_input(address, generation, node->frozen_until_ms, act);
             return;
         }
         act(node);
@@ -198,7 +201,7 @@
     node->alive = true;
     node->draining = false;
     node->drained_ms = 0;
-    node->life++;
+    node->generation++;
     node->frozen_until_ms = 0;
     node->versions.clear();
     node->running = 0;
@@ -238,12 +241,12 @@
         node->companion = Companion_New(&config, &ports, node, now);
     }
     Address address = node->address;
-    uint64_t life = node->life;
-    to_node(address, life, now_ms_ + 1 + (int64_t)below(TICK_MS),
-            [this](Node *alive) { tick(alive); });
+    uint64_t generation = node->generation;
+    schedule_input(address, generation, now_ms_ + 1 + (int64_t)below(TICK_MS),
+                   [this](Node *alive) { tick(alive); });
     if (node->is_entry) {
-        poll_log(address, life);
-        poll_hosts(address, life);
+        poll_log(address, generation);
+        poll_hosts(address, generation);
     }
 }
 
@@ -258,7 +261,7 @@
     node->entry = nullptr;
     Companion_Free(node->companion);
     node->companion = nullptr;
-    /* Its peers' connections break. */
+    /* The connections of its peers break. */
     for (auto &pair : nodes_) {
         Node *peer = pair.second.get();
         if (peer->alive) {
@@ -271,9 +274,9 @@
 World::tick(Node *node)
 {
     Address address = node->address;
-    uint64_t life = node->life;
+    uint64_t generation = node->generation;
 
-    watch_table(node);
+    check_versions(node);
     if (node->is_entry) {
         Entry_Tick(node->entry, time_of(node));
         if (Entry_IsDeposed(node->entry)) {
@@ -293,68 +296,70 @@
         }
     }
     if (node->drained_ms > 3 * TICK_MS) {
-        check_stop(node);
+        check_shutdown(node);
         kill(node);
         publish_hosts(address, true, false, HOST_LAG_MS);
-        at(now_ms_ + 50, [this, address] {
+        schedule(now_ms_ + 50, [this, address] {
             if (!find(address)->alive) {
                 boot(find(address));
             }
         });
         return;
     }
-    to_node(address, life, now_ms_ + TICK_MS,
-            [this](Node *alive) { tick(alive); });
+    schedule_input(address, generation, now_ms_ + TICK_MS,
+                   [this](Node *alive) { tick(alive); });
 }
 
 void
-World::poll_log(Address address, uint64_t life)
+World::poll_log(Address address, uint64_t generation)
 {
     int64_t asked_ms = time_of(find(address)).mono_ms;
 
-    at(now_ms_ + delay(), [this, address, life, asked_ms] {
-        /* The log answers now; the answer travels back. */
+    schedule(now_ms_ + delay(), [this, address, generation, asked_ms] {
+        /* The log reads its state now; the answer arrives later. */
         bool reachable = !log_down_ && log_cuts_.count(address) == 0;
         std::vector<std::string> records = log_;
         uint64_t first = log_first_;
-        to_node(address, life, now_ms_ + delay(),
-                [this, reachable, records, first, asked_ms](Node *node) {
-                    if (!reachable) {
-                        Entry_OnLog(node->entry, time_of(node), nullptr);
-                        return;
-                    }
-                    std::vector<lc_record> list;
-                    uint64_t from = std::max(first,
-                                             Entry_LogNext(node->entry));
-                    for (uint64_t i = from; i <= records.size(); i++) {
-                        list.push_back(
-                            {i, const_cast<char *>(records[i - 1].c_str())});
-                    }
-                    Entry_LogRead read = {asked_ms, first, records.size() + 1,
-                                          list.data(), (uint32_t)list.size()};
-                    Entry_OnLog(node->entry, time_of(node), &read);
-                    watch_table(node);
-                });
-        at(now_ms_ + LOG_POLL_MS, [this, address, life] {
-            if (find(address)->alive && find(address)->life == life) {
-                poll_log(address, life);
+        schedule_input(
+            address, generation, now_ms_ + delay(),
+            [this, reachable, records, first, asked_ms](Node *node) {
+                if (!reachable) {
+                    Entry_OnLog(node->entry, time_of(node), nullptr);
+                    return;
+                }
+                std::vector<lc_record> list;
+                uint64_t from = std::max(first, Entry_LogNext(node->entry));
+                for (uint64_t i = from; i <= records.size(); i++) {
+                    list.push_back(
+                        {i, const_cast<char *>(records[i - 1].c_str())});
+                }
+                Entry_LogRead read = {asked_ms, first, records.size() + 1,
+                                      list.data(), (uint32_t)list.size()};
+                Entry_OnLog(node->entry, time_of(node), &read);
+                check_versions(node);
+            });
+        schedule(now_ms_ + LOG_POLL_MS, [this, address, generation] {
+            if (find(address)->alive &&
+                find(address)->generation == generation) {
+                poll_log(address, generation);
             }
         });
     });
 }
 
 void
-World::poll_hosts(Address address, uint64_t life)
+World::poll_hosts(Address address, uint64_t generation)
 {
-    to_node(address, life, now_ms_ + HOSTS_POLL_MS, [this, life](Node *node) {
-        std::vector<Members_Host> rows;
-        for (auto &pair : hosts_shown_) {
-            rows.push_back(pair.second);
-        }
-        Entry_OnHosts(node->entry, time_of(node), rows.data(),
-                      (uint32_t)rows.size());
-        poll_hosts(node->address, life);
-    });
+    schedule_input(address, generation, now_ms_ + HOSTS_POLL_MS,
+                   [this, generation](Node *node) {
+                       std::vector<Members_Host> rows;
+                       for (auto &pair : hosts_shown_) {
+                           rows.push_back(pair.second);
+                       }
+                       Entry_OnHosts(node->entry, time_of(node), rows.data(),
+                                     (uint32_t)rows.size());
+                       poll_hosts(node->address, generation);
+                   });
 }
 
 void
@@ -365,7 +370,7 @@
     Members_Host row = {address, is_entry ? LC_ROLE_ENTRY : LC_ROLE_COMPANION,
                         leaving};
 
-    at(now_ms_ + lag_ms, [this, address, listed, row] {
+    schedule(now_ms_ + lag_ms, [this, address, listed, row] {
         if (listed) {
             hosts_shown_[address] = row;
         }
@@ -376,21 +381,22 @@
 }
 
 void
-World::lose_call(Address caller, uint64_t life, uint64_t call_id,
+World::lose_call(Address caller, uint64_t generation, uint64_t call_id,
                  int64_t after_ms)
 {
-    to_node(caller, life, now_ms_ + after_ms, [this, call_id](Node *node) {
-        end_call(node->address, node->life, call_id, nullptr);
-    });
+    schedule_input(
+        caller, generation, now_ms_ + after_ms, [this, call_id](Node *node) {
+            end_call(node->address, node->generation, call_id, nullptr);
+        });
 }
 
 void
-World::end_call(Address caller, uint64_t life, uint64_t call_id,
+World::end_call(Address caller, uint64_t generation, uint64_t call_id,
                 const Msg_Reply *reply)
 {
     Node *node = find(caller);
 
-    if (!node->alive || node->life != life ||
+    if (!node->alive || node->generation != generation ||
         node->calls.erase(call_id) == 0) {
         return;
     }
@@ -406,7 +412,7 @@
 World::on_call(Node *node, Address to, uint64_t call_id, const Msg_Call *call)
 {
     Address from = node->address;
-    uint64_t life = node->life;
+    uint64_t generation = node->generation;
     GByteArray *bytes = g_byte_array_new();
     int copies = faults_on_ && chance(plan_.duplicate_permille) ? 2 : 1;
 
@@ -414,52 +420,53 @@
     node->calls[call_id] = to;
     report_.messages++;
     if (nodes_.count(to) == 0 || !find(to)->alive) {
-        lose_call(from, life, call_id, delay());
+        lose_call(from, generation, call_id, delay());
         g_byte_array_unref(bytes);
         return;
     }
     if (faults_on_ && chance(plan_.drop_permille)) {
-        /* A connection that breaks: the call may be lost or its reply. */
-        lose_call(from, life, call_id, delay() + (int64_t)below(100));
+        /* The connection breaks: either the call or its reply is lost. */
+        lose_call(from, generation, call_id, delay() + (int64_t)below(100));
         if (chance(500)) {
             copies = 0;
         }
     }
     for (int i = 0; i < copies; i++) {
-        deliver_call(from, life, to, call_id, bytes);
+        deliver_call(from, generation, to, call_id, bytes);
     }
     g_byte_array_unref(bytes);
 }
 
 /*
- * Runs `act` once nothing is cut between two nodes: TCP sends again until it
- * gets through, or until one side gives the connection up, which takes the
- * call from the caller but not the copy that is on its way.
+ * Runs `act` once two nodes can reach each other: TCP retransmits until the
+ * data arrives or one side closes the connection. A close ends the call for
+ * its caller, but the copy in flight may still arrive.
  */
 void
-World::when_uncut(Address from, Address to, std::function<void()> act)
+World::when_connected(Address from, Address to, std::function<void()> act)
 {
     if (!is_cut(from, to)) {
         act();
         return;
     }
-    at(now_ms_ + RETRANSMIT_MS,
-       [this, from, to, act] { when_uncut(from, to, act); });
+    schedule(now_ms_ + RETRANSMIT_MS,
+             [this, from, to, act] { when_connected(from, to, act); });
 }
 
 void
-World::take_call(Node *node, const OwedReply &owed, const std::string &data)
+World::handle_call(Node *node, const PendingReply &pending,
+                   const std::string &data)
 {
     Msg_Record record;
-    uint64_t id = ++next_owed_;
+    uint64_t id = ++next_reply_id_;
 
     Msg_Decode((const uint8_t *)data.data(), data.size(), &record);
     if (record.type != MSG_IS_CALL) {
         report_.wrong.push_back("a call did not decode");
         return;
     }
-    owed_[id] = owed;
-    owed_[id].kind = record.call.kind;
+    pending_replies_[id] = pending;
+    pending_replies_[id].kind = record.call.kind;
     if (node->is_entry) {
         Entry_OnCall(node->entry, time_of(node), id, &record.call);
     }
@@ -470,23 +477,24 @@
 }
 
 void
-World::deliver_call(Address from, uint64_t from_life, Address to,
+World::deliver_call(Address from, uint64_t from_generation, Address to,
                     uint64_t call_id, GByteArray *bytes)
 {
-    uint64_t to_life = find(to)->life;
+    uint64_t to_generation = find(to)->generation;
     std::string data((const char *)bytes->data + MSG_MARK_SIZE,
                      bytes->len - MSG_MARK_SIZE);
-    OwedReply owed = {from, from_life, call_id, to, MSG_PING};
+    PendingReply pending = {from, from_generation, call_id, to, MSG_PING};
 
-    when_uncut(from, to, [this, to, to_life, owed, data] {
-        to_node(
-            to, to_life, now_ms_ + delay(),
-            [this, owed, data](Node *node) { take_call(node, owed, data); });
+    when_connected(from, to, [this, to, to_generation, pending, data] {
+        schedule_input(to, to_generation, now_ms_ + delay(),
+                       [this, pending, data](Node *node) {
+                           handle_call(node, pending, data);
+                       });
     });
 }
 
 void
-World::take_reply(const OwedReply &owed, const std::string &data)
+World::handle_reply(const PendingReply &pending, const std::string &data)
 {
     Msg_Record record;
     Msg_Reply decoded;
@@ -494,35 +502,37 @@
 
     Msg_Decode(bytes, data.size(), &record);
     if (record.type != MSG_IS_REPLY ||
-        !Msg_DecodeReply(owed.kind, bytes + record.body,
+        !Msg_DecodeReply(pending.kind, bytes + record.body,
                          data.size() - record.body, &decoded)) {
         report_.wrong.push_back("a reply did not decode");
         return;
     }
-    end_call(owed.caller, owed.caller_life, owed.call_id, &decoded);
+    end_call(pending.caller, pending.caller_generation, pending.call_id,
+             &decoded);
     Msg_FreeReply(&decoded);
 }
 
 void
 World::on_reply(Node *node, uint64_t reply_id, const Msg_Reply *reply)
 {
-    auto found = owed_.find(reply_id);
+    auto found = pending_replies_.find(reply_id);
 
-    if (found == owed_.end()) {
-        report_.wrong.push_back("a reply that nobody is owed");
+    if (found == pending_replies_.end()) {
+        report_.wrong.push_back("a reply without a pending call");
         return;
     }
-    OwedReply owed = found->second;
-    owed_.erase(found);
+    PendingReply pending = found->second;
+    pending_replies_.erase(found);
     report_.messages++;
     GByteArray *bytes = g_byte_array_new();
-    Msg_EncodeReply(reply, (uint32_t)owed.call_id, bytes);
+    Msg_EncodeReply(reply, (uint32_t)pending.call_id, bytes);
     std::string data((const char *)bytes->data + MSG_MARK_SIZE,
                      bytes->len - MSG_MARK_SIZE);
     g_byte_array_unref(bytes);
-    when_uncut(node->address, owed.caller, [this, owed, data] {
-        to_node(owed.caller, owed.caller_life, now_ms_ + delay(),
-                [this, owed, data](Node *) { take_reply(owed, data); });
+    when_connected(node->address, pending.caller, [this, pending, data] {
+        schedule_input(
+            pending.caller, pending.caller_generation, now_ms_ + delay(),
+            [this, pending, data](Node *) { handle_reply(pending, data); });
     });
 }
 
@@ -531,7 +541,7 @@
 {
     for (auto &pair : node->calls) {
         if (pair.second == to) {
-            lose_call(node->address, node->life, pair.first, 1);
+            lose_call(node->address, node->generation, pair.first, 1);
         }
     }
 }
@@ -540,39 +550,40 @@
 World::on_append(Node *node, uint64_t append_id, const char *text)
 {
     Address address = node->address;
-    uint64_t life = node->life;
+    uint64_t generation = node->generation;
     std::string record = text;
 
-    at(now_ms_ + delay(), [this, address, life, append_id, record] {
-        bool reachable = !log_down_ && log_cuts_.count(address) == 0;
-        bool confirmed = reachable;
-        if (reachable) {
-            log_.push_back(record);
-            log_times_.push_back(now_ms_);
-            if (lose_confirm_ > 0) {
-                lose_confirm_--;
-                confirmed = false;
+    schedule(
+        now_ms_ + delay(), [this, address, generation, append_id, record] {
+            bool reachable = !log_down_ && log_cuts_.count(address) == 0;
+            bool confirmed = reachable;
+            if (reachable) {
+                log_.push_back(record);
+                log_times_.push_back(now_ms_);
+                if (lose_confirms_ > 0) {
+                    lose_confirms_--;
+                    confirmed = false;
+                }
             }
-        }
-        to_node(address, life, now_ms_ + delay(),
-                [this, append_id, confirmed](Node *alive) {
-                    Entry_OnAppend(alive->entry, time_of(alive), append_id,
-                                   confirmed);
-                });
-    });
+            schedule_input(address, generation, now_ms_ + delay(),
+                           [this, append_id, confirmed](Node *alive) {
+                               Entry_OnAppend(alive->entry, time_of(alive),
+                                              append_id, confirmed);
+                           });
+        });
 }
 
 void
 World::on_run(Node *node, uint64_t run_id, const Node_Task *task)
 {
     Address address = node->address;
-    uint64_t life = node->life;
+    uint64_t generation = node->generation;
     Key key = task->key;
     uint32_t index = task->index;
     int64_t length_ms = 5 + (int64_t)below(60);
 
     if (chance(20)) {
-        length_ms += (int64_t)below(500); /* a straggler */
+        length_ms += (int64_t)below(500); /* a slow task */
     }
     if (chance(plan_.hang_permille)) {
         length_ms = HANG_MS;
@@ -586,27 +597,28 @@
             "%s started work %lld ms after it was leaving",
             Address_Text(address), (long long)(now_ms_ - leaving->second)));
     }
-    /* The upstream goes on whatever becomes of its companion. */
+    /* The upstream keeps running a task even if its companion dies. */
     std::string group = task->group;
     int64_t running = ++running_[group];
     if (group == "large") {
         large_starts_.push_back(now_ms_);
     }
-    if (group == "large" && plan_.cap > 0 && running > plan_.cap) {
-        report_.limit.push_back(format("%lld tasks run, the cap is %lld",
+    if (group == "large" && plan_.max_running > 0 &&
+        running > plan_.max_running) {
+        report_.limit.push_back(format("%lld tasks run, max_running is %lld",
                                        (long long)running,
-                                       (long long)plan_.cap));
+                                       (long long)plan_.max_running));
     }
     node->running++;
-    at(now_ms_ + length_ms, [this, group] { running_[group]--; });
-    to_node(address, life, now_ms_ + length_ms,
-            [this, run_id, key, index](Node *alive) {
-                alive->running--;
-                std::string result = result_text(key, index);
-                Companion_OnRun(alive->companion, time_of(alive), run_id,
-                                COMPANION_RUN_DONE, 200, result.data(),
-                                (uint32_t)result.size());
-            });
+    schedule(now_ms_ + length_ms, [this, group] { running_[group]--; });
+    schedule_input(address, generation, now_ms_ + length_ms,
+                   [this, run_id, key, index](Node *alive) {
+                       alive->running--;
+                       std::string result = result_text(key, index);
+                       Companion_OnRun(alive->companion, time_of(alive),
+                                       run_id, COMPANION_RUN_DONE, 200,
+                                       result.data(), (uint32_t)result.size());
+                   });
 }
 
 Report
@@ -616,28 +628,29 @@
         boot(pair.second.get());
     }
     for (const char *group : {"small", "large"}) {
-        at(WARM_UP_MS / 2, [this, group] { edit(group); });
-        at(WARM_UP_MS * 3 / 4, [this, group] { edit(group); });
+        schedule(WARM_UP_MS / 2, [this, group] { edit(group); });
+        schedule(WARM_UP_MS * 3 / 4, [this, group] { edit(group); });
     }
     for (uint32_t i = 0; i < plan_.edits; i++) {
         const char *group = i % 2 == 0 ? "small" : "large";
         int64_t when_ms = WARM_UP_MS +
                           (int64_t)below((uint64_t)plan_.length_ms);
-        /* Two operators race for the row. */
-        at(when_ms, [this, group] { edit(group); });
-        at(when_ms + 1, [this, group] { edit(group); });
+        /* Two operators edit the row concurrently. */
+        schedule(when_ms, [this, group] { edit(group); });
+        schedule(when_ms + 1, [this, group] { edit(group); });
     }
     for (uint32_t i = 0; i < plan_.jobs; i++) {
-        at(WARM_UP_MS + (int64_t)below((uint64_t)plan_.length_ms),
-           [this] { new_job(); });
+        schedule(WARM_UP_MS + (int64_t)below((uint64_t)plan_.length_ms),
+                 [this] { submit_new_job(); });
     }
     for (const Action &action : plan_.actions) {
-        at(WARM_UP_MS + action.at_ms, [this, action] { inject(action); });
+        schedule(WARM_UP_MS + action.at_ms,
+                 [this, action] { inject(action); });
     }
-    at(WARM_UP_MS + plan_.length_ms, [this] { heal(); });
+    schedule(WARM_UP_MS + plan_.length_ms, [this] { heal(); });
     while (!events_.empty()) {
         Event event = events_.top();
-        if (event.at_ms > WARM_UP_MS + plan_.length_ms + HEALED_MS) {
+        if (event.at_ms > WARM_UP_MS + plan_.length_ms + RECOVERY_MS) {
             break;
         }
         events_.pop();
--- a/tests/pump.h
+++ b/tests/pump.h
@@ -1,12 +1,13 @@
 /**
  * @file pump.h
- * @brief Many nodes of core/ in one process, with an adversarial message
- * pump between them: delay, reorder, duplicate, loss, cuts, freezes, kills,
- * log outages, lost confirmations, a lagging host list and skewed clocks.
+ * @brief Deterministic simulation of a cluster: many nodes of core/ in one
+ * process, connected by a simulated network that delays, reorders, duplicates
+ * and loses messages, with network partitions, freezes, kills, log outages,
+ * lost append confirmations, a lagging host list and skewed clocks.
  *
- * It is a fake at the message interface. What it checks is told by the
- * upstreams' own lists of starts and by the answers that callers got, never
- * by counters of the nodes.
+ * Only the message interface is simulated. The checks rely on the upstreams'
+ * lists of task starts and on the answers that callers received, never on
+ * counters of the nodes.
  */
 #ifndef LC_TESTS_PUMP_H
 #define LC_TESTS_PUMP_H
@@ -28,30 +29,30 @@
 
 namespace pump {
 
-/** Kinds of fault. */
+/** Kinds of injected faults. */
 enum class Fault {
-    KillEntry,     /**< dies; a new incarnation after `length_ms` */
-    KillEntryHost, /**< dies; the host list drops it, nobody returns */
-    KillCompanion, /**< dies; a new incarnation after `length_ms` */
-    KillCompanionHost,
-    FreezeEntry,    /**< an entry, long enough to be removed */
-    Freeze,         /**< no input for `length_ms`, then all of it */
-    CutPair,        /**< nothing passes from one node to another */
-    CutNode,        /**< a node is cut from all nodes, not from the log */
-    CutAll,         /**< a node is cut from all nodes and the log */
-    CutLog,         /**< a node is cut from the log */
-    LogOutage,      /**< the log answers nobody */
-    LoseConfirm,    /**< appends take effect, their answers are lost */
-    DrainEntry,     /**< planned stop; a new incarnation when it is over */
-    DrainCompanion, /**< planned stop; a new incarnation when it is over */
-    LeaveCompanion, /**< the host list alone says it is leaving */
-    ExpireLog,      /**< the log forgets all but the last records */
-    Burst,          /**< many jobs at once */
-    Split,          /**< two sides lose each other; the log is on one */
+    KillEntry,         /**< dies; restarts after `length_ms` */
+    KillEntryHost,     /**< dies, leaves the host list, no restart */
+    KillCompanion,     /**< dies; restarts after `length_ms` */
+    KillCompanionHost, /**< dies, leaves the host list, no restart */
+    FreezeEntry,       /**< an entry freezes long enough to be removed */
+    Freeze,            /**< a node gets no input for `length_ms`, then all */
+    CutPair,           /**< no message passes from one node to another */
+    CutNode,        /**< a node is partitioned from all nodes, not the log */
+    CutAll,         /**< a node is partitioned from all nodes and the log */
+    CutLog,         /**< an entry is partitioned from the log */
+    LogOutage,      /**< the log answers no node */
+    LoseConfirm,    /**< appends take effect, but are not confirmed */
+    DrainEntry,     /**< planned shutdown, then a restart */
+    DrainCompanion, /**< planned shutdown, then a restart */
+    LeaveCompanion, /**< only the host list says that it is leaving */
+    ExpireLog,      /**< the log deletes all but the newest records */
+    Burst,          /**< many jobs are submitted at once */
+    Split,          /**< partition into two sides; the log is on one */
     Count
 };
 
-/** One fault of a schedule. */
+/** One fault of a schedule; times in ms from the end of the warm-up. */
 struct Action {
     Fault fault;
     int64_t at_ms;
@@ -60,17 +61,17 @@
     uint32_t other;
 };
 
-/** What a run is made of. */
+/** Parameters of a simulation run. */
 struct Plan {
     uint64_t seed = 1;
     uint32_t entries = 3;
     uint32_t companions = 4;
     uint32_t slots = 2;
     uint32_t jobs = 40;
-    uint32_t most_tasks = 5;
+    uint32_t max_tasks = 5;
     int64_t length_ms = 4000;
-    int64_t most_delay_ms = 4;  /**< of most messages */
-    uint32_t late_permille = 5; /**< messages delayed up to `late_ms` */
+    int64_t max_delay_ms = 4;   /**< of a message that is not late */
+    uint32_t late_permille = 5; /**< messages that take up to `late_ms` */
     int64_t late_ms = 800;
     uint32_t duplicate_permille = 5;
     uint32_t drop_permille = 3;
@@ -78,19 +79,20 @@
     uint32_t max_jobs = 1000;
     uint32_t max_records = 1000;
     size_t max_bytes = 1 << 20;
-    uint32_t hang_permille = 0; /**< tasks that end far too late */
-    uint32_t twin_permille = 0; /**< jobs sent through two entries at once */
-    int64_t evidence_ms = 300;  /**< how long evidence holds */
-    bool once = false;          /**< callers never send a request again */
-    bool planned = false;       /**< planned stops only: nothing may be cut */
-    int64_t cap = 0;            /**< max_running of the group "large" */
-    int64_t rate = 0;           /**< starts_per_s of the group "large" */
-    int64_t max_wait_ms = 0;    /**< of the group "small" */
+    uint32_t hang_permille = 0; /**< tasks that exceed their timeout */
+    uint32_t resubmit_permille =
+        0;                     /**< jobs that are submitted twice at once */
+    int64_t evidence_ms = 300; /**< validity of membership evidence */
+    bool no_retries = false;   /**< callers never submit a job again */
+    bool planned_only = false; /**< no crashes: no job may be cut off */
+    int64_t max_running = 0;   /**< max_running of the group "large" */
+    int64_t starts_per_s = 0;  /**< starts_per_s of the group "large" */
+    int64_t max_wait_ms = 0;   /**< of the group "small" */
     int64_t window_ms = 20000;
     std::vector<Action> actions;
 };
 
-/** What a run came to. Each list names violations; all must be empty. */
+/** Result of a run. Each list holds violations; all must be empty. */
 struct Report {
     std::vector<std::string> double_starts;
     std::vector<std::string> partial;
@@ -110,11 +112,11 @@
     uint64_t messages = 0;
     std::map<std::string, uint64_t> kinds; /**< answers by error kind */
 
-    /** All violations as one text; empty if there are none. */
+    /** Text of the violations, one line of each kind; empty if none. */
     std::string violations() const;
 };
 
-/** Runs a plan to its end, heals all faults, and checks. */
+/** Runs a plan, ends all faults, lets the cluster recover, and checks. */
 Report run(const Plan &plan);
 
 } // namespace pump
--- a/tests/pump_callers.cc
+++ b/tests/pump_callers.cc
@@ -5,18 +5,18 @@
 namespace pump {
 
 void
-World::new_job()
+World::submit_new_job()
 {
     Job job;
 
     job.key = Key_Mint(START_WALL_MS + now_ms_ + (int64_t)below(SKEW_MS) -
                            SKEW_MS / 2,
                        random(), random());
-    job.tasks = 1 + (uint32_t)below(plan_.most_tasks);
+    job.tasks = 1 + (uint32_t)below(plan_.max_tasks);
     job.repeatable = chance(500);
     jobs_.push_back(job);
     submit(jobs_.size() - 1);
-    if (chance(plan_.twin_permille)) {
+    if (chance(plan_.resubmit_permille)) {
         submit(jobs_.size() - 1);
     }
 }
@@ -33,15 +33,16 @@
     job.attempts++;
     if (!node->alive || now_ms_ < node->frozen_until_ms ||
         Entry_IsClosed(node->entry)) {
-        /* The balancer finds nobody there; the client tries again. */
-        at(now_ms_ + RESUBMIT_MS / 2, [this, number] { submit(number); });
+        /* The load balancer finds no live entry; the client retries. */
+        schedule(now_ms_ + RESUBMIT_MS / 2,
+                 [this, number] { submit(number); });
         return;
     }
     submit_to(node, number);
-    /* An impatient client sends it again while the first still runs. */
-    if (!plan_.once && chance(300)) {
-        at(now_ms_ + (int64_t)below(RESUBMIT_MS),
-           [this, number] { submit(number); });
+    /* An impatient client resubmits while the first attempt still runs. */
+    if (!plan_.no_retries && chance(300)) {
+        schedule(now_ms_ + (int64_t)below(RESUBMIT_MS),
+                 [this, number] { submit(number); });
     }
 }
 
@@ -62,10 +63,10 @@
     spec.repeatable = job.repeatable;
     spec.tasks = payloads.data();
     spec.count = job.tasks;
-    job.open++;
+    job.pending++;
     report_.requests++;
     attempts_.push_back(
-        {number, node->address, node->life, false, node->draining});
+        {number, node->address, node->generation, false, node->draining});
     trace(node, "submit " + key_text(job.key));
     Entry_Submit(node->entry, time_of(node), attempts_.size() - 1, &spec);
 }
@@ -84,12 +85,13 @@
     }
     attempt.answered = true;
     trace(node, "answer " + key_text(job.key) + " " + Err_Text(answer->kind));
-    job.open--;
+    job.pending--;
     report_.kinds[Err_Text(answer->kind)]++;
     if (!Key_Equal(&answer->key, &job.key)) {
         report_.wrong.push_back("an answer for another key");
     }
-    if (plan_.planned && node->draining && answer->kind == ERR_OWNER_LOST) {
+    if (plan_.planned_only && node->draining &&
+        answer->kind == ERR_OWNER_LOST) {
         report_.cut_off.push_back(key_text(job.key) +
                                   " was cut off by a planned stop");
     }
@@ -121,9 +123,9 @@
         return;
     }
     (outcome == OUTCOME_NOT_RUN ? report_.not_run : report_.unknown)++;
-    if (!plan_.once && chance(800)) {
-        at(now_ms_ + answer->retry_ms + (int64_t)below(RESUBMIT_MS),
-           [this, number] { submit(number); });
+    if (!plan_.no_retries && chance(800)) {
+        schedule(now_ms_ + answer->retry_ms + (int64_t)below(RESUBMIT_MS),
+                 [this, number] { submit(number); });
     }
 }
 
@@ -141,9 +143,10 @@
     bool large = strcmp(group, "large") == 0;
     json_t *value = json_pack(
         "{s:I, s:I, s:I, s:I}", "weight", (json_int_t)weight, "max_running",
-        (json_int_t)(large ? plan_.cap : 0), "starts_per_s",
-        (json_int_t)(large ? plan_.rate : 0), "max_wait_ms",
-        (json_int_t)(large && plan_.rate == 0 ? 0 : plan_.max_wait_ms));
+        (json_int_t)(large ? plan_.max_running : 0), "starts_per_s",
+        (json_int_t)(large ? plan_.starts_per_s : 0), "max_wait_ms",
+        (json_int_t)(large && plan_.starts_per_s == 0 ? 0
+                                                      : plan_.max_wait_ms));
     Table_RowFromJson(group, value, &row, &status);
     json_decref(value);
     uint64_t base = Table_Version(Entry_Table(node->entry), group);
@@ -166,7 +169,8 @@
         }
         if (plan_.actions.empty()) {
             AcceptedEdit edit = accepted_.back();
-            at(now_ms_ + IN_FORCE_MS, [this, edit] { check_in_force(edit); });
+            schedule(now_ms_ + EDIT_PROPAGATION_MS,
+                     [this, edit] { check_in_force(edit); });
         }
     }
 }
--- a/tests/pump_checks.cc
+++ b/tests/pump_checks.cc
@@ -2,9 +2,9 @@
 
 namespace pump {
 
-/* No row may ever go back to an older version in the life of a node. */
+/* A row must never revert to an older version while a node runs. */
 void
-World::watch_table(Node *node)
+World::check_versions(Node *node)
 {
     const Table *table = node->is_entry ? Entry_Table(node->entry)
                                         : Companion_Table(node->companion);
@@ -22,9 +22,9 @@
     }
 }
 
-/* A planned stop must leave nobody waiting. */
+/* After a planned shutdown no task may run and no caller may wait. */
 void
-World::check_stop(const Node *node)
+World::check_shutdown(const Node *node)
 {
     if (node->running > 0) {
         report_.cut_off.push_back(format("%s stopped with %lld tasks running",
@@ -32,15 +32,15 @@
                                          (long long)node->running));
     }
     for (const Attempt &attempt : attempts_) {
-        if (attempt.entry == node->address && attempt.life == node->life &&
-            !attempt.answered) {
+        if (attempt.entry == node->address &&
+            attempt.generation == node->generation && !attempt.answered) {
             report_.cut_off.push_back(key_text(jobs_[attempt.job].key) +
                                       " was cut off by a planned stop");
         }
     }
 }
 
-/* Without faults an accepted edit is in force everywhere by now. */
+/* Without faults an accepted edit must have reached every node by now. */
 void
 World::check_in_force(const AcceptedEdit &edit)
 {
@@ -77,25 +77,30 @@
     }
 }
 
-/* Starts of the limited group within any time of some lengths. An entry may
- * save its share of two seconds and starts one task at least; while views
- * change, two may stand side by side, and each new life has savings anew. */
+/*
+ * Checks the start rate of the limited group over sliding windows of several
+ * lengths. An entry may accumulate its share of two seconds and may always
+ * start one task; while views change, two views may be in use at the same
+ * time, and each restarted entry begins with a full bucket.
+ */
 void
 World::check_rate()
 {
     bool calm = plan_.actions.empty();
-    int64_t saved = 2 * plan_.rate * (1 + (int64_t)plan_.actions.size()) +
+    int64_t saved = 2 * plan_.starts_per_s *
+                        (1 + (int64_t)plan_.actions.size()) +
                     plan_.entries;
 
     for (int64_t window_ms : {1000, 2000, 4000}) {
-        int64_t most = plan_.rate * window_ms / 1000 * (calm ? 1 : 2) + saved;
+        int64_t most = plan_.starts_per_s * window_ms / 1000 * (calm ? 1 : 2) +
+                       saved;
         size_t first = 0;
         for (size_t last = 0; last < large_starts_.size(); last++) {
             while (large_starts_[last] - large_starts_[first] >= window_ms) {
                 first++;
             }
             int64_t count = (int64_t)(last - first + 1);
-            if (plan_.rate > 0 && count > most) {
+            if (plan_.starts_per_s > 0 && count > most) {
                 report_.limit.push_back(format(
                     "%lld starts within %lld ms, at most %lld",
                     (long long)count, (long long)window_ms, (long long)most));
@@ -114,7 +119,7 @@
         started.insert(key_text(start.key));
     }
     for (const Job &job : jobs_) {
-        if (job.attempts > 0 && job.open == 0 && job.all_not_run &&
+        if (job.attempts > 0 && job.pending == 0 && job.all_not_run &&
             started.count(key_text(job.key)) > 0) {
             report_.false_not_run.push_back(key_text(job.key) +
                                             " was said not to have run");
@@ -122,7 +127,8 @@
     }
     for (const Attempt &attempt : attempts_) {
         const Node *node = find(attempt.entry);
-        if (!attempt.answered && node->alive && node->life == attempt.life) {
+        if (!attempt.answered && node->alive &&
+            node->generation == attempt.generation) {
             report_.unanswered.push_back(key_text(jobs_[attempt.job].key) +
                                          " at " + Address_Text(attempt.entry));
         }
--- a/tests/pump_faults.cc
+++ b/tests/pump_faults.cc
@@ -4,7 +4,10 @@
 
 namespace pump {
 
-/* Bit i of `sides` tells the side of node i; the log is on side 0. */
+/*
+ * Partitions the cluster: bit i of `sides` is the side of node i; the log is
+ * on side 0.
+ */
 void
 World::split(uint32_t sides, int64_t end_ms)
 {
@@ -25,7 +28,7 @@
         }
     }
     cuts_.insert(cut.begin(), cut.end());
-    at(end_ms, [this, all, cut] {
+    schedule(end_ms, [this, all, cut] {
         for (auto &pair : cut) {
             cuts_.erase(pair);
         }
@@ -55,7 +58,7 @@
     case Fault::KillCompanion: {
         Address address = action.fault == Fault::KillEntry ? entry : companion;
         kill(find(address));
-        at(end_ms, [this, address] {
+        schedule(end_ms, [this, address] {
             if (!find(address)->alive) {
                 boot(find(address));
             }
@@ -81,21 +84,21 @@
         if (action.length_ms % 2 == 0) {
             cuts_.insert({other, any});
         }
-        at(end_ms, [this, any, other] {
+        schedule(end_ms, [this, any, other] {
             cuts_.erase({any, other});
             cuts_.erase({other, any});
         });
         break;
     case Fault::CutAll:
         log_cuts_.insert(any);
-        at(end_ms, [this, any] { log_cuts_.erase(any); });
+        schedule(end_ms, [this, any] { log_cuts_.erase(any); });
         [[fallthrough]];
     case Fault::CutNode:
         for (auto &pair : nodes_) {
             cuts_.insert({any, pair.first});
             cuts_.insert({pair.first, any});
         }
-        at(end_ms, [this, any] {
+        schedule(end_ms, [this, any] {
             for (auto &pair : nodes_) {
                 cuts_.erase({any, pair.first});
                 cuts_.erase({pair.first, any});
@@ -104,14 +107,14 @@
         break;
     case Fault::CutLog:
         log_cuts_.insert(entry);
-        at(end_ms, [this, entry] { log_cuts_.erase(entry); });
+        schedule(end_ms, [this, entry] { log_cuts_.erase(entry); });
         break;
     case Fault::LogOutage:
         log_down_ = true;
-        at(end_ms, [this] { log_down_ = false; });
+        schedule(end_ms, [this] { log_down_ = false; });
         break;
     case Fault::LoseConfirm:
-        lose_confirm_ += 1 + (int)(action.target % 4);
+        lose_confirms_ += 1 + (int)(action.target % 4);
         break;
     case Fault::DrainEntry:
         if (find(entry)->alive && !find(entry)->draining) {
@@ -131,7 +134,7 @@
     case Fault::LeaveCompanion:
         publish_hosts(companion, true, true, HOST_LAG_MS / 2);
         leaving_since_[companion] = now_ms_;
-        at(end_ms, [this, companion] {
+        schedule(end_ms, [this, companion] {
             leaving_since_.erase(companion);
             publish_hosts(companion, true, false, 0);
         });
@@ -144,7 +147,7 @@
         break;
     case Fault::Burst:
         for (int i = 0; i < 15; i++) {
-            new_job();
+            submit_new_job();
         }
         break;
     case Fault::Split:
@@ -155,7 +158,7 @@
     }
 }
 
-/* Ends all faults; every host comes back. */
+/* Ends all faults and restarts all dead nodes. */
 void
 World::heal()
 {
@@ -163,7 +166,7 @@
     cuts_.clear();
     log_cuts_.clear();
     log_down_ = false;
-    lose_confirm_ = 0;
+    lose_confirms_ = 0;
     for (auto &pair : nodes_) {
         pair.second->frozen_until_ms = 0;
         publish_hosts(pair.first, true, false, 0);
--- a/tests/pump_world.h
+++ b/tests/pump_world.h
@@ -1,8 +1,8 @@
 /**
  * @file pump_world.h
- * @brief Inside of the pump, shared by its parts: the world of nodes, the
- * messages between them (pump.cc), its faults (pump_faults.cc), its callers
- * and operators (pump_callers.cc) and its checks (pump_checks.cc).
+ * @brief Internals of the cluster simulation, shared by its parts: the nodes
+ * and the messages between them (pump.cc), the faults (pump_faults.cc), the
+ * callers and operators (pump_callers.cc) and the checks (pump_checks.cc).
  */
 #ifndef LC_TESTS_PUMP_WORLD_H
 #define LC_TESTS_PUMP_WORLD_H
@@ -18,13 +18,13 @@
 constexpr int64_t HOST_LAG_MS = 300;
 constexpr int64_t SKEW_MS = 60;
 constexpr int64_t WARM_UP_MS = 700;
-constexpr int64_t HEALED_MS = 9000;
+constexpr int64_t RECOVERY_MS = 9000;
 constexpr int64_t RESUBMIT_MS = 700;
 constexpr int64_t RETRANSMIT_MS = 40;
 constexpr int64_t HANG_MS = 3000;
 constexpr int64_t RETENTION_MS = 1500;
 constexpr int64_t LEAVING_GRACE_MS = 600;
-constexpr int64_t IN_FORCE_MS = 4000;
+constexpr int64_t EDIT_PROPAGATION_MS = 4000;
 constexpr int MAX_ATTEMPTS = 12;
 constexpr Address BASE = (Address)0x7f000001 << 16;
 
@@ -34,7 +34,7 @@
 /** Text of a key. */
 std::string key_text(const Key &key);
 
-/** What the upstream answers for a task. */
+/** Result that the upstream returns for a task. */
 std::string result_text(const Key &key, uint32_t index);
 
 struct Start {
@@ -44,21 +44,21 @@
     Address companion;
 };
 
-/* One job of a client, with all its attempts under one key. */
+/* One job of a client; all its attempts have the same key. */
 struct Job {
     Key key;
     uint32_t tasks = 0;
     bool repeatable = true;
     int attempts = 0;
-    int open = 0; /* attempts without an answer */
+    int pending = 0; /* attempts without an answer */
     bool all_not_run = true;
-    bool ended = false; /* done or failed was told */
+    bool ended = false; /* an answer said done or failed */
 };
 
 struct Attempt {
     size_t job;
     Address entry;
-    uint64_t life; /* which life of the entry it was sent to */
+    uint64_t generation; /* of the entry when it was sent */
     bool answered = false;
     bool to_draining = false;
 };
@@ -86,7 +86,7 @@
     bool draining = false;
     bool restart_after_drain = true;
     int64_t drained_ms = 0;
-    uint64_t life = 0;
+    uint64_t generation = 0; /* number of boots */
     int64_t frozen_until_ms = 0;
     int64_t skew_ms = 0;
     lc_node self{};
@@ -94,7 +94,7 @@
     Companion *companion = nullptr;
     std::map<std::string, uint64_t> versions;
     int64_t running = 0;
-    /* Calls sent and not ended: id -> callee. */
+    /* Pending calls: id -> callee. */
     std::map<uint64_t, Address> calls;
 };
 
@@ -112,9 +112,9 @@
     }
 };
 
-struct OwedReply {
+struct PendingReply {
     Address caller;
-    uint64_t caller_life;
+    uint64_t caller_generation;
     uint64_t call_id;
     Address callee;
     Msg_Kind kind;
@@ -154,7 +154,7 @@
     std::set<std::pair<Address, Address>> cuts_;
     std::set<Address> log_cuts_;
     bool log_down_ = false;
-    int lose_confirm_ = 0;
+    int lose_confirms_ = 0;
     std::vector<std::string> log_;
     std::vector<int64_t> log_times_;
     uint64_t log_first_ = 1;
@@ -166,11 +166,11 @@
     std::vector<EditRequest> edit_requests_;
     std::set<std::pair<std::string, uint64_t>> bases_;
     std::vector<AcceptedEdit> accepted_;
-    std::map<uint64_t, OwedReply> owed_;
-    uint64_t next_owed_ = 0;
+    std::map<uint64_t, PendingReply> pending_replies_;
+    uint64_t next_reply_id_ = 0;
     std::map<Address, int64_t> leaving_since_;
     std::map<std::string, int64_t> running_;
-    std::vector<int64_t> large_starts_; /* of the limited group */
+    std::vector<int64_t> large_starts_; /* of the group "large" */
     uint64_t incarnations_ = 0;
     bool faults_on_ = true;
 
@@ -178,38 +178,39 @@
     uint64_t below(uint64_t limit);
     bool chance(uint32_t permille);
     int64_t delay();
-    void at(int64_t when_ms, std::function<void()> act);
-    void to_node(Address address, uint64_t life, int64_t when_ms,
-                 std::function<void(Node *)> act);
+    void schedule(int64_t when_ms, std::function<void()> act);
+    void schedule_input(Address address, uint64_t generation, int64_t when_ms,
+                        std::function<void(Node *)> act);
     Node_Time time_of(const Node *node) const;
     Node *find(Address address);
     bool is_cut(Address from, Address to) const;
     void boot(Node *node);
     void kill(Node *node);
     void tick(Node *node);
-    void poll_log(Address address, uint64_t life);
-    void poll_hosts(Address address, uint64_t life);
+    void poll_log(Address address, uint64_t generation);
+    void poll_hosts(Address address, uint64_t generation);
     void give_log(Node *node, int64_t asked_ms);
     void publish_hosts(Address address, bool listed, bool leaving,
                        int64_t lag_ms);
-    void deliver_call(Address from, uint64_t from_life, Address to,
+    void deliver_call(Address from, uint64_t from_generation, Address to,
                       uint64_t call_id, GByteArray *bytes);
-    void when_uncut(Address from, Address to, std::function<void()> act);
-    void take_call(Node *node, const OwedReply &owed, const std::string &data);
-    void take_reply(const OwedReply &owed, const std::string &data);
-    void end_call(Address caller, uint64_t life, uint64_t call_id,
+    void when_connected(Address from, Address to, std::function<void()> act);
+    void handle_call(Node *node, const PendingReply &pending,
+                     const std::string &data);
+    void handle_reply(const PendingReply &pending, const std::string &data);
+    void end_call(Address caller, uint64_t generation, uint64_t call_id,
                   const Msg_Reply *reply);
-    void lose_call(Address caller, uint64_t life, uint64_t call_id,
+    void lose_call(Address caller, uint64_t generation, uint64_t call_id,
                    int64_t after_ms);
     void submit(size_t job);
     void submit_to(Node *node, size_t job);
-    void new_job();
+    void submit_new_job();
     void edit(const char *group);
     void inject(const Action &action);
     void split(uint32_t sides, int64_t end_ms);
     void heal();
-    void watch_table(Node *node);
-    void check_stop(const Node *node);
+    void check_versions(Node *node);
+    void check_shutdown(const Node *node);
     void check_in_force(const AcceptedEdit &edit);
     void check_end();
     void check_starts();
@@ -218,7 +219,7 @@
     void check_table();
 };
 
-/** Prints what a node does, if PUMP_TRACE is set. */
+/** Prints a trace line of a node if PUMP_TRACE is set. */
 void trace(const Node *node, const std::string &text);
 
 } // namespace pump
--- a/tests/slopes.c
+++ b/tests/slopes.c
@@ -1,8 +1,9 @@
 /*
- * Slopes for docs/CAPACITY.md: what one more job, task, companion, member,
- * group or inherited start costs a node, by least squares over four sizes.
- * One node of core/ with fake peers that answer at once; every message is
- * encoded, so that bytes and the codec's time count.
+ * Marginal costs for docs/CAPACITY.md: the memory, bytes or time that one more
+ * job, task, companion, member, group or inherited start costs a node, as the
+ * slope of a least-squares fit over four sizes. One node of core/ runs
+ * with fake peers that answer at once; every message is encoded, so that its
+ * bytes and the time of the codec count.
  *
  * usage: slopes [NAME...]
  */
@@ -24,7 +25,7 @@
 #define TICK_MS 50
 #define US_PER_S 1e6
 
-/* A call that the fake peers have not answered. */
+/* A call that the fake peers have not answered yet. */
 typedef struct {
     uint64_t id;
     Address to;
@@ -41,9 +42,9 @@
     uint64_t messages;
     GByteArray *scratch;
     uint32_t slots;
-    uint32_t inherited; /* starts told by each inventory */
+    uint32_t inherited; /* starts reported in each inventory */
     uint64_t answers;
-} world;
+} slope_fixture;
 
 static double
 cpu_us(void)
@@ -63,26 +64,26 @@
 static void
 port_call(void *context, Address to, uint64_t call_id, const Msg_Call *call)
 {
-    world *all = context;
+    slope_fixture *fixture = context;
     waiting_call waiting = {call_id, to, call->kind, {{0}}};
 
-    g_byte_array_set_size(all->scratch, 0);
-    Msg_EncodeCall(call, 1, all->scratch);
-    all->bytes += all->scratch->len;
-    all->messages++;
-    g_array_append_val(all->calls, waiting);
+    g_byte_array_set_size(fixture->scratch, 0);
+    Msg_EncodeCall(call, 1, fixture->scratch);
+    fixture->bytes += fixture->scratch->len;
+    fixture->messages++;
+    g_array_append_val(fixture->calls, waiting);
 }
 
 static void
 port_reply(void *context, uint64_t reply_id, const Msg_Reply *reply)
 {
-    world *all = context;
+    slope_fixture *fixture = context;
 
     (void)reply_id;
-    g_byte_array_set_size(all->scratch, 0);
-    Msg_EncodeReply(reply, 1, all->scratch);
-    all->bytes += all->scratch->len;
-    all->messages++;
+    g_byte_array_set_size(fixture->scratch, 0);
+    Msg_EncodeReply(reply, 1, fixture->scratch);
+    fixture->bytes += fixture->scratch->len;
+    fixture->messages++;
 }
 
 static void
@@ -97,7 +98,7 @@
 {
     (void)request;
     (void)answer;
-    ((world *)context)->answers++;
+    ((slope_fixture *)context)->answers++;
 }
 
 static void
@@ -133,37 +134,37 @@
     return node;
 }
 
-/* Takes a reply's bytes into account and gives it to the entry. */
+/* Counts the bytes of a reply and delivers it to the entry. */
 static void
-give(world *all, uint64_t call_id, const Msg_Reply *reply)
+deliver_reply(slope_fixture *fixture, uint64_t call_id, const Msg_Reply *reply)
 {
     Msg_Record record;
     Msg_Reply decoded;
 
-    g_byte_array_set_size(all->scratch, 0);
-    Msg_EncodeReply(reply, 1, all->scratch);
-    all->bytes += all->scratch->len;
-    all->messages++;
-    Msg_Decode(all->scratch->data + MSG_MARK_SIZE,
-               all->scratch->len - MSG_MARK_SIZE, &record);
+    g_byte_array_set_size(fixture->scratch, 0);
+    Msg_EncodeReply(reply, 1, fixture->scratch);
+    fixture->bytes += fixture->scratch->len;
+    fixture->messages++;
+    Msg_Decode(fixture->scratch->data + MSG_MARK_SIZE,
+               fixture->scratch->len - MSG_MARK_SIZE, &record);
     if (Msg_DecodeReply(
-            reply->kind, all->scratch->data + MSG_MARK_SIZE + record.body,
-            all->scratch->len - MSG_MARK_SIZE - record.body, &decoded)) {
-        Entry_OnReply(all->entry, all->now, call_id, &decoded);
+            reply->kind, fixture->scratch->data + MSG_MARK_SIZE + record.body,
+            fixture->scratch->len - MSG_MARK_SIZE - record.body, &decoded)) {
+        Entry_OnReply(fixture->entry, fixture->now, call_id, &decoded);
         Msg_FreeReply(&decoded);
     }
 }
 
 static void
-fill_inventory(world *all, const lc_node *node, Msg_Reply *reply,
+fill_inventory(slope_fixture *fixture, const lc_node *node, Msg_Reply *reply,
                GArray *tasks)
 {
     static char group[] = "group";
     static char result[100];
     uint32_t i;
 
-    for (i = 0; i < all->inherited; i++) {
-        Key key = Key_Mint(all->now.wall_ms, node->incarnation,
+    for (i = 0; i < fixture->inherited; i++) {
+        Key key = Key_Mint(fixture->now.wall_ms, node->incarnation,
                            (uint64_t)i * 7919);
         lc_started started;
         memset(&started, 0, sizeof(started));
@@ -181,12 +182,13 @@
 }
 
 static void
-answer_one(world *all, const waiting_call *call)
+answer_one(slope_fixture *fixture, const waiting_call *call)
 {
     static char result[100];
     static char nothing[] = "";
     lc_node node = peer_node((uint32_t)(call->to - peer_node(0).address));
-    lc_position position = {all->records + 1, Entry_View(all->entry)->epoch};
+    lc_position position = {fixture->records + 1,
+                            Entry_View(fixture->entry)->epoch};
     GArray *tasks = g_array_new(FALSE, FALSE, sizeof(lc_started));
     Msg_Reply reply = {.kind = call->kind};
 
@@ -194,8 +196,8 @@
     case MSG_PING:
         reply.u.ping.node = node;
         reply.u.ping.role = LC_ROLE_COMPANION;
-        reply.u.ping.slots = all->slots;
-        reply.u.ping.free = all->slots;
+        reply.u.ping.slots = fixture->slots;
+        reply.u.ping.free = fixture->slots;
         reply.u.ping.position = position;
         break;
     case MSG_RELAY:
@@ -203,14 +205,14 @@
         break;
     case MSG_START:
         reply.u.start.code = 200;
-        reply.u.start.free = all->slots;
+        reply.u.start.free = fixture->slots;
         reply.u.start.grant_group = nothing;
         reply.u.start.position = position;
         reply.u.start.result.result_len = sizeof(result);
         reply.u.start.result.result_val = result;
         break;
     case MSG_INVENTORY:
-        fill_inventory(all, &node, &reply, tasks);
+        fill_inventory(fixture, &node, &reply, tasks);
         reply.u.inventory.position = position;
         break;
     case MSG_SETTLE:
@@ -221,35 +223,36 @@
         g_array_unref(tasks);
         return;
     }
-    give(all, call->id, &reply);
+    deliver_reply(fixture, call->id, &reply);
     g_array_unref(tasks);
 }
 
 static void
-answer_all(world *all)
+answer_all(slope_fixture *fixture)
 {
-    while (all->calls->len > 0) {
-        GArray *calls = all->calls;
+    while (fixture->calls->len > 0) {
+        GArray *calls = fixture->calls;
         guint i;
-        all->calls = g_array_new(FALSE, FALSE, sizeof(waiting_call));
+        fixture->calls = g_array_new(FALSE, FALSE, sizeof(waiting_call));
         for (i = 0; i < calls->len; i++) {
-            answer_one(all, &g_array_index(calls, waiting_call, i));
+            answer_one(fixture, &g_array_index(calls, waiting_call, i));
         }
         g_array_unref(calls);
     }
 }
 
 static void
-read_record(world *all, const char *text)
+apply_record(slope_fixture *fixture, const char *text)
 {
-    lc_record record = {++all->records, (char *)(uintptr_t)text};
-    Entry_LogRead read = {all->now.mono_ms, 1, all->records + 1, &record, 1};
+    lc_record record = {++fixture->records, (char *)(uintptr_t)text};
+    Entry_LogRead read = {fixture->now.mono_ms, 1, fixture->records + 1,
+                          &record, 1};
 
-    Entry_OnLog(all->entry, all->now, &read);
+    Entry_OnLog(fixture->entry, fixture->now, &read);
 }
 
 static void
-add_member(GArray *changes, const char *op, const lc_node *node, bool is_entry)
+add_change(GArray *changes, const char *op, const lc_node *node, bool is_entry)
 {
     View_Change change = {op, *node, is_entry, true};
 
@@ -257,90 +260,91 @@
 }
 
 static void
-change_view(world *all, GArray *changes)
+change_view(slope_fixture *fixture, GArray *changes)
 {
-    char *text = View_Record(Entry_View(all->entry), all->now.wall_ms,
+    char *text = View_Record(Entry_View(fixture->entry), fixture->now.wall_ms,
                              changes);
 
-    read_record(all, text);
+    apply_record(fixture, text);
     free(text);
     g_array_set_size(changes, 0);
 }
 
 static void
-pass(world *all, int64_t ms)
-{
-    int64_t passed;
-
-    for (passed = 0; passed < ms; passed += TICK_MS) {
-        Entry_LogRead read = {all->now.mono_ms, 1, all->records + 1, NULL, 0};
-        all->now.mono_ms += TICK_MS;
-        all->now.wall_ms += TICK_MS;
-        if (passed % 250 == 0) {
-            read.asked_ms = all->now.mono_ms;
-            Entry_OnLog(all->entry, all->now, &read);
+advance(slope_fixture *fixture, int64_t ms)
+{
+    int64_t elapsed_ms;
+
+    for (elapsed_ms = 0; elapsed_ms < ms; elapsed_ms += TICK_MS) {
+        Entry_LogRead read = {fixture->now.mono_ms, 1, fixture->records + 1,
+                              NULL, 0};
+        fixture->now.mono_ms += TICK_MS;
+        fixture->now.wall_ms += TICK_MS;
+        if (elapsed_ms % 250 == 0) {
+            read.asked_ms = fixture->now.mono_ms;
+            Entry_OnLog(fixture->entry, fixture->now, &read);
         }
-        Entry_Tick(all->entry, all->now);
-        answer_all(all);
+        Entry_Tick(fixture->entry, fixture->now);
+        answer_all(fixture);
     }
 }
 
-/* An entry in a view with so many companions and groups. */
-static world *
-new_world(uint32_t companions, uint32_t groups)
+/* Creates an entry in a view with these numbers of companions and groups. */
+static slope_fixture *
+new_fixture(uint32_t companions, uint32_t groups)
 {
-    world *all = g_new0(world, 1);
+    slope_fixture *fixture = g_new0(slope_fixture, 1);
     lc_node self = {0x7f0000010001ULL, 100};
     Board_Config config = Board_Defaults(self);
     GArray *changes = g_array_new(FALSE, FALSE, sizeof(View_Change));
     Members_Host *hosts = g_new0(Members_Host, companions + 1);
     uint32_t i;
 
-    all->now.mono_ms = 1000000;
-    all->now.wall_ms = WALL_MS;
-    all->slots = 8;
-    all->calls = g_array_new(FALSE, FALSE, sizeof(waiting_call));
-    all->scratch = g_byte_array_new();
+    fixture->now.mono_ms = 1000000;
+    fixture->now.wall_ms = WALL_MS;
+    fixture->slots = 8;
+    fixture->calls = g_array_new(FALSE, FALSE, sizeof(waiting_call));
+    fixture->scratch = g_byte_array_new();
     config.max_jobs = 10000000;
     config.max_answer_bytes = (size_t)1 << 33;
-    all->entry = Entry_New(&config, &ports, all, all->now);
-    add_member(changes, "add", &self, true);
-    change_view(all, changes);
+    fixture->entry = Entry_New(&config, &ports, fixture, fixture->now);
+    add_change(changes, "add", &self, true);
+    change_view(fixture, changes);
     for (i = 0; i < groups; i++) {
         char *text = g_strdup_printf("{\"kind\":\"edit\",\"id\":\"%u\","
                                      "\"group\":\"group%u\",\"base\":0,"
                                      "\"row\":{}}",
                                      i, i);
-        read_record(all, text);
+        apply_record(fixture, text);
         g_free(text);
     }
     for (i = 0; i < companions; i++) {
         lc_node node = peer_node(i);
-        add_member(changes, "add", &node, false);
+        add_change(changes, "add", &node, false);
         hosts[i].address = node.address;
         hosts[i].role = LC_ROLE_COMPANION;
     }
     if (companions > 0) {
-        change_view(all, changes);
-        Entry_OnHosts(all->entry, all->now, hosts, companions);
+        change_view(fixture, changes);
+        Entry_OnHosts(fixture->entry, fixture->now, hosts, companions);
     }
     g_array_unref(changes);
     g_free(hosts);
-    pass(all, 2000);
-    return all;
+    advance(fixture, 2000);
+    return fixture;
 }
 
 static void
-free_world(world *all)
+free_fixture(slope_fixture *fixture)
 {
-    Entry_Free(all->entry);
-    g_array_unref(all->calls);
-    g_byte_array_unref(all->scratch);
-    g_free(all);
+    Entry_Free(fixture->entry);
+    g_array_unref(fixture->calls);
+    g_byte_array_unref(fixture->scratch);
+    g_free(fixture);
 }
 
 static void
-run_job(world *all, uint32_t tasks)
+run_job(slope_fixture *fixture, uint32_t tasks)
 {
     static lc_payload payloads[LC_MAX_TASKS];
     Admission_Spec spec = {.group = "group0",
@@ -348,14 +352,14 @@
                            .tasks = payloads,
                            .count = tasks};
 
-    spec.key = Entry_MintKey(all->entry, all->now);
-    Entry_Submit(all->entry, all->now, 1, &spec);
-    answer_all(all);
+    spec.key = Entry_MintKey(fixture->entry, fixture->now);
+    Entry_Submit(fixture->entry, fixture->now, 1, &spec);
+    answer_all(fixture);
 }
 
 typedef struct {
     const char *name;
-    const char *unit; /* of the figure, for each one more of `of` */
+    const char *unit; /* of the cost per additional item `of` */
     const char *of;
     double sizes[SIZES];
     double (*measure)(double size);
@@ -364,112 +368,112 @@
 static double
 job_bytes(double size)
 {
-    world *all = new_world(16, 1);
+    slope_fixture *fixture = new_fixture(16, 1);
     double before = heap_bytes();
     double used;
     uint32_t i;
 
     for (i = 0; i < (uint32_t)size; i++) {
-        run_job(all, 1);
+        run_job(fixture, 1);
     }
     used = heap_bytes() - before;
-    free_world(all);
+    free_fixture(fixture);
     return used;
 }
 
-/* Of jobs with so many tasks each, per job. */
+/* Memory per job of `size` tasks. */
 static double
 task_bytes(double size)
 {
-    world *all = new_world(16, 1);
+    slope_fixture *fixture = new_fixture(16, 1);
     double before = heap_bytes();
     double used;
     uint32_t i;
 
     for (i = 0; i < 200; i++) {
-        run_job(all, (uint32_t)size);
+        run_job(fixture, (uint32_t)size);
     }
     used = heap_bytes() - before;
-    free_world(all);
+    free_fixture(fixture);
     return used / 200.0;
 }
 
 static double
 job_time(double size)
 {
-    world *all = new_world(630, 70);
+    slope_fixture *fixture = new_fixture(630, 70);
     double before = cpu_us();
     double used;
     uint32_t i;
 
     for (i = 0; i < (uint32_t)size; i++) {
-        run_job(all, 1);
+        run_job(fixture, 1);
     }
     used = cpu_us() - before;
-    free_world(all);
+    free_fixture(fixture);
     return used;
 }
 
 static double
 task_time(double size)
 {
-    world *all = new_world(630, 70);
+    slope_fixture *fixture = new_fixture(630, 70);
     double before = cpu_us();
     double used;
     uint32_t i;
 
     for (i = 0; i < 100; i++) {
-        run_job(all, (uint32_t)size);
+        run_job(fixture, (uint32_t)size);
     }
     used = cpu_us() - before;
-    free_world(all);
+    free_fixture(fixture);
     return used / 100.0;
 }
 
-/* Time of 1,000 jobs of one task among so many companions. */
+/* Time per job of one task with `size` companions, over 1,000 jobs. */
 static double
 task_time_by_companions(double size)
 {
-    world *all = new_world((uint32_t)size, 70);
+    slope_fixture *fixture = new_fixture((uint32_t)size, 70);
     double before = cpu_us();
     double used;
     uint32_t i;
 
     for (i = 0; i < 1000; i++) {
-        run_job(all, 1);
+        run_job(fixture, 1);
     }
     used = (cpu_us() - before) / 1000.0;
-    free_world(all);
+    free_fixture(fixture);
     return used;
 }
 
 static double
 idle_time(double size)
 {
-    world *all = new_world((uint32_t)size, 70);
+    slope_fixture *fixture = new_fixture((uint32_t)size, 70);
     double before;
     double used;
 
-    pass(all, 10000);
+    advance(fixture, 10000);
     before = cpu_us();
-    pass(all, 30000);
+    advance(fixture, 30000);
     used = (cpu_us() - before) / 30.0;
-    free_world(all);
+    free_fixture(fixture);
     return used;
 }
 
 static double
 idle_bytes(double size)
 {
-    world *all = new_world((uint32_t)size, 70);
+    slope_fixture *fixture = new_fixture((uint32_t)size, 70);
     uint64_t before;
     double used;
 
-    pass(all, 10000);
-    before = all->bytes;
-    pass(all, 30000);
-    used = (double)(all->bytes - before) / 30.0;
-    free_world(all);
+    advance(fixture, 10000);
+    before = fixture->bytes;
+    advance(fixture, 30000);
+    used = (double)(fixture->bytes - before) / 30.0;
+    free_fixture(fixture);
     return used;
 }
 
@@ -477,18 +481,18 @@
 companion_heap(double size)
 {
     double before = heap_bytes();
-    world *all = new_world((uint32_t)size, 70);
+    slope_fixture *fixture = new_fixture((uint32_t)size, 70);
     double used = heap_bytes() - before;
 
-    free_world(all);
+    free_fixture(fixture);
     return used;
 }
 
-/* A companion is replaced, among so many: time to apply and relay. */
+/* Time to apply and relay a view change: one of `size` companions restarts. */
 static double
 view_change_time(double size)
 {
-    world *all = new_world((uint32_t)size, 70);
+    slope_fixture *fixture = new_fixture((uint32_t)size, 70);
     GArray *changes = g_array_new(FALSE, FALSE, sizeof(View_Change));
     double before = cpu_us();
     double used;
@@ -497,73 +501,73 @@
     for (i = 0; i < 20; i++) {
         lc_node node = peer_node(i);
         node.incarnation += 1000;
-        add_member(changes, "add", &node, false);
-        change_view(all, changes);
+        add_change(changes, "add", &node, false);
+        change_view(fixture, changes);
     }
     used = (cpu_us() - before) / 20.0;
     g_array_unref(changes);
-    free_world(all);
+    free_fixture(fixture);
     return used;
 }
 
 static double
 snapshot_bytes_by_members(double size)
 {
-    world *all = new_world((uint32_t)size, 70);
+    slope_fixture *fixture = new_fixture((uint32_t)size, 70);
     Fold *fold = Fold_New(600000);
-    json_t *view = View_ToJson(Entry_View(all->entry));
+    json_t *view = View_ToJson(Entry_View(fixture->entry));
     char *text = json_dumps(view, JSON_COMPACT);
     double length = (double)strlen(text);
 
     free(text);
     json_decref(view);
     Fold_Free(fold);
-    free_world(all);
+    free_fixture(fixture);
     return length;
 }
 
 static double
 snapshot_bytes_by_groups(double size)
 {
-    world *all = new_world(1, (uint32_t)size);
-    json_t *table = Table_ToJson(Entry_Table(all->entry));
+    slope_fixture *fixture = new_fixture(1, (uint32_t)size);
+    json_t *table = Table_ToJson(Entry_Table(fixture->entry));
     char *text = json_dumps(table, JSON_COMPACT);
     double length = (double)strlen(text);
 
     free(text);
     json_decref(table);
-    free_world(all);
+    free_fixture(fixture);
     return length;
 }
 
-/* Another entry is lost: time to take over so many starts of its. */
+/* Time to take over `size` starts of another entry that is lost. */
 static double
 takeover_time(double size)
 {
-    world *all = new_world(100, 1);
+    slope_fixture *fixture = new_fixture(100, 1);
     GArray *changes = g_array_new(FALSE, FALSE, sizeof(View_Change));
     lc_node other = {0x7f0000010002ULL, 200};
     double before;
     double used;
 
-    add_member(changes, "add", &other, true);
-    change_view(all, changes);
-    pass(all, 1000);
-    all->inherited = (uint32_t)size / 100;
+    add_change(changes, "add", &other, true);
+    change_view(fixture, changes);
+    advance(fixture, 1000);
+    fixture->inherited = (uint32_t)size / 100;
     before = cpu_us();
-    add_member(changes, "remove", &other, true);
-    change_view(all, changes);
-    pass(all, 1000);
+    add_change(changes, "remove", &other, true);
+    change_view(fixture, changes);
+    advance(fixture, 1000);
     used = cpu_us() - before;
     g_array_unref(changes);
-    free_world(all);
+    free_fixture(fixture);
     return used;
 }
 
 static double
 record_bytes(double size)
 {
-    Records *records = Records_New(10000000, (size_t)1 << 33);
+    TaskRecords *records = TaskRecords_New(10000000, (size_t)1 << 33);
     char result[100];
     double before = heap_bytes();
     double used;
@@ -572,12 +576,12 @@
     memset(result, 'x', sizeof(result));
     for (i = 0; i < (uint32_t)size; i++) {
         Key key = Key_Mint(WALL_MS, i, i);
-        Record *record = Records_Add(records, &key, 0);
-        Records_End(records, record, LC_TASK_DONE, 200, result, sizeof(result),
-                    0);
+        TaskRecord *record = TaskRecords_Add(records, &key, 0);
+        TaskRecords_End(records, record, LC_TASK_DONE, 200, result,
+                        sizeof(result), 0);
     }
     used = heap_bytes() - before;
-    Records_Free(records);
+    TaskRecords_Free(records);
     return used;
 }
 
@@ -646,7 +650,7 @@
 };
 
 static void
-fit(const slope *row)
+print_fit(const slope *row)
 {
     double values[SIZES];
     double mean_x = 0.0;
@@ -690,7 +694,7 @@
             wanted = wanted || strcmp(argv[j], slopes[i].name) == 0;
         }
         if (wanted) {
-            fit(&slopes[i]);
+            print_fit(&slopes[i]);
         }
     }
     return 0;
