--- a/core/companion.c
+++ b/core/companion.c
@@ -653,11 +653,11 @@
 void
 Companion_Tick(Companion *companion, Node_Time now)
 {
-    uint32_t lapsed;
+    uint32_t expired;
 
     companion->now = now;
-    lapsed = Arbiter_Lapse(companion->arbiter, now.mono_ms);
-    Counter_Add(&companion->counters, COUNTER_WASTED_GRANT, lapsed);
+    expired = Arbiter_Lapse(companion->arbiter, now.mono_ms);
+    Counter_Add(&companion->counters, COUNTER_WASTED_GRANT, expired);
     TaskRecords_Expire(companion->records, now.mono_ms -
                                                companion->config.window_ms -
                                                2 * companion->config.skew_ms);
--- a/core/companion.h
+++ b/core/companion.h
@@ -62,7 +62,7 @@
 /** Performs periodic work; call at least every 100 ms. */
 void Companion_Tick(Companion *companion, Node_Time now);
 
-/** Begins the planned shutdown: no new tasks are started. */
+/** Begins the graceful shutdown: no new tasks are started. */
 void Companion_Drain(Companion *companion, Node_Time now);
 
 /** Whether no task runs any more after Companion_Drain. */
--- a/core/drain.h
+++ b/core/drain.h
@@ -1,6 +1,6 @@
 /**
  * @file drain.h
- * @brief Controller of the planned shutdown of an entry: the entry gives up
+ * @brief Controller of the graceful shutdown of an entry: the entry gives up
  * the ownership of keys, finishes its jobs, and leaves the view when no
  * caller or peer waits for an answer.
  */
@@ -9,7 +9,7 @@
 
 #include "core/board.h"
 
-/** Begins the planned shutdown. */
+/** Begins the graceful shutdown. */
 void Drain_Start(Board *board);
 
 /** Whether the entry drains and has left the view: no new requests. */
--- a/core/entry.h
+++ b/core/entry.h
@@ -68,16 +68,16 @@
 /** Performs periodic work; call at least every 100 ms. */
 void Entry_Tick(Entry *entry, Node_Time now);
 
-/** Begins the planned shutdown. */
+/** Begins the graceful shutdown. */
 void Entry_Drain(Entry *entry, Node_Time now);
 
 /**
- * Whether the entry has left the view during its planned shutdown, so that
+ * Whether the entry has left the view during its graceful shutdown, so that
  * callers must use another entry.
  */
 bool Entry_IsClosed(const Entry *entry);
 
-/** Whether the planned shutdown is complete. */
+/** Whether the graceful shutdown is complete. */
 bool Entry_IsDrained(const Entry *entry);
 
 /**
--- a/core/ownership.c
+++ b/core/ownership.c
@@ -65,7 +65,7 @@
 {
     const View *view = Board_View(board);
     const lc_node *self = &board->config.self;
-    int64_t minted_ms = Key_Time(key);
+    int64_t created_ms = Key_Time(key);
     const Settled *settled;
     const View_Epoch *oldest;
     guint first = view->epochs->len;
@@ -88,11 +88,11 @@
         return OWN_UNSETTLED;
     }
     oldest = &g_array_index(view->epochs, View_Epoch, 0);
-    if (minted_ms < board->overflow_before_ms ||
-        minted_ms < oldest->at_ms - board->config.skew_ms) {
+    if (created_ms < board->overflow_before_ms ||
+        created_ms < oldest->at_ms - board->config.skew_ms) {
         return OWN_UNSURE;
     }
-    if (minted_ms < settled->unsure_before_ms &&
+    if (created_ms < settled->unsure_before_ms &&
         had_departed_owner(view, first, key)) {
         return OWN_UNSURE;
     }
--- a/core/recovery.h
+++ b/core/recovery.h
@@ -35,7 +35,7 @@
 /**
  * Merges the starts of @p found (Recovery_Started) into the ledger and
  * resolves the jobs whose holder has left the view: recovered from the
- * reports of companions, never started, or, if their key was minted before
+ * reports of companions, never started, or, if their key was created before
  * @p unsure_before_ms (wall clock), possibly lost.
  */
 void Recovery_Merge(Board *board, const GPtrArray *found,
--- a/tests/prop_cluster.cc
+++ b/tests/prop_cluster.cc
@@ -149,11 +149,11 @@
 }
 
 pump::Plan
-planned_shutdown_plan()
+graceful_shutdown_plan()
 {
     pump::Plan plan;
 
-    plan.planned_only = true;
+    plan.graceful_only = true;
     plan.companions = 3;
     plan.slots = 1;
     plan.late_permille = 0;
@@ -177,7 +177,7 @@
                       : kind == "capped"  ? max_running_plan()
                       : kind == "split"   ? split_plan()
                       : kind == "loaded"  ? overload_plan()
-                      : kind == "planned" ? planned_shutdown_plan()
+                      : kind == "planned" ? graceful_shutdown_plan()
                                           : pump::Plan();
     in >> plan.seed;
     while (in >> fault >> comma >> action.at_ms >> comma >> action.length_ms >>
@@ -248,7 +248,7 @@
                    3);
     });
     property("planned replacement of every process", [] {
-        check_plan(planned_shutdown_plan(),
+        check_plan(graceful_shutdown_plan(),
                    {pump::Fault::DrainEntry, pump::Fault::DrainCompanion,
                     pump::Fault::LeaveCompanion, pump::Fault::LogOutage,
                     pump::Fault::Burst},
--- a/tests/pump.cc
+++ b/tests/pump.cc
@@ -25,7 +25,7 @@
     static const bool wanted = getenv("PUMP_TRACE") != nullptr;
 
     if (wanted) {
-        fprintf(stderr, "%6lld %s %s\n", (long long)node->world->now_ms(),
+        fprintf(stderr, "%6lld %s %s\n", (long long)node->simulation->now_ms(),
                 Address_Text(node->address), text.c_str());
     }
 }
@@ -43,36 +43,37 @@
 const Node_Ports ports = {
     .call =
         [](void *context, Address to, uint64_t call_id, const Msg_Call *call) {
-            node_of(context)->world->on_call(node_of(context), to, call_id,
-                                             call);
+            node_of(context)->simulation->on_call(node_of(context), to,
+                                                  call_id, call);
         },
     .reply =
         [](void *context, uint64_t reply_id, const Msg_Reply *reply) {
-            node_of(context)->world->on_reply(node_of(context), reply_id,
-                                              reply);
+            node_of(context)->simulation->on_reply(node_of(context), reply_id,
+                                                   reply);
         },
     .reset =
         [](void *context, Address to) {
-            node_of(context)->world->on_reset(node_of(context), to);
+            node_of(context)->simulation->on_reset(node_of(context), to);
         },
     .answer =
         [](void *context, uint64_t request, const Node_Answer *answer) {
-            node_of(context)->world->on_answer(node_of(context), request,
-                                               answer);
+            node_of(context)->simulation->on_answer(node_of(context), request,
+                                                    answer);
         },
     .append =
         [](void *context, uint64_t append_id, const char *record) {
-            node_of(context)->world->on_append(node_of(context), append_id,
-                                               record);
+            node_of(context)->simulation->on_append(node_of(context),
+                                                    append_id, record);
         },
     .edited =
         [](void *context, uint64_t request, const Status *status,
            uint64_t version) {
-            node_of(context)->world->on_edited(request, status, version);
+            node_of(context)->simulation->on_edited(request, status, version);
         },
     .run =
         [](void *context, uint64_t run_id, const Node_Task *task) {
-            node_of(context)->world->on_run(node_of(context), run_id, task);
+            node_of(context)->simulation->on_run(node_of(context), run_id,
+                                                 task);
         },
     .event =
         [](void *context, Event_Id id, const char *detail) {
@@ -98,12 +99,12 @@
     return key_text(key) + "/" + std::to_string(index);
 }
 
-World::World(const Plan &plan)
+Simulation::Simulation(const Plan &plan)
     : plan_(plan), random_(Random_Seed(plan.seed * 2))
 {
     for (uint32_t i = 0; i < plan.entries + plan.companions; i++) {
         auto node = std::make_unique<Node>();
-        node->world = this;
+        node->simulation = this;
         node->address = BASE | (7001 + i);
         node->is_entry = i < plan.entries;
         node->skew_ms = (int64_t)below(SKEW_MS) - SKEW_MS / 2;
@@ -113,7 +114,7 @@
     }
 }
 
-World::~World()
+Simulation::~Simulation()
 {
     for (auto &pair : nodes_) {
         Entry_Free(pair.second->entry);
@@ -122,25 +123,25 @@
 }
 
 uint64_t
-World::random()
+Simulation::random()
 {
     return Random_Next(&random_);
 }
 
 uint64_t
-World::below(uint64_t limit)
+Simulation::below(uint64_t limit)
 {
     return limit == 0 ? 0 : (random() >> 16) % limit;
 }
 
 bool
-World::chance(uint32_t permille)
+Simulation::chance(uint32_t permille)
 {
     return below(1000) < permille;
 }
 
 int64_t
-World::delay()
+Simulation::delay()
 {
     if (faults_on_ && chance(plan_.late_permille)) {
         return (int64_t)below((uint64_t)plan_.late_ms);
@@ -149,7 +150,7 @@
 }
 
 void
-World::schedule(int64_t when_ms, std::function<void()> act)
+Simulation::schedule(int64_t when_ms, std::function<void()> act)
 {
     events_.push({when_ms, ++order_, std::move(act)});
 }
@@ -159,8 +160,8 @@
  * the freeze ends.
  */
 void
-World::schedule_input(Address address, uint64_t generation, int64_t when_ms,
-                      std::function<void(Node *)> act)
+Simulation::schedule_input(Address address, uint64_t generation,
+                           int64_t when_ms, std::function<void(Node *)> act)
 {
     schedule(when_ms, [this, address, generation, act = std::move(act)] {
         Node *node = find(address);
@@ -176,25 +177,25 @@
 }
 
 Node_Time
-World::time_of(const Node *node) const
+Simulation::time_of(const Node *node) const
 {
     return {now_ms_ + 1000000, START_WALL_MS + now_ms_ + node->skew_ms};
 }
 
 Node *
-World::find(Address address)
+Simulation::find(Address address)
 {
     return nodes_.at(address).get();
 }
 
 bool
-World::is_cut(Address from, Address to) const
+Simulation::is_cut(Address from, Address to) const
 {
     return cuts_.count({from, to}) > 0;
 }
 
 void
-World::boot(Node *node)
+Simulation::boot(Node *node)
 {
     Node_Time now = time_of(node);
 
@@ -251,7 +252,7 @@
 }
 
 void
-World::kill(Node *node)
+Simulation::kill(Node *node)
 {
     if (!node->alive) {
         return;
@@ -271,7 +272,7 @@
 }
 
 void
-World::tick(Node *node)
+Simulation::tick(Node *node)
 {
     Address address = node->address;
     uint64_t generation = node->generation;
@@ -311,7 +312,7 @@
 }
 
 void
-World::poll_log(Address address, uint64_t generation)
+Simulation::poll_log(Address address, uint64_t generation)
 {
     int64_t asked_ms = time_of(find(address)).mono_ms;
 
@@ -348,7 +349,7 @@
 }
 
 void
-World::poll_hosts(Address address, uint64_t generation)
+Simulation::poll_hosts(Address address, uint64_t generation)
 {
     schedule_input(address, generation, now_ms_ + HOSTS_POLL_MS,
                    [this, generation](Node *node) {
@@ -363,8 +364,8 @@
 }
 
 void
-World::publish_hosts(Address address, bool listed, bool leaving,
-                     int64_t lag_ms)
+Simulation::publish_hosts(Address address, bool listed, bool leaving,
+                          int64_t lag_ms)
 {
     bool is_entry = address < BASE + 7001 + plan_.entries;
     Members_Host row = {address, is_entry ? LC_ROLE_ENTRY : LC_ROLE_COMPANION,
@@ -381,8 +382,8 @@
 }
 
 void
-World::lose_call(Address caller, uint64_t generation, uint64_t call_id,
-                 int64_t after_ms)
+Simulation::lose_call(Address caller, uint64_t generation, uint64_t call_id,
+                      int64_t after_ms)
 {
     schedule_input(
         caller, generation, now_ms_ + after_ms, [this, call_id](Node *node) {
@@ -391,8 +392,8 @@
 }
 
 void
-World::end_call(Address caller, uint64_t generation, uint64_t call_id,
-                const Msg_Reply *reply)
+Simulation::end_call(Address caller, uint64_t generation, uint64_t call_id,
+                     const Msg_Reply *reply)
 {
     Node *node = find(caller);
 
@@ -409,7 +410,8 @@
 }
 
 void
-World::on_call(Node *node, Address to, uint64_t call_id, const Msg_Call *call)
+Simulation::on_call(Node *node, Address to, uint64_t call_id,
+                    const Msg_Call *call)
 {
     Address from = node->address;
     uint64_t generation = node->generation;
@@ -443,7 +445,7 @@
  * its caller, but the copy in flight may still arrive.
  */
 void
-World::when_connected(Address from, Address to, std::function<void()> act)
+Simulation::when_connected(Address from, Address to, std::function<void()> act)
 {
     if (!is_cut(from, to)) {
         act();
@@ -454,8 +456,8 @@
 }
 
 void
-World::handle_call(Node *node, const PendingReply &pending,
-                   const std::string &data)
+Simulation::handle_call(Node *node, const PendingReply &pending,
+                        const std::string &data)
 {
     Msg_Record record;
     uint64_t id = ++next_reply_id_;
@@ -477,8 +479,8 @@
 }
 
 void
-World::deliver_call(Address from, uint64_t from_generation, Address to,
-                    uint64_t call_id, GByteArray *bytes)
+Simulation::deliver_call(Address from, uint64_t from_generation, Address to,
+                         uint64_t call_id, GByteArray *bytes)
 {
     uint64_t to_generation = find(to)->generation;
     std::string data((const char *)bytes->data + MSG_MARK_SIZE,
@@ -494,7 +496,7 @@
 }
 
 void
-World::handle_reply(const PendingReply &pending, const std::string &data)
+Simulation::handle_reply(const PendingReply &pending, const std::string &data)
 {
     Msg_Record record;
     Msg_Reply decoded;
@@ -513,7 +515,7 @@
 }
 
 void
-World::on_reply(Node *node, uint64_t reply_id, const Msg_Reply *reply)
+Simulation::on_reply(Node *node, uint64_t reply_id, const Msg_Reply *reply)
 {
     auto found = pending_replies_.find(reply_id);
 
@@ -537,7 +539,7 @@
 }
 
 void
-World::on_reset(Node *node, Address to)
+Simulation::on_reset(Node *node, Address to)
 {
     for (auto &pair : node->calls) {
         if (pair.second == to) {
@@ -547,7 +549,7 @@
 }
 
 void
-World::on_append(Node *node, uint64_t append_id, const char *text)
+Simulation::on_append(Node *node, uint64_t append_id, const char *text)
 {
     Address address = node->address;
     uint64_t generation = node->generation;
@@ -574,7 +576,7 @@
 }
 
 void
-World::on_run(Node *node, uint64_t run_id, const Node_Task *task)
+Simulation::on_run(Node *node, uint64_t run_id, const Node_Task *task)
 {
     Address address = node->address;
     uint64_t generation = node->generation;
@@ -622,7 +624,7 @@
 }
 
 Report
-World::run()
+Simulation::run()
 {
     for (auto &pair : nodes_) {
         boot(pair.second.get());
@@ -687,9 +689,9 @@
 Report
 run(const Plan &plan)
 {
-    World world(plan);
+    Simulation simulation(plan);
 
-    return world.run();
+    return simulation.run();
 }
 
 } // namespace pump
--- a/tests/pump.h
+++ b/tests/pump.h
@@ -43,8 +43,8 @@
     CutLog,         /**< an entry is partitioned from the log */
     LogOutage,      /**< the log answers no node */
     LoseConfirm,    /**< appends take effect, but are not confirmed */
-    DrainEntry,     /**< planned shutdown, then a restart */
-    DrainCompanion, /**< planned shutdown, then a restart */
+    DrainEntry,     /**< graceful shutdown, then a restart */
+    DrainCompanion, /**< graceful shutdown, then a restart */
     LeaveCompanion, /**< only the host list says that it is leaving */
     ExpireLog,      /**< the log deletes all but the newest records */
     Burst,          /**< many jobs are submitted at once */
@@ -81,13 +81,13 @@
     size_t max_bytes = 1 << 20;
     uint32_t hang_permille = 0; /**< tasks that exceed their timeout */
     uint32_t resubmit_permille =
-        0;                     /**< jobs that are submitted twice at once */
-    int64_t evidence_ms = 300; /**< validity of membership evidence */
-    bool no_retries = false;   /**< callers never submit a job again */
-    bool planned_only = false; /**< no crashes: no job may be cut off */
-    int64_t max_running = 0;   /**< max_running of the group "large" */
-    int64_t starts_per_s = 0;  /**< starts_per_s of the group "large" */
-    int64_t max_wait_ms = 0;   /**< of the group "small" */
+        0;                      /**< jobs that are submitted twice at once */
+    int64_t evidence_ms = 300;  /**< validity of membership evidence */
+    bool no_retries = false;    /**< callers never submit a job again */
+    bool graceful_only = false; /**< no crashes: no job may be cut off */
+    int64_t max_running = 0;    /**< max_running of the group "large" */
+    int64_t starts_per_s = 0;   /**< starts_per_s of the group "large" */
+    int64_t max_wait_ms = 0;    /**< of the group "small" */
     int64_t window_ms = 20000;
     std::vector<Action> actions;
 };
--- a/tests/pump_callers.cc
+++ b/tests/pump_callers.cc
@@ -5,7 +5,7 @@
 namespace pump {
 
 void
-World::submit_new_job()
+Simulation::submit_new_job()
 {
     Job job;
 
@@ -22,7 +22,7 @@
 }
 
 void
-World::submit(size_t number)
+Simulation::submit(size_t number)
 {
     Job &job = jobs_[number];
     Node *node = find(entries_[below(entries_.size())]);
@@ -47,7 +47,7 @@
 }
 
 void
-World::submit_to(Node *node, size_t number)
+Simulation::submit_to(Node *node, size_t number)
 {
     Job &job = jobs_[number];
     std::vector<lc_payload> payloads(job.tasks);
@@ -72,7 +72,7 @@
 }
 
 void
-World::on_answer(Node *node, uint64_t request, const Node_Answer *answer)
+Simulation::on_answer(Node *node, uint64_t request, const Node_Answer *answer)
 {
     Attempt &attempt = attempts_[request];
     Job &job = jobs_[attempt.job];
@@ -90,10 +90,10 @@
     if (!Key_Equal(&answer->key, &job.key)) {
         report_.wrong.push_back("an answer for another key");
     }
-    if (plan_.planned_only && node->draining &&
+    if (plan_.graceful_only && node->draining &&
         answer->kind == ERR_OWNER_LOST) {
         report_.cut_off.push_back(key_text(job.key) +
-                                  " was cut off by a planned stop");
+                                  " was cut off by a graceful shutdown");
     }
     if (outcome != OUTCOME_NOT_RUN) {
         job.all_not_run = false;
@@ -130,7 +130,7 @@
 }
 
 void
-World::edit(const char *group)
+Simulation::edit(const char *group)
 {
     Node *node = find(entries_[below(entries_.size())]);
     Table_Row row;
@@ -156,7 +156,7 @@
 }
 
 void
-World::on_edited(uint64_t request, const Status *status, uint64_t version)
+Simulation::on_edited(uint64_t request, const Status *status, uint64_t version)
 {
     const EditRequest &asked = edit_requests_[request];
 
--- a/tests/pump_checks.cc
+++ b/tests/pump_checks.cc
@@ -4,7 +4,7 @@
 
 /* A row must never revert to an older version while a node runs. */
 void
-World::check_versions(Node *node)
+Simulation::check_versions(Node *node)
 {
     const Table *table = node->is_entry ? Entry_Table(node->entry)
                                         : Companion_Table(node->companion);
@@ -22,9 +22,9 @@
     }
 }
 
-/* After a planned shutdown no task may run and no caller may wait. */
+/* After a graceful shutdown no task may run and no caller may wait. */
 void
-World::check_shutdown(const Node *node)
+Simulation::check_shutdown(const Node *node)
 {
     if (node->running > 0) {
         report_.cut_off.push_back(format("%s stopped with %lld tasks running",
@@ -35,14 +35,14 @@
         if (attempt.entry == node->address &&
             attempt.generation == node->generation && !attempt.answered) {
             report_.cut_off.push_back(key_text(jobs_[attempt.job].key) +
-                                      " was cut off by a planned stop");
+                                      " was cut off by a graceful shutdown");
         }
     }
 }
 
 /* Without faults an accepted edit must have reached every node by now. */
 void
-World::check_in_force(const AcceptedEdit &edit)
+Simulation::check_in_force(const AcceptedEdit &edit)
 {
     for (auto &pair : nodes_) {
         const Node *node = pair.second.get();
@@ -58,7 +58,7 @@
 }
 
 void
-World::check_starts()
+Simulation::check_starts()
 {
     std::map<std::string, const Start *> seen;
 
@@ -84,7 +84,7 @@
  * time, and each restarted entry begins with a full bucket.
  */
 void
-World::check_rate()
+Simulation::check_rate()
 {
     bool calm = plan_.actions.empty();
     int64_t saved = 2 * plan_.starts_per_s *
@@ -111,7 +111,7 @@
 }
 
 void
-World::check_jobs()
+Simulation::check_jobs()
 {
     std::set<std::string> started;
 
@@ -136,7 +136,7 @@
 }
 
 void
-World::check_table()
+Simulation::check_table()
 {
     std::map<std::string, const AcceptedEdit *> last;
 
@@ -170,7 +170,7 @@
 }
 
 void
-World::check_end()
+Simulation::check_end()
 {
     check_starts();
     check_rate();
--- a/tests/pump_faults.cc
+++ b/tests/pump_faults.cc
@@ -9,7 +9,7 @@
  * on side 0.
  */
 void
-World::split(uint32_t sides, int64_t end_ms)
+Simulation::split(uint32_t sides, int64_t end_ms)
 {
     std::vector<Address> all(entries_);
     std::vector<std::pair<Address, Address>> cut;
@@ -39,7 +39,7 @@
 }
 
 void
-World::inject(const Action &action)
+Simulation::inject(const Action &action)
 {
     Address entry = entries_[action.target % entries_.size()];
     Address companion = companions_[action.target % companions_.size()];
@@ -160,7 +160,7 @@
 
 /* Ends all faults and restarts all dead nodes. */
 void
-World::heal()
+Simulation::heal()
 {
     faults_on_ = false;
     cuts_.clear();
--- a/tests/pump_world.h
+++ b/tests/pump_world.h
@@ -76,10 +76,10 @@
     int64_t at_ms;
 };
 
-class World;
+class Simulation;
 
 struct Node {
-    World *world = nullptr;
+    Simulation *simulation = nullptr;
     Address address = 0;
     bool is_entry = false;
     bool alive = false;
@@ -120,10 +120,10 @@
     Msg_Kind kind;
 };
 
-class World {
+class Simulation {
   public:
-    explicit World(const Plan &plan);
-    ~World();
+    explicit Simulation(const Plan &plan);
+    ~Simulation();
     Report run();
 
     /* Ports. */
