--- a/core/fold.h
+++ b/core/fold.h
@@ -72,8 +72,7 @@
 /** Number of records since the last snapshot. */
 uint64_t Fold_SinceSnapshot(const Fold *fold);
 
-/** Encodes an edit record; @p row NULL deletes the row. Release with free().
- */
+/** Encodes an edit record; @p row NULL deletes. Release with free(). */
 char *Fold_EditRecord(const char *id, const char *group, uint64_t base,
                       const Table_Row *row);
 
--- a/tests/pump.h
+++ b/tests/pump.h
@@ -1,9 +1,9 @@
 /**
  * @file pump.h
- * @brief Deterministic simulation of a cluster: many nodes of core/ in one
- * process, connected by a simulated network that delays, reorders, duplicates
- * and loses messages, with network partitions, freezes, kills, log outages,
- * lost append confirmations, a lagging host list and skewed clocks.
+ * @brief Simulation of a cluster: many nodes of core/ in one process,
+ * connected by a simulated network that delays, reorders, duplicates and loses
+ * messages, with network partitions, freezes, kills, log outages, lost append
+ * confirmations, a lagging host list and skewed clocks.
  *
  * Only the message interface is simulated. The checks rely on the upstreams'
  * lists of task starts and on the answers that callers received, never on
@@ -79,15 +79,14 @@
     uint32_t max_jobs = 1000;
     uint32_t max_records = 1000;
     size_t max_bytes = 1 << 20;
-    uint32_t hang_permille = 0; /**< tasks that exceed their timeout */
-    uint32_t resubmit_permille =
-        0;                      /**< jobs that are submitted twice at once */
-    int64_t evidence_ms = 300;  /**< validity of membership evidence */
-    bool no_retries = false;    /**< callers never submit a job again */
-    bool graceful_only = false; /**< no crashes: no job may be cut off */
-    int64_t max_running = 0;    /**< max_running of the group "large" */
-    int64_t starts_per_s = 0;   /**< starts_per_s of the group "large" */
-    int64_t max_wait_ms = 0;    /**< of the group "small" */
+    uint32_t hang_permille = 0;     /**< tasks that exceed their timeout */
+    uint32_t resubmit_permille = 0; /**< jobs submitted twice at once */
+    int64_t evidence_ms = 300;      /**< validity of membership evidence */
+    bool no_retries = false;        /**< callers never submit a job again */
+    bool graceful_only = false;     /**< no crashes: no job may be cut off */
+    int64_t max_running = 0;        /**< max_running of the group "large" */
+    int64_t starts_per_s = 0;       /**< starts_per_s of the group "large" */
+    int64_t max_wait_ms = 0;        /**< of the group "small" */
     int64_t window_ms = 20000;
     std::vector<Action> actions;
 };
--- a/tests/pump_callers.cc
+++ b/tests/pump_callers.cc
@@ -158,14 +158,15 @@
 void
 Simulation::on_edited(uint64_t request, const Status *status, uint64_t version)
 {
-    const EditRequest &asked = edit_requests_[request];
+    const EditRequest &sent_edit = edit_requests_[request];
 
     if (status->kind == ERR_OK) {
-        accepted_.push_back({asked.group, asked.weight, version, now_ms_});
-        if (!bases_.insert({asked.group, asked.base}).second) {
-            report_.table.push_back(
-                format("two edits of %s based on %llu were accepted",
-                       asked.group.c_str(), (unsigned long long)asked.base));
+        accepted_.push_back(
+            {sent_edit.group, sent_edit.weight, version, now_ms_});
+        if (!bases_.insert({sent_edit.group, sent_edit.base}).second) {
+            report_.table.push_back(format(
+                "two edits of %s based on %llu were accepted",
+                sent_edit.group.c_str(), (unsigned long long)sent_edit.base));
         }
         if (plan_.actions.empty()) {
             AcceptedEdit edit = accepted_.back();
--- a/tests/pump_checks.cc
+++ b/tests/pump_checks.cc
@@ -86,24 +86,26 @@
 void
 Simulation::check_rate()
 {
-    bool calm = plan_.actions.empty();
-    int64_t saved = 2 * plan_.starts_per_s *
+    bool no_faults = plan_.actions.empty();
+    int64_t burst = 2 * plan_.starts_per_s *
                         (1 + (int64_t)plan_.actions.size()) +
                     plan_.entries;
 
     for (int64_t window_ms : {1000, 2000, 4000}) {
-        int64_t most = plan_.starts_per_s * window_ms / 1000 * (calm ? 1 : 2) +
-                       saved;
+        int64_t max_starts = plan_.starts_per_s * window_ms / 1000 *
+                                 (no_faults ? 1 : 2) +
+                             burst;
         size_t first = 0;
         for (size_t last = 0; last < large_starts_.size(); last++) {
             while (large_starts_[last] - large_starts_[first] >= window_ms) {
                 first++;
             }
             int64_t count = (int64_t)(last - first + 1);
-            if (plan_.starts_per_s > 0 && count > most) {
-                report_.limit.push_back(format(
-                    "%lld starts within %lld ms, at most %lld",
-                    (long long)count, (long long)window_ms, (long long)most));
+            if (plan_.starts_per_s > 0 && count > max_starts) {
+                report_.limit.push_back(
+                    format("%lld starts within %lld ms, at most %lld",
+                           (long long)count, (long long)window_ms,
+                           (long long)max_starts));
                 return;
             }
         }
