--- a/tests/pump_callers.cc
+++ b/tests/pump_callers.cc
@@ -5,24 +5,24 @@
 namespace pump {
 
 void
-World::new_job()
+Simulation::submit_new_job()
 {
     Job job;
 
     job.key = Key_Mint(START_WALL_MS + now_ms_ + (int64_t)below(SKEW_MS) -
                            SKEW_MS / 2,
                        random(), random());
-    job.tasks = 1 + (uint32_t)below(plan_.most_tasks);
+    job.tasks = 1 + (uint32_t)below(plan_.max_tasks);
     job.repeatable = chance(500);
     jobs_.push_back(job);
     submit(jobs_.size() - 1);
-    if (chance(plan_.twin_permille)) {
+    if (chance(plan_.resubmit_permille)) {
         submit(jobs_.size() - 1);
     }
 }
 
 void
-World::submit(size_t number)
+Simulation::submit(size_t number)
 {
     Job &job = jobs_[number];
     Node *node = find(entries_[below(entries_.size())]);
@@ -33,20 +33,21 @@
     job.attempts++;
     if (!node->alive || now_ms_ < node->frozen_until_ms ||
         Entry_IsClosed(node->entry)) {
-        /* The balancer finds nobody there; the client tries again. */
-        at(now_ms_ + RESUBMIT_MS / 2, [this, number] { submit(number); });
+        /* The load balancer finds no live entry; the client retries. */
+        schedule(now_ms_ + RESUBMIT_MS / 2,
+                 [this, number] { submit(number); });
         return;
     }
     submit_to(node, number);
-    /* An impatient client sends it again while the first still runs. */
-    if (!plan_.once && chance(300)) {
-        at(now_ms_ + (int64_t)below(RESUBMIT_MS),
-           [this, number] { submit(number); });
+    /* An impatient client resubmits while the first attempt still runs. */
+    if (!plan_.no_retries && chance(300)) {
+        schedule(now_ms_ + (int64_t)below(RESUBMIT_MS),
+                 [this, number] { submit(number); });
     }
 }
 
 void
-World::submit_to(Node *node, size_t number)
+Simulation::submit_to(Node *node, size_t number)
 {
     Job &job = jobs_[number];
     std::vector<lc_payload> payloads(job.tasks);
@@ -62,16 +63,16 @@
     spec.repeatable = job.repeatable;
     spec.tasks = payloads.data();
     spec.count = job.tasks;
-    job.open++;
+    job.pending++;
     report_.requests++;
     attempts_.push_back(
-        {number, node->address, node->life, false, node->draining});
+        {number, node->address, node->generation, false, node->draining});
     trace(node, "submit " + key_text(job.key));
     Entry_Submit(node->entry, time_of(node), attempts_.size() - 1, &spec);
 }
 
 void
-World::on_answer(Node *node, uint64_t request, const Node_Answer *answer)
+Simulation::on_answer(Node *node, uint64_t request, const Node_Answer *answer)
 {
     Attempt &attempt = attempts_[request];
     Job &job = jobs_[attempt.job];
@@ -84,14 +85,15 @@
     }
     attempt.answered = true;
     trace(node, "answer " + key_text(job.key) + " " + Err_Text(answer->kind));
-    job.open--;
+    job.pending--;
     report_.kinds[Err_Text(answer->kind)]++;
     if (!Key_Equal(&answer->key, &job.key)) {
         report_.wrong.push_back("an answer for another key");
     }
-    if (plan_.planned && node->draining && answer->kind == ERR_OWNER_LOST) {
+    if (plan_.graceful_only && node->draining &&
+        answer->kind == ERR_OWNER_LOST) {
         report_.cut_off.push_back(key_text(job.key) +
-                                  " was cut off by a planned stop");
+                                  " was cut off by a graceful shutdown");
     }
     if (outcome != OUTCOME_NOT_RUN) {
         job.all_not_run = false;
@@ -121,14 +123,14 @@
         return;
     }
     (outcome == OUTCOME_NOT_RUN ? report_.not_run : report_.unknown)++;
-    if (!plan_.once && chance(800)) {
-        at(now_ms_ + answer->retry_ms + (int64_t)below(RESUBMIT_MS),
-           [this, number] { submit(number); });
+    if (!plan_.no_retries && chance(800)) {
+        schedule(now_ms_ + answer->retry_ms + (int64_t)below(RESUBMIT_MS),
+                 [this, number] { submit(number); });
     }
 }
 
 void
-World::edit(const char *group)
+Simulation::edit(const char *group)
 {
     Node *node = find(entries_[below(entries_.size())]);
     Table_Row row;
@@ -141,9 +143,10 @@
     bool large = strcmp(group, "large") == 0;
     json_t *value = json_pack(
         "{s:I, s:I, s:I, s:I}", "weight", (json_int_t)weight, "max_running",
-        (json_int_t)(large ? plan_.cap : 0), "starts_per_s",
-        (json_int_t)(large ? plan_.rate : 0), "max_wait_ms",
-        (json_int_t)(large && plan_.rate == 0 ? 0 : plan_.max_wait_ms));
+        (json_int_t)(large ? plan_.max_running : 0), "starts_per_s",
+        (json_int_t)(large ? plan_.starts_per_s : 0), "max_wait_ms",
+        (json_int_t)(large && plan_.starts_per_s == 0 ? 0
+                                                      : plan_.max_wait_ms));
     Table_RowFromJson(group, value, &row, &status);
     json_decref(value);
     uint64_t base = Table_Version(Entry_Table(node->entry), group);
@@ -153,20 +156,22 @@
 }
 
 void
-World::on_edited(uint64_t request, const Status *status, uint64_t version)
+Simulation::on_edited(uint64_t request, const Status *status, uint64_t version)
 {
-    const EditRequest &asked = edit_requests_[request];
+    const EditRequest &sent_edit = edit_requests_[request];
 
     if (status->kind == ERR_OK) {
-        accepted_.push_back({asked.group, asked.weight, version, now_ms_});
-        if (!bases_.insert({asked.group, asked.base}).second) {
-            report_.table.push_back(
-                format("two edits of %s based on %llu were accepted",
-                       asked.group.c_str(), (unsigned long long)asked.base));
+        accepted_.push_back(
+            {sent_edit.group, sent_edit.weight, version, now_ms_});
+        if (!bases_.insert({sent_edit.group, sent_edit.base}).second) {
+            report_.table.push_back(format(
+                "two edits of %s based on %llu were accepted",
+                sent_edit.group.c_str(), (unsigned long long)sent_edit.base));
         }
         if (plan_.actions.empty()) {
             AcceptedEdit edit = accepted_.back();
-            at(now_ms_ + IN_FORCE_MS, [this, edit] { check_in_force(edit); });
+            schedule(now_ms_ + EDIT_PROPAGATION_MS,
+                     [this, edit] { check_in_force(edit); });
         }
     }
 }
--- a/tests/pump_checks.cc
+++ b/tests/pump_checks.cc
@@ -2,9 +2,9 @@
 
 namespace pump {
 
-/* No row may ever go back to an older version in the life of a node. */
+/* A row must never revert to an older version while a node runs. */
 void
-World::watch_table(Node *node)
+Simulation::check_versions(Node *node)
 {
     const Table *table = node->is_entry ? Entry_Table(node->entry)
                                         : Companion_Table(node->companion);
@@ -22,9 +22,9 @@
     }
 }
 
-/* A planned stop must leave nobody waiting. */
+/* After a graceful shutdown no task may run and no caller may wait. */
 void
-World::check_stop(const Node *node)
+Simulation::check_shutdown(const Node *node)
 {
     if (node->running > 0) {
         report_.cut_off.push_back(format("%s stopped with %lld tasks running",
@@ -32,17 +32,17 @@
                                          (long long)node->running));
     }
     for (const Attempt &attempt : attempts_) {
-        if (attempt.entry == node->address && attempt.life == node->life &&
-            !attempt.answered) {
+        if (attempt.entry == node->address &&
+            attempt.generation == node->generation && !attempt.answered) {
             report_.cut_off.push_back(key_text(jobs_[attempt.job].key) +
-                                      " was cut off by a planned stop");
+                                      " was cut off by a graceful shutdown");
         }
     }
 }
 
-/* Without faults an accepted edit is in force everywhere by now. */
+/* Without faults an accepted edit must have reached every node by now. */
 void
-World::check_in_force(const AcceptedEdit &edit)
+Simulation::check_in_force(const AcceptedEdit &edit)
 {
     for (auto &pair : nodes_) {
         const Node *node = pair.second.get();
@@ -58,7 +58,7 @@
 }
 
 void
-World::check_starts()
+Simulation::check_starts()
 {
     std::map<std::string, const Start *> seen;
 
@@ -77,28 +77,35 @@
     }
 }
 
-/* Starts of the limited group within any time of some lengths. An entry may
- * save its share of two seconds and starts one task at least; while views
- * change, two may stand side by side, and each new life has savings anew. */
+/*
+ * Checks the start rate of the limited group over sliding windows of several
+ * lengths. An entry may accumulate its share of two seconds and may always
+ * start one task; while views change, two views may be in use at the same
+ * time, and each restarted entry begins with a full bucket.
+ */
 void
-World::check_rate()
+Simulation::check_rate()
 {
-    bool calm = plan_.actions.empty();
-    int64_t saved = 2 * plan_.rate * (1 + (int64_t)plan_.actions.size()) +
+    bool no_faults = plan_.actions.empty();
+    int64_t burst = 2 * plan_.starts_per_s *
+                        (1 + (int64_t)plan_.actions.size()) +
                     plan_.entries;
 
     for (int64_t window_ms : {1000, 2000, 4000}) {
-        int64_t most = plan_.rate * window_ms / 1000 * (calm ? 1 : 2) + saved;
+        int64_t max_starts = plan_.starts_per_s * window_ms / 1000 *
+                                 (no_faults ? 1 : 2) +
+                             burst;
         size_t first = 0;
         for (size_t last = 0; last < large_starts_.size(); last++) {
             while (large_starts_[last] - large_starts_[first] >= window_ms) {
                 first++;
             }
             int64_t count = (int64_t)(last - first + 1);
-            if (plan_.rate > 0 && count > most) {
-                report_.limit.push_back(format(
-                    "%lld starts within %lld ms, at most %lld",
-                    (long long)count, (long long)window_ms, (long long)most));
+            if (plan_.starts_per_s > 0 && count > max_starts) {
+                report_.limit.push_back(
+                    format("%lld starts within %lld ms, at most %lld",
+                           (long long)count, (long long)window_ms,
+                           (long long)max_starts));
                 return;
             }
         }
@@ -106,7 +113,7 @@
 }
 
 void
-World::check_jobs()
+Simulation::check_jobs()
 {
     std::set<std::string> started;
 
@@ -114,7 +121,7 @@
         started.insert(key_text(start.key));
     }
     for (const Job &job : jobs_) {
-        if (job.attempts > 0 && job.open == 0 && job.all_not_run &&
+        if (job.attempts > 0 && job.pending == 0 && job.all_not_run &&
             started.count(key_text(job.key)) > 0) {
             report_.false_not_run.push_back(key_text(job.key) +
                                             " was said not to have run");
@@ -122,7 +129,8 @@
     }
     for (const Attempt &attempt : attempts_) {
         const Node *node = find(attempt.entry);
-        if (!attempt.answered && node->alive && node->life == attempt.life) {
+        if (!attempt.answered && node->alive &&
+            node->generation == attempt.generation) {
             report_.unanswered.push_back(key_text(jobs_[attempt.job].key) +
                                          " at " + Address_Text(attempt.entry));
         }
@@ -130,7 +138,7 @@
 }
 
 void
-World::check_table()
+Simulation::check_table()
 {
     std::map<std::string, const AcceptedEdit *> last;
 
@@ -164,7 +172,7 @@
 }
 
 void
-World::check_end()
+Simulation::check_end()
 {
     check_starts();
     check_rate();
