--- a/tests/fleet_load.c
+++ b/tests/fleet_load.c
@@ -1,8 +1,9 @@
 /*
- * Loads of a large fleet, played in virtual time: what of it is served, how
- * many starts find no room, how evenly hosts are used. "--print PART SEED"
- * writes the figures of the loads whose names have that part ("" for all);
- * with "plain" behind it, of starts that are neither joined nor paced.
+ * Simulated loads on a large fleet, with bounds on the share of jobs that is
+ * served, on starts that find no capacity, and on how evenly hosts are used.
+ * "--print PART SEED" writes the results of the loads whose names contain PART
+ * ("" for all); a further argument "plain" turns joined runs and the pacing of
+ * starts to the link off.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -10,8 +11,8 @@
 
 #include "tests/fleet_world.h"
 
-/* The users' large deployment; usual is 60% of all processors at 1. */
-static const FleetWorld_Shape large = {
+/* The users' large deployment. Load factor 1 takes 60% of all processors. */
+static const FleetSim_Deployment large = {
     .entries = 55,
     .companions = 240,
     .halls = 5,
@@ -22,9 +23,9 @@
               {"check", 1, 900, 2, 200}},
 };
 
-/* That of shifted work: fewer, larger hosts for small tasks, more of the long
- * ones, and a wave. */
-static const FleetWorld_Shape shifted = {
+/* The same with other work: fewer hosts that are larger in relation to the
+ * tasks, more of the long tasks, and a periodic load. */
+static const FleetSim_Deployment shifted = {
     .entries = 11,
     .companions = 65,
     .halls = 3,
@@ -37,9 +38,9 @@
               {"check", 1, 486, 2, 200}},
 };
 
-/* Few entries, one of them with a link that the demand of its hall can fill;
- * half of all processors at 1. */
-static const FleetWorld_Shape narrow = {
+/* Few entries, one of them with a link that the jobs of its hall can saturate.
+ * Load factor 1 takes half of all processors. */
+static const FleetSim_Deployment slow_link = {
     .entries = 8,
     .companions = 54,
     .halls = 4,
@@ -50,264 +51,264 @@
               {"check", 1, 527, 2, 170}},
 };
 
-/* A load, and the least that must be shown. */
+/* A load and the bounds on its results. */
 typedef struct {
     const char *name;
-    FleetWorld_Load load;
-    double worth;          /* at least, of the jobs of the rush */
-    double refused_starts; /* at most, for each start */
-    double spread;         /* at most */
-    double late_share;     /* at least; 0 if no host comes */
-    double first_served;   /* at least, of the jobs of the rush at the first
-                              entry, in time */
+    FleetSim_Load load;
+    double value;          /* least surge_value */
+    double refused_starts; /* most per start sent */
+    double spread;         /* most */
+    double added_share;    /* least; 0 if no host is added */
+    double first_in_time;  /* least share of jobs that reached the first
+                             entry during the surge */
 } load_case;
 
-/* The bounds leave a tenth or so to what was measured. */
+/* The bounds are looser than the results by about a tenth. */
 static const load_case load_cases[] = {
     {"usual load",
-     {.shape = &large,
-      .usual = 0.65,
-      .rush = 0.65,
-      .only = -1,
-      .rush_ms = 1000,
-      .rush_end_ms = 4000,
+     {.deployment = &large,
+      .base_factor = 0.65,
+      .surge_factor = 0.65,
+      .surge_kind = -1,
+      .surge_ms = 1000,
+      .surge_end_ms = 4000,
       .length_ms = 4000},
-     .worth = 0.99,
+     .value = 0.99,
      .refused_starts = 0.1,
      .spread = 0.2,
-     .late_share = 0},
+     .added_share = 0},
     {"a rush on one kind while hosts come",
-     {.shape = &large,
-      .usual = 0.8,
-      .rush = 2,
-      .only = 1,
-      .rush_ms = 1000,
-      .rush_end_ms = 6000,
+     {.deployment = &large,
+      .base_factor = 0.8,
+      .surge_factor = 2,
+      .surge_kind = 1,
+      .surge_ms = 1000,
+      .surge_end_ms = 6000,
       .length_ms = 6000,
-      .late_companions = 48},
-     .worth = 0.98,
+      .added_companions = 48},
+     .value = 0.98,
      .refused_starts = 0.5,
      .spread = 0.15,
-     .late_share = 0.85},
+     .added_share = 0.85},
     {"a burst over all capacity",
-     {.shape = &large,
-      .usual = 1,
-      .rush = 1.8,
-      .only = -1,
-      .rush_ms = 1000,
-      .rush_end_ms = 5000,
+     {.deployment = &large,
+      .base_factor = 1,
+      .surge_factor = 1.8,
+      .surge_kind = -1,
+      .surge_ms = 1000,
+      .surge_end_ms = 5000,
       .length_ms = 6000},
-     .worth = 0.79,
+     .value = 0.79,
      .refused_starts = 0.65,
      .spread = 0.15,
-     .late_share = 0},
+     .added_share = 0},
     {"a third of the entries away",
-     {.shape = &large,
-      .usual = 1,
-      .rush = 1.3,
-      .only = -1,
-      .rush_ms = 1000,
-      .rush_end_ms = 5000,
+     {.deployment = &large,
+      .base_factor = 1,
+      .surge_factor = 1.3,
+      .surge_kind = -1,
+      .surge_ms = 1000,
+      .surge_end_ms = 5000,
       .length_ms = 5000,
-      .away = 0.34},
-     .worth = 0.98,
+      .entries_down = 0.34},
+     .value = 0.98,
      .refused_starts = 0.55,
      .spread = 0.15,
-     .late_share = 0},
+     .added_share = 0},
     {"a tenth of the upstreams flapping",
-     {.shape = &large,
-      .usual = 1,
-      .rush = 1.3,
-      .only = -1,
-      .rush_ms = 1000,
-      .rush_end_ms = 5000,
+     {.deployment = &large,
+      .base_factor = 1,
+      .surge_factor = 1.3,
+      .surge_kind = -1,
+      .surge_ms = 1000,
+      .surge_end_ms = 5000,
       .length_ms = 5000,
       .flapping = 0.1},
-     .worth = 0.9,
+     .value = 0.9,
      .refused_starts = 0.68,
      .spread = 0.2,
-     .late_share = 0},
+     .added_share = 0},
     {"all processes begin together under load",
-     {.shape = &large,
-      .usual = 1,
-      .rush = 1.2,
-      .only = -1,
-      .rush_ms = 1000,
-      .rush_end_ms = 4000,
+     {.deployment = &large,
+      .base_factor = 1,
+      .surge_factor = 1.2,
+      .surge_kind = -1,
+      .surge_ms = 1000,
+      .surge_end_ms = 4000,
       .length_ms = 4000,
-      .fresh_start = true},
-     .worth = 0.98,
+      .restart_all = true},
+     .value = 0.98,
      .refused_starts = 0.55,
      .spread = 0.15,
-     .late_share = 0},
+     .added_share = 0},
     {"one job of a thousand crashes upstreams",
-     {.shape = &large,
-      .usual = 1,
-      .rush = 1,
-      .only = -1,
-      .rush_ms = 1000,
-      .rush_end_ms = 7000,
+     {.deployment = &large,
+      .base_factor = 1,
+      .surge_factor = 1,
+      .surge_kind = -1,
+      .surge_ms = 1000,
+      .surge_end_ms = 7000,
       .length_ms = 8000,
       .crashing = 0.001},
-     .worth = 0.98,
+     .value = 0.98,
      .refused_starts = 0.5,
      .spread = 0.3,
-     .late_share = 0},
+     .added_share = 0},
     {"shifted: usual load and its wave",
-     {.shape = &shifted,
-      .usual = 1,
-      .rush = 1,
-      .only = -1,
-      .rush_ms = 1000,
-      .rush_end_ms = 12000,
+     {.deployment = &shifted,
+      .base_factor = 1,
+      .surge_factor = 1,
+      .surge_kind = -1,
+      .surge_ms = 1000,
+      .surge_end_ms = 12000,
       .length_ms = 12000},
-     .worth = 0.98,
+     .value = 0.98,
      .refused_starts = 0.15,
      .spread = 0.22,
-     .late_share = 0},
+     .added_share = 0},
     {"shifted: a hall closed for 11 s and taken back",
-     {.shape = &shifted,
-      .usual = 1,
-      .rush = 1,
-      .only = -1,
-      .rush_ms = 1000,
-      .rush_end_ms = 12000,
+     {.deployment = &shifted,
+      .base_factor = 1,
+      .surge_factor = 1,
+      .surge_kind = -1,
+      .surge_ms = 1000,
+      .surge_end_ms = 12000,
       .length_ms = 14000,
       .close_ms = 1000,
       .open_ms = 12000},
-     .worth = 0.93,
+     .value = 0.93,
      .refused_starts = 0.37,
      .spread = 0.6,
-     .late_share = 0},
+     .added_share = 0},
     {"shifted: a hall closed and a burst of 1.4 besides",
-     {.shape = &shifted,
-      .usual = 1,
-      .rush = 1.4,
-      .only = -1,
-      .rush_ms = 2000,
-      .rush_end_ms = 6000,
+     {.deployment = &shifted,
+      .base_factor = 1,
+      .surge_factor = 1.4,
+      .surge_kind = -1,
+      .surge_ms = 2000,
+      .surge_end_ms = 6000,
       .length_ms = 9000,
       .close_ms = 1000,
       .open_ms = 8000},
-     .worth = 0.88,
+     .value = 0.88,
      .refused_starts = 0.39,
      .spread = 0.6,
-     .late_share = 0},
+     .added_share = 0},
     {"shifted: a third of the entries away in a burst",
-     {.shape = &shifted,
-      .usual = 1,
-      .rush = 1.5,
-      .only = -1,
-      .rush_ms = 1000,
-      .rush_end_ms = 5000,
+     {.deployment = &shifted,
+      .base_factor = 1,
+      .surge_factor = 1.5,
+      .surge_kind = -1,
+      .surge_ms = 1000,
+      .surge_end_ms = 5000,
       .length_ms = 6000,
-      .away = 0.34},
-     .worth = 0.94,
+      .entries_down = 0.34},
+     .value = 0.94,
      .refused_starts = 0.36,
      .spread = 0.13,
-     .late_share = 0},
+     .added_share = 0},
     {"shifted: a rush of over twice the load",
-     {.shape = &shifted,
-      .usual = 1,
-      .rush = 2.2,
-      .only = -1,
-      .rush_ms = 1000,
-      .rush_end_ms = 5000,
+     {.deployment = &shifted,
+      .base_factor = 1,
+      .surge_factor = 2.2,
+      .surge_kind = -1,
+      .surge_ms = 1000,
+      .surge_end_ms = 5000,
       .length_ms = 6000},
-     .worth = 0.75,
+     .value = 0.75,
      .refused_starts = 0.45,
      .spread = 0.12,
-     .late_share = 0},
+     .added_share = 0},
     {"a rush of over twice the load",
-     {.shape = &large,
-      .usual = 1,
-      .rush = 2.2,
-      .only = -1,
-      .rush_ms = 1000,
-      .rush_end_ms = 5000,
+     {.deployment = &large,
+      .base_factor = 1,
+      .surge_factor = 2.2,
+      .surge_kind = -1,
+      .surge_ms = 1000,
+      .surge_end_ms = 5000,
       .length_ms = 6000},
-     .worth = 0.64,
+     .value = 0.64,
      .refused_starts = 0.66,
      .spread = 0.16,
-     .late_share = 0},
+     .added_share = 0},
 };
 
-/* The narrow link carries some 2,500 starts with a spec a second: enough for
- * what the first entry's callers usually want, not for a burst of theirs. */
+/* The slow link carries about 2,500 starts with a spec per second: enough for
+ * the usual jobs at the first entry, too little for a burst of them. */
 static const load_case link_cases[] = {
     {"narrow link: usual load",
-     {.shape = &narrow,
-      .usual = 1,
-      .rush = 1,
-      .only = -1,
-      .rush_ms = 1000,
-      .rush_end_ms = 5000,
+     {.deployment = &slow_link,
+      .base_factor = 1,
+      .surge_factor = 1,
+      .surge_kind = -1,
+      .surge_ms = 1000,
+      .surge_end_ms = 5000,
       .length_ms = 5000,
       .link_mbps = 25,
-      .demand = 2},
-     .worth = 0.98,
+      .first_entry_factor = 2},
+     .value = 0.98,
      .refused_starts = 0.1,
      .spread = 0.25,
-     .first_served = 0.98},
+     .first_in_time = 0.98},
     {"narrow link: demand of 1.5 beside a burst of all",
-     {.shape = &narrow,
-      .usual = 1,
-      .rush = 1.4,
-      .only = -1,
-      .rush_ms = 1000,
-      .rush_end_ms = 5000,
+     {.deployment = &slow_link,
+      .base_factor = 1,
+      .surge_factor = 1.4,
+      .surge_kind = -1,
+      .surge_ms = 1000,
+      .surge_end_ms = 5000,
       .length_ms = 5000,
       .link_mbps = 25,
-      .demand = 3},
-     .worth = 0.95,
+      .first_entry_factor = 3},
+     .value = 0.95,
      .refused_starts = 0.5,
      .spread = 0.25,
-     .first_served = 0.95},
+     .first_in_time = 0.95},
     {"narrow link: demand of 2.8",
-     {.shape = &narrow,
-      .usual = 1,
-      .rush = 1,
-      .only = -1,
-      .rush_ms = 1000,
-      .rush_end_ms = 5000,
+     {.deployment = &slow_link,
+      .base_factor = 1,
+      .surge_factor = 1,
+      .surge_kind = -1,
+      .surge_ms = 1000,
+      .surge_end_ms = 5000,
       .length_ms = 5000,
       .link_mbps = 25,
-      .demand = 5.6},
-     .worth = 0.95,
+      .first_entry_factor = 5.6},
+     .value = 0.95,
      .refused_starts = 0.5,
      .spread = 0.25,
-     .first_served = 0.95},
+     .first_in_time = 0.95},
     {"narrow link: a tenth of the others'",
-     {.shape = &narrow,
-      .usual = 0.8,
-      .rush = 0.8,
-      .only = -1,
-      .rush_ms = 1000,
-      .rush_end_ms = 5000,
+     {.deployment = &slow_link,
+      .base_factor = 0.8,
+      .surge_factor = 0.8,
+      .surge_kind = -1,
+      .surge_ms = 1000,
+      .surge_end_ms = 5000,
       .length_ms = 5000,
       .link_mbps = 10,
-      .demand = 2.5},
-     .worth = 0.95,
+      .first_entry_factor = 2.5},
+     .value = 0.95,
      .refused_starts = 0.5,
      .spread = 0.25,
-     .first_served = 0.95},
+     .first_in_time = 0.95},
 };
 
 static void
-print_report(const char *name, const FleetWorld_Report *report)
+print_report(const char *name, const FleetSim_Report *report)
 {
     int kind;
 
     printf("%-42s %.3f %.3f | %.3f %5" G_GUINT64_FORMAT
            " | %.3f %.3f %.2f %4d "
            "| %3d %4d |",
-           name, report->worth, report->worth_rush,
+           name, report->value, report->surge_value,
            (double)report->refused_starts / (double)MAX(report->starts, 1),
-           report->refused_free, report->busy_rush, report->spread,
-           report->late_share, (int)report->first_start_ms,
+           report->refused_while_free, report->surge_utilisation,
+           report->spread, report->added_share, (int)report->first_start_ms,
            (int)report->wait_p50_ms, (int)report->wait_p99_ms);
-    for (kind = 0; kind < FLEET_WORLD_KINDS; kind++) {
-        const FleetWorld_Jobs *jobs = &report->kinds[kind];
+    for (kind = 0; kind < FLEET_SIM_KINDS; kind++) {
+        const FleetSim_Outcomes *jobs = &report->kinds[kind];
         printf(" %u/%u/%u/%u", jobs->in_time, jobs->late, jobs->refused,
                jobs->given_up);
     }
@@ -315,9 +316,9 @@
         printf(" | first %u/%u/%u/%u of %u, %d ms queued",
                report->first.in_time, report->first.late,
                report->first.refused, report->first.given_up,
-               report->first.sent, (int)report->queued_most_ms);
+               report->first.sent, (int)report->max_queued_ms);
         printf(", bytes a job");
-        for (kind = 0; kind < FLEET_WORLD_KINDS; kind++) {
+        for (kind = 0; kind < FLEET_SIM_KINDS; kind++) {
             printf(" %.0f", (double)report->first_bytes[kind] /
                                 (double)MAX(report->first_jobs[kind], 1));
         }
@@ -326,22 +327,22 @@
            (double)report->bytes / (double)MAX(report->starts, 1));
     if (report->crashes > 0) {
         printf(" | %u crashes, %u most, %u innocent", report->crashes,
-               report->most_crashes, report->innocent);
+               report->max_job_crashes, report->wrongly_blamed);
     }
     printf("\n");
 }
 
-/* @p plain: starts are neither joined nor paced. */
-static FleetWorld_Report
-play(const load_case *one, uint64_t seed, bool plain)
+/* @p plain: without joined runs and without pacing starts to the link. */
+static FleetSim_Report
+run_load(const load_case *one, uint64_t seed, bool plain)
 {
-    FleetWorld_Load load = one->load;
+    FleetSim_Load load = one->load;
 
     load.seed = seed;
-    /* As an entry does whose settings tell its link. */
+    /* As for an entry whose settings give the bandwidth of its link. */
     load.join_runs = load.link_mbps > 0 && !plain;
-    load.paced = load.join_runs;
-    return FleetWorld_Play(&load);
+    load.link_known = load.join_runs;
+    return FleetSim_Run(&load);
 }
 
 static void
@@ -352,20 +353,20 @@
 
     for (i = 0; i < count; i++) {
         if (strstr(cases[i].name, part) != NULL) {
-            FleetWorld_Report report = play(&cases[i], seed, plain);
+            FleetSim_Report report = run_load(&cases[i], seed, plain);
             print_report(cases[i].name, &report);
         }
     }
 }
 
 static void
-print_all(const char *part, uint64_t seed, bool plain)
+print_loads(const char *part, uint64_t seed, bool plain)
 {
-    printf("load: worth, of the rush | refused starts, refused with a tenth "
-           "free | busy, spread, share of new hosts, their first start | wait "
-           "p50, p99 | quick, long, check: in time/late/refused/given up | "
-           "the same of the entry with the narrow link, the longest wait for "
-           "it\n");
+    printf("load: value, value in the surge | refused starts, refused with a "
+           "tenth free | utilisation, spread, share of added hosts, their "
+           "first start | wait p50, p99 | quick, long, check: in "
+           "time/late/refused/given up | the same at the entry with the slow "
+           "link, its longest queue\n");
     print_table(link_cases, G_N_ELEMENTS(link_cases), part, seed, plain);
     print_table(load_cases, G_N_ELEMENTS(load_cases), part, seed, plain);
 }
@@ -374,16 +375,16 @@
 test_load(gconstpointer item)
 {
     const load_case *one = item;
-    FleetWorld_Report report = play(one, 1, false);
+    FleetSim_Report report = run_load(one, 1, false);
 
-    g_assert_cmpfloat(report.worth_rush, >=, one->worth);
+    g_assert_cmpfloat(report.surge_value, >=, one->value);
     g_assert_cmpfloat((double)report.refused_starts, <=,
                       one->refused_starts * (double)report.starts);
     g_assert_cmpfloat(report.spread, <=, one->spread);
-    g_assert_cmpfloat(report.late_share, >=, one->late_share);
-    g_assert_cmpuint(report.most_crashes, <=, 2);
+    g_assert_cmpfloat(report.added_share, >=, one->added_share);
+    g_assert_cmpuint(report.max_job_crashes, <=, 2);
     g_assert_cmpfloat((double)report.first.in_time, >=,
-                      one->first_served * (double)report.first.sent);
+                      one->first_in_time * (double)report.first.sent);
 }
 
 static void
@@ -404,7 +405,7 @@
     bool plain = argc == 5 && strcmp(argv[4], "plain") == 0;
 
     if (argc >= 4 && strcmp(argv[1], "--print") == 0) {
-        print_all(argv[2], g_ascii_strtoull(argv[3], NULL, 10), plain);
+        print_loads(argv[2], g_ascii_strtoull(argv[3], NULL, 10), plain);
         return 0;
     }
     g_test_init(&argc, &argv, NULL);
--- a/tests/fleet_world.h
+++ b/tests/fleet_world.h
@@ -1,10 +1,10 @@
 /**
  * @file fleet_world.h
- * @brief A large fleet in one process and virtual time: entries, companions
- * with their upstreams, and callers whose load is played.
+ * @brief Simulation of a large fleet in one process and virtual time: entries,
+ * companions with their upstreams, and callers with a given load.
  *
- * For the decisions under load alone. What must hold when messages are lost or
- * nodes fail is played by lease_world.h; here every message arrives.
+ * For scheduling decisions under load only: every message arrives. Lost
+ * messages and failing nodes are simulated in lease_world.h.
  */
 #ifndef LC_TESTS_FLEET_WORLD_H
 #define LC_TESTS_FLEET_WORLD_H
@@ -12,90 +12,102 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define FLEET_WORLD_KINDS 3
-/** A kind of job: its tasks are alike but for chance. */
+#define FLEET_SIM_KINDS 3
+/** A kind of job. The figures are means; each job draws its own around
+ * them. */
 typedef struct {
     const char *queue;
     int32_t priority;
-    double per_s; /**< jobs at usual load */
+    double jobs_per_s; /**< arrivals at load factor 1 */
     uint32_t tasks;
     uint32_t work_ms;
-} FleetWorld_Kind;
+} FleetSim_JobKind;
 
-/** A deployment. */
+/** Size of a deployment and its jobs. */
 typedef struct {
     uint32_t entries;
     uint32_t companions;
     uint32_t halls;
-    uint32_t cpu_milli; /**< of each task */
-    int64_t link_ms;    /**< one way */
-    double wave;        /**< the load swings by this share */
-    int64_t wave_ms;    /**< its period */
-    FleetWorld_Kind kinds[FLEET_WORLD_KINDS];
-} FleetWorld_Shape;
+    uint32_t cpu_milli; /**< mean need of a task */
+    int64_t link_ms;    /**< delay of a message one way */
+    double wave;     /**< amplitude of a sine of the load, as a share of it */
+    int64_t wave_ms; /**< period of the sine */
+    FleetSim_JobKind kinds[FLEET_SIM_KINDS];
+} FleetSim_Deployment;
 
-/** A load. Times are ms since the first job. */
+/** A load with an optional surge and faults during it. Times are ms since the
+ * first job. A load factor of 1 is the deployment's usual load. */
 typedef struct {
-    const FleetWorld_Shape *shape;
+    const FleetSim_Deployment *deployment;
     int64_t length_ms;
-    double usual; /**< times the usual load, all the time */
-    double rush;  /**< times the usual load from rush_ms on */
-    int only;     /**< the rush is of this kind alone; -1: of all */
-    int64_t rush_ms;
-    int64_t rush_end_ms;
-    uint32_t late_companions; /**< of them, so many begin at rush_ms */
-    double away;      /**< share of entries without power during the rush */
-    double flapping;  /**< share of upstreams that leave and come back */
-    double crashing;  /**< share of jobs of which a task crashes the upstreams
-                           that start it; they earn nothing and are not missed
-                           */
-    bool fresh_start; /**< the processes begin together at rush_ms */
-    int64_t close_ms; /**< the first hall is closed then; 0: never */
-    int64_t open_ms;  /**< and opened again */
+    double base_factor;  /**< load factor outside the surge */
+    double surge_factor; /**< load factor from surge_ms to surge_end_ms */
+    int surge_kind;      /**< kind of job that surges; -1: all */
+    int64_t surge_ms;
+    int64_t surge_end_ms;
+    uint32_t added_companions; /**< this many of all start at surge_ms */
+    double entries_down; /**< share of entries that are down from surge_ms */
+    /** Share of upstreams that leave and return repeatedly during the surge.
+     */
+    double flapping;
+    double crashing;  /**< share of jobs that crash each upstream that starts
+                           their first task; left out of the outcomes */
+    bool restart_all; /**< all processes restart at once at surge_ms */
+    int64_t close_ms; /**< when the first hall is closed; 0: never */
+    int64_t open_ms;  /**< when it is reopened */
     uint64_t seed;
-    bool join_runs;   /**< a job's starts at one host go in one call */
-    double link_mbps; /**< of the first entry's link, the others' are wide;
-                           0: wide too */
-    bool paced;       /**< that entry knows it */
-    double demand;    /**< times the usual that comes to that entry during the
-                           rush; 0: as the others */
-} FleetWorld_Load;
+    bool join_runs;   /**< one call carries all starts of a job at one host */
+    double link_mbps; /**< bandwidth of the first entry's link; 0 and at all
+                           other entries: unlimited */
+    bool link_known;  /**< that entry is configured with link_mbps */
+    /** Factor on the jobs that reach that entry during the surge; 0: as the
+     * others. */
+    double first_entry_factor;
+} FleetSim_Load;
 
-/** What became of jobs of one kind. */
+/** Numbers of jobs by outcome. */
 typedef struct {
     uint32_t sent;
     uint32_t in_time;
     uint32_t late;
-    uint32_t refused; /**< not run */
+    uint32_t refused; /**< answered not_run */
     uint32_t given_up;
-} FleetWorld_Jobs;
+} FleetSim_Outcomes;
 
-/** What a load showed. */
+/** Results of a simulation run. */
 typedef struct {
-    FleetWorld_Jobs kinds[FLEET_WORLD_KINDS];
-    double worth;           /**< in time 1, late 0.2; kinds alike */
-    double worth_rush;      /**< of the jobs handed in during the rush */
-    uint64_t starts;        /**< of tasks, as they were sent */
-    uint64_t bytes;         /**< of them on the wire */
-    FleetWorld_Jobs first;  /**< of all kinds, at the first entry */
-    int64_t queued_most_ms; /**< that bytes waited for its link */
-    uint64_t first_bytes[FLEET_WORLD_KINDS]; /**< of its starts */
-    uint32_t first_jobs[FLEET_WORLD_KINDS];  /**< that came to it */
-    uint64_t refused_starts;
-    uint64_t refused_free; /**< jobs refused while a tenth of all is free */
-    uint32_t crashes;      /**< upstreams that crashed under a task */
-    uint32_t most_crashes; /**< under one job */
-    uint32_t innocent;     /**< jobs that failed though they crash nothing */
-    double busy_rush;      /**< processors taken during the rush, share */
-    double spread;         /**< starts by host: deviation over mean */
-    double late_share;     /**< starts at hosts that came during the rush, over
-                                those at as many others, from 0.5 s after */
-    int64_t first_start_ms; /**< at a host that came, after its coming */
-    int64_t wait_p50_ms;    /**< from handing in to the first start */
+    FleetSim_Outcomes kinds[FLEET_SIM_KINDS];
+    double value;            /**< mean over kinds: 1 for a job done in time,
+                                  0.2 for a late one */
+    double surge_value;      /**< of jobs submitted during the surge */
+    uint64_t starts;         /**< task starts sent */
+    uint64_t bytes;          /**< bytes of them on the wire */
+    FleetSim_Outcomes first; /**< of jobs of all kinds that reached the first
+                                entry during the surge */
+    int64_t max_queued_ms;   /**< longest wait for its link */
+    uint64_t first_bytes[FLEET_SIM_KINDS]; /**< of the starts that it sent */
+    uint32_t first_jobs[FLEET_SIM_KINDS];  /**< that reached it */
+    uint64_t
+        refused_starts; /**< replies of LC_RUN_NO_ROOM or a later status */
+    /** Jobs answered not_run while over a tenth of all capacity was free. */
+    uint64_t refused_while_free;
+    uint32_t crashes;         /**< upstreams crashed by a task */
+    uint32_t max_job_crashes; /**< by one job */
+    /** Jobs answered ERR_TASK_CRASHES that crash no upstream. */
+    uint32_t wrongly_blamed;
+    double surge_utilisation; /**< used share of all processors during the
+                                 surge */
+    double spread;            /**< coefficient of variation of starts per host,
+                                   relative to their capacity */
+    double added_share; /**< mean starts at added hosts over those at the other
+                            hosts, from 0.5 s after they were added */
+    int64_t first_start_ms; /**< longest time from adding a host to its first
+                               start; -1: none added */
+    int64_t wait_p50_ms;    /**< from submission to the first start */
     int64_t wait_p99_ms;
-} FleetWorld_Report;
+} FleetSim_Report;
 
-/** Plays a load. */
-FleetWorld_Report FleetWorld_Play(const FleetWorld_Load *load);
+/** Runs a load and returns its results. Asserts nothing. */
+FleetSim_Report FleetSim_Run(const FleetSim_Load *load);
 
 #endif
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -1,10 +1,11 @@
 /*
- * Fuzzing of every decoder that a foreign byte reaches: bodies of callers and
- * upstreams, answers of upstreams, records of routes, RPC records, settings.
+ * Fuzz test of every decoder of outside input: requests of callers and
+ * upstreams, answers of upstreams, route, hall and durable job records, RPC
+ * records, settings.
  *
- * Without a fuzzing engine: each file of the corpus, and many mutations of it
- * by a fixed seed, is handed to each decoder. Whatever they answer is right;
- * what is looked for is what the sanitizers find. Usage: fuzz FOLDER ROUNDS
+ * It needs no fuzzing engine: each file of the corpus and many mutations of
+ * it, by a fixed seed, are passed to each decoder. Any result is accepted;
+ * faults are found by the sanitizers. Usage: fuzz DIRECTORY ROUNDS
  */
 
 #include <glib.h>
@@ -23,9 +24,9 @@
 #include "platform/upstreams.h"
 #include "wire/msg.h"
 
-#define MOST_EDITS 8
+#define MAX_EDITS 8
 
-typedef void (*decoder)(const char *bytes, size_t length);
+typedef void (*decoder_fn)(const char *bytes, size_t length);
 
 static void
 decode_job(const char *bytes, size_t length)
@@ -65,7 +66,7 @@
 }
 
 static void
-decode_beat(const char *bytes, size_t length)
+decode_heartbeat(const char *bytes, size_t length)
 {
     Status status = {ERR_OK, ""};
     Upstreams_Beat beat;
@@ -75,17 +76,17 @@
 }
 
 static void
-decode_kept(const char *bytes, size_t length)
+decode_durable_log(const char *bytes, size_t length)
 {
     static const char key[] = "p0000000000000007.3e8";
-    Kept *kept = Kept_New();
+    Kept *log = Kept_New();
     Kept_Record record = {1, key, strlen(key), (const uint8_t *)bytes, length};
-    Kept_Change change = Kept_Take(kept, 1, &record);
+    Kept_Change change = Kept_Take(log, 1, &record);
 
     if (change.job != NULL) {
-        Kept_OwnerOf(kept, change.job);
+        Kept_OwnerOf(log, change.job);
     }
-    Kept_Free(kept);
+    Kept_Free(log);
 }
 
 static void
@@ -102,12 +103,13 @@
 }
 
 static void
-take_keyed(void *context, const Keyed_Record *record)
+apply_record(void *context, const Keyed_Record *record)
 {
     Halls_Take(context, record);
 }
 
-/* Records of the operators, a page of the newest or as the log has them. */
+/* Operators' records of halls: as a page of the newest records, and as read
+ * from the log. */
 static void
 decode_records(const char *bytes, size_t length)
 {
@@ -116,9 +118,9 @@
     lc_closures told;
 
     Halls_Begin(halls);
-    KeyedRecords_TakePage(page, take_keyed, halls);
+    KeyedRecords_TakePage(page, apply_record, halls);
     if (length >= KEYED_RECORDS_HEAD_SIZE) {
-        KeyedRecords_TakeRead((const uint8_t *)bytes, length, 1, take_keyed,
+        KeyedRecords_TakeRead((const uint8_t *)bytes, length, 1, apply_record,
                               halls);
     }
     Halls_Tell(halls, 1, &told);
@@ -127,7 +129,7 @@
 }
 
 static void
-take_hall(void *context, const Halls_Row *row)
+sum_lengths(void *context, const Halls_Row *row)
 {
     *(size_t *)context += strlen(row->hall) + strlen(row->by) +
                           strlen(row->since);
@@ -140,12 +142,12 @@
     char *after = NULL;
     size_t sum = 0;
 
-    Halls_ReadPage(bytes, length, take_hall, &sum, &after, &status);
+    Halls_ReadPage(bytes, length, sum_lengths, &sum, &after, &status);
     g_free(after);
 }
 
 static void
-decode_leave(const char *bytes, size_t length)
+decode_upstream_call(const char *bytes, size_t length)
 {
     char *text = g_strndup(bytes, length);
     char *instance;
@@ -192,15 +194,16 @@
     g_free(name);
 }
 
-static const decoder decoders[] = {
-    decode_job,     decode_request, decode_routes, decode_beat,
-    decode_listing, decode_kept,    decode_rpc,    decode_settings,
-    decode_records, decode_halls,   decode_leave,
+static const decoder_fn decoders[] = {
+    decode_job,     decode_request,     decode_routes,        decode_heartbeat,
+    decode_listing, decode_durable_log, decode_rpc,           decode_settings,
+    decode_records, decode_halls,       decode_upstream_call,
 };
 
-/* One more byte, one less, a flipped bit, a run copied, or a cut. */
+/* Appends or removes a byte, flips a bit, copies a piece to the end, or
+ * truncates. */
 static void
-edit(GByteArray *bytes, uint64_t *random)
+mutate(GByteArray *bytes, uint64_t *random)
 {
     guint place = bytes->len == 0 ? 0
                                   : (guint)(Random_Next(random) % bytes->len);
@@ -236,12 +239,13 @@
 }
 
 static void
-try_all(const GByteArray *bytes)
+run_decoders(const GByteArray *bytes)
 {
     size_t i;
 
     for (i = 0; i < G_N_ELEMENTS(decoders); i++) {
-        /* A copy of its own, so that a read past its end is found. */
+        /* A separate allocation, so that sanitizers find a read past its end.
+         */
         char *copy = bytes->len == 0 ? g_malloc(1)
                                      : g_memdup2(bytes->data, bytes->len);
         decoders[i](copy, bytes->len);
@@ -263,12 +267,12 @@
     for (round = 0; round < rounds; round++) {
         GByteArray *bytes = g_byte_array_new();
         int edits = round == 0 ? 0
-                               : 1 + (int)(Random_Next(random) % MOST_EDITS);
+                               : 1 + (int)(Random_Next(random) % MAX_EDITS);
         g_byte_array_append(bytes, (const guint8 *)text, (guint)length);
         while (edits-- > 0) {
-            edit(bytes, random);
+            mutate(bytes, random);
         }
-        try_all(bytes);
+        run_decoders(bytes);
         g_byte_array_unref(bytes);
     }
     g_free(text);
@@ -278,21 +282,21 @@
 main(int argc, char **argv)
 {
     uint64_t random = Random_Seed(20261202);
-    GDir *folder = argc == 3 ? g_dir_open(argv[1], 0, NULL) : NULL;
+    GDir *directory = argc == 3 ? g_dir_open(argv[1], 0, NULL) : NULL;
     const char *name;
     int files = 0;
 
-    if (folder == NULL) {
-        fprintf(stderr, "usage: fuzz FOLDER ROUNDS\n");
+    if (directory == NULL) {
+        fprintf(stderr, "usage: fuzz DIRECTORY ROUNDS\n");
         return 2;
     }
-    while ((name = g_dir_read_name(folder)) != NULL) {
+    while ((name = g_dir_read_name(directory)) != NULL) {
         char *file = g_build_filename(argv[1], name, NULL);
         fuzz_file(file, atoi(argv[2]), &random);
         g_free(file);
         files++;
     }
-    g_dir_close(folder);
+    g_dir_close(directory);
     printf("%d files, %s rounds each\n", files, argv[2]);
     return files == 0;
 }
--- a/tests/lease_upstream.cc
+++ b/tests/lease_upstream.cc
@@ -7,12 +7,12 @@
 const int64_t STOP_MS = 40;
 const int64_t HOLD_MAX_MS = 1000;
 const int64_t CLOCK_START_MS = 500000;
-const int64_t WALL_AHEAD_MS = 1700000000000;
-/* The next life's clock shows so much more or less than it would have. */
-const int64_t CLOCK_BACK_MS = 400000;
-const int64_t CLOCK_ON_MS = 90000;
-/* The time of day jumps back so far before some lives. */
-const int64_t WALL_BACK_MS = 60000;
+const int64_t WALL_OFFSET_MS = 1700000000000;
+/* Steps of the clock between two incarnations with the same name. */
+const int64_t CLOCK_STEP_BACK_MS = 400000;
+const int64_t CLOCK_STEP_FORWARD_MS = 90000;
+/* Step of the wall clock before some incarnations. */
+const int64_t WALL_STEP_BACK_MS = 60000;
 
 } // namespace
 
@@ -22,36 +22,37 @@
     return TaskName(id.job, id.step | id.occurrence << 16, id.index);
 }
 
-Upstream::Upstream(std::string called, double rate)
-    : name(called), clock_rate(rate)
+Upstream::Upstream(std::string instance_prefix, double rate)
+    : name(instance_prefix), clock_rate(rate)
 {
 }
 
 int64_t
 Upstream::clock(int64_t now_ms) const
 {
-    int64_t awake_ms = asleep_until_ms > 0 ? std::min(now_ms, asleep_since_ms)
-                                           : now_ms;
+    int64_t running_ms = suspended_until_ms > 0
+                             ? std::min(now_ms, suspended_since_ms)
+                             : now_ms;
 
     return CLOCK_START_MS + clock_offset_ms +
-           (int64_t)((double)awake_ms * clock_rate);
+           (int64_t)((double)running_ms * clock_rate);
 }
 
 void
 Upstream::suspend(int64_t now_ms, int64_t until_ms)
 {
-    if (asleep_until_ms == 0) {
-        asleep_since_ms = now_ms;
+    if (suspended_until_ms == 0) {
+        suspended_since_ms = now_ms;
     }
-    asleep_until_ms = std::max(asleep_until_ms, until_ms);
+    suspended_until_ms = std::max(suspended_until_ms, until_ms);
 }
 
 void
-Upstream::wake()
+Upstream::resume()
 {
-    int64_t lost_ms = asleep_until_ms - asleep_since_ms;
+    int64_t lost_ms = suspended_until_ms - suspended_since_ms;
 
-    asleep_until_ms = 0;
+    suspended_until_ms = 0;
     clock_offset_ms -= (int64_t)((double)lost_ms * clock_rate);
     for (auto &pair : running) {
         pair.second.started_ms += lost_ms;
@@ -66,7 +67,7 @@
 {
     incarnation++;
     instance_name = name + "-" + std::to_string(incarnation);
-    begin(now_ms);
+    reset(now_ms);
 }
 
 void
@@ -74,40 +75,41 @@
 {
     /* Companions ignore a clock that is not positive. */
     bool clock_goes_back = incarnation % 2 == 1 &&
-                           clock(now_ms) > CLOCK_BACK_MS;
+                           clock(now_ms) > CLOCK_STEP_BACK_MS;
 
     incarnation++;
-    clock_offset_ms += clock_goes_back ? -CLOCK_BACK_MS : CLOCK_ON_MS;
-    begin(now_ms);
+    clock_offset_ms += clock_goes_back ? -CLOCK_STEP_BACK_MS
+                                       : CLOCK_STEP_FORWARD_MS;
+    reset(now_ms);
     if (incarnation % 3 == 0) {
-        born_ms -= WALL_BACK_MS;
+        born_ms -= WALL_STEP_BACK_MS;
     }
 }
 
 void
-Upstream::begin(int64_t now_ms)
+Upstream::reset(int64_t now_ms)
 {
-    born_ms = WALL_AHEAD_MS + now_ms;
-    beats = 0;
+    born_ms = WALL_OFFSET_MS + now_ms;
+    heartbeats_sent = 0;
     up = true;
     token = 0;
     deadline_clock_ms = 0;
     last_end = 0;
-    refused_up_to.clear();
+    rejected_up_to.clear();
     ends.clear();
 }
 
 void
-Upstream::crash(int64_t now_ms, bool up_again)
+Upstream::crash(int64_t now_ms, bool restart_now)
 {
-    std::map<TaskName, Running> gone = running;
+    std::map<TaskName, RunningTask> gone = running;
 
     for (auto &pair : gone) {
         on_end(pair.second.id, RUNNER_END_LAPSED);
     }
     running.clear();
     up = false;
-    if (up_again) {
+    if (restart_now) {
         come_up(now_ms);
     }
 }
@@ -118,27 +120,27 @@
     Runner_EndRow row = {++last_end, id, how};
 
     running.erase(task_of(id));
-    refused_up_to[task_of(id)] = id.run;
+    rejected_up_to[task_of(id)] = id.run;
     ends.push_back(row);
-    lapses_at[row.number] = lapses;
+    expiries_at_end[row.number] = hold_expiries;
     on_end(id, how);
 }
 
 void
 Upstream::advance(int64_t now_ms)
 {
-    std::map<TaskName, Running> now_running = running;
+    std::map<TaskName, RunningTask> now_running = running;
 
-    if (asleep_until_ms > 0) {
+    if (suspended_until_ms > 0) {
         return;
     }
-    if (!lapsed && clock(now_ms) >= deadline_clock_ms) {
-        lapsed = true;
-        lapses++;
+    if (!hold_expired && clock(now_ms) >= deadline_clock_ms) {
+        hold_expired = true;
+        hold_expiries++;
     }
 
     for (auto &pair : now_running) {
-        const Running &task = pair.second;
+        const RunningTask &task = pair.second;
         if (clock(now_ms) >= deadline_clock_ms) {
             end(task.id, RUNNER_END_LAPSED);
         }
@@ -161,14 +163,14 @@
     int64_t most = clock(now_ms) + HOLD_MAX_MS;
 
     deadline_clock_ms = std::max(deadline_clock_ms, std::min(deadline, most));
-    lapsed = lapsed && clock(now_ms) >= deadline_clock_ms;
+    hold_expired = hold_expired && clock(now_ms) >= deadline_clock_ms;
 }
 
 Runner_OrderEnd
 Upstream::start(int64_t now_ms, const Runner_Start &order)
 {
     TaskName task = task_of(order.id);
-    Running row = {order.id, now_ms, work_of(order.id), 0};
+    RunningTask row = {order.id, now_ms, work_of(order.id), 0};
 
     if (instance_name != order.instance) {
         return RUNNER_ORDER_OTHER;
@@ -185,8 +187,8 @@
         return running[task].id.run == order.id.run ? RUNNER_ORDER_TAKEN
                                                     : RUNNER_ORDER_OLD;
     }
-    if (refused_up_to.count(task) != 0 &&
-        order.id.run <= refused_up_to[task]) {
+    if (rejected_up_to.count(task) != 0 &&
+        order.id.run <= rejected_up_to[task]) {
         return RUNNER_ORDER_OLD;
     }
     running[task] = row;
@@ -207,7 +209,7 @@
         return RUNNER_ORDER_FENCED;
     }
     token = order_token;
-    refused_up_to[task] = std::max(refused_up_to[task], id.run);
+    rejected_up_to[task] = std::max(rejected_up_to[task], id.run);
     if (running.count(task) != 0 && running[task].id.run <= id.run &&
         running[task].stop_at_ms == 0) {
         running[task].stop_at_ms = now_ms + STOP_MS;
@@ -234,13 +236,13 @@
     while (!ends.empty() && ends.front().number <= order.last_seen) {
         const Runner_EndRow row = ends.front();
         ends.erase(ends.begin());
-        if (on_noted && lapses_at[row.number] == lapses) {
+        if (on_noted && expiries_at_end[row.number] == hold_expiries) {
             on_noted(row.id, row.end);
         }
-        lapses_at.erase(row.number);
+        expiries_at_end.erase(row.number);
     }
     for (auto &pair : running) {
-        const Running &task = pair.second;
+        const RunningTask &task = pair.second;
         int64_t part = manner.stuck ? 0
                                     : (now_ms - task.started_ms) * 100 /
                                           (task.work_ms * manner.slow);
--- a/tests/lease_upstream.h
+++ b/tests/lease_upstream.h
@@ -1,9 +1,9 @@
 /**
  * @file lease_upstream.h
- * @brief A model of an upstream as its owners describe it: it starts what it
- * is told whatever its room, holds everything under one lease on a clock of
- * its own, and lists what runs and what ended. It checks nothing; the world
- * around it does.
+ * @brief Model of an upstream according to its owners' description: it starts
+ * every task that it is ordered to, whatever its free capacity, holds all runs
+ * under one lease on a clock of its own, and lists running and ended runs. It
+ * checks nothing; the simulation around it does.
  */
 #ifndef LC_TESTS_LEASE_UPSTREAM_H
 #define LC_TESTS_LEASE_UPSTREAM_H
@@ -22,55 +22,59 @@
 
 namespace lease {
 
-/** A task without its run: its job, its step with its time in the upper half,
- * its index. */
+/** Identifies a task over all its runs: its job, its step with the occurrence
+ * in the upper 16 bits, its index. */
 using TaskName = std::tuple<uint64_t, uint32_t, uint32_t>;
 
-/** Name of the task that a run belongs to. */
+/** The task that a run belongs to. */
 TaskName task_of(const lc_run_id &id);
 
-/** A run at work. */
-struct Running {
+/** A run that is executing. Times are true ms. */
+struct RunningTask {
     lc_run_id id;
     int64_t started_ms;
     int64_t work_ms;
     int64_t stop_at_ms; /**< 0 unless a stop was ordered */
 };
 
-/** How the upstream behaves now. */
-struct Manner {
-    bool stuck;   /**< nothing makes progress */
-    bool failing; /**< every task fails as soon as it started */
-    int64_t slow; /**< work takes so many times as long, 1 for normal */
+/** Injected faults of an upstream. */
+struct FaultMode {
+    bool stuck;   /**< no task makes progress */
+    bool failing; /**< every task fails as soon as it has started */
+    int64_t slow; /**< factor on the duration of work, 1 for normal */
 };
 
-/** One incarnation after another at one place. Times are true ms. */
+/** One upstream over successive incarnations. Times are true ms, unlike the
+ * upstream's own clock. */
 class Upstream {
   public:
     /** Called for each start and each end, with the true time. */
     std::function<void(const lc_run_id &)> on_start;
     std::function<void(const lc_run_id &, Runner_End)> on_end;
-    /** Called when an end is taken note of, unless the lease of everything
-     * lapsed since. */
+    /** Called when a poll acknowledges an end, unless the upstream's hold has
+     * expired since that end. */
     std::function<void(const lc_run_id &, Runner_End)> on_noted;
-    /** Work of a task in ms. */
+    /** Duration of a task in ms. */
     std::function<int64_t(const lc_run_id &)> work_of;
 
-    Upstream(std::string called, double rate);
+    Upstream(std::string instance_prefix, double rate);
 
-    /** Dies; what runs is gone. A new incarnation is up at once if @p up. */
+    /** Stops without notice; all runs are lost. A new incarnation starts at
+     * once if @p up. */
     void crash(int64_t now_ms, bool up);
+    /** Starts a new incarnation under a new instance name. */
     void come_up(int64_t now_ms);
-    /** Comes up under the name that it had, knowing nothing, with another
-     * clock. */
+    /** Starts a new incarnation under the same instance name, without any
+     * state and with another clock. */
     void come_again(int64_t now_ms);
-    /** Its machine is suspended until then: its clock and all work stand
+    /** Suspends its machine until @p until_ms: its clock and all work stand
      * still. */
     void suspend(int64_t now_ms, int64_t until_ms);
-    void wake();
-    /** Moves time on: ends, stops and the end of the lease. */
+    void resume();
+    /** Advances time: tasks end or stop, and the hold expires. */
     void advance(int64_t now_ms);
 
+    /** Orders, as a companion sends them. */
     Runner_OrderEnd start(int64_t now_ms, const Runner_Start &start);
     Runner_OrderEnd stop(int64_t now_ms, const lc_run_id &id,
                          const std::string &instance, int64_t token);
@@ -84,46 +88,46 @@
     {
         return up;
     }
-    /** Wall clock of its start. */
+    /** Wall clock of its start, ms. */
     int64_t
     born() const
     {
         return born_ms;
     }
     int64_t
-    asleep_until() const
+    suspended_until() const
     {
-        return asleep_until_ms;
+        return suspended_until_ms;
     }
     const std::string &
     instance() const
     {
         return instance_name;
     }
-    const std::map<TaskName, Running> &
+    const std::map<TaskName, RunningTask> &
     tasks() const
     {
         return running;
     }
-    /** The first end that was not taken note of; there must be one. */
+    /** The oldest unacknowledged end; there must be one. */
     const lc_run_id &
-    first_unseen() const
+    first_unacknowledged() const
     {
         return ends.front().id;
     }
     size_t
-    unseen_ends() const
+    unacknowledged_ends() const
     {
         return ends.size();
     }
 
-    Manner manner = {false, false, 1};
-    uint64_t beats = 0; /**< heartbeats sent so far in this life */
+    FaultMode manner = {false, false, 1};
+    uint64_t heartbeats_sent = 0; /**< by this incarnation */
     uint32_t cpu_milli = 16000;
-    int64_t shrunk_ms = 0; /**< since when it has less */
+    int64_t capacity_reduced_ms = 0; /**< time of the last reduction */
 
   private:
-    void begin(int64_t now_ms);
+    void reset(int64_t now_ms);
     void extend(int64_t now_ms, int64_t deadline_clock_ms);
     void end(const lc_run_id &id, Runner_End how);
 
@@ -132,18 +136,19 @@
     int incarnation = 0;
     int64_t born_ms = 0;
     int64_t clock_offset_ms = 0;
-    int64_t asleep_since_ms = 0;
-    int64_t asleep_until_ms = 0;
+    int64_t suspended_since_ms = 0;
+    int64_t suspended_until_ms = 0;
     bool up = false;
     double clock_rate;
     int64_t token = 0;
     int64_t deadline_clock_ms = 0;
     uint64_t last_end = 0;
-    uint64_t lapses = 0;
-    bool lapsed = false;
-    std::map<uint64_t, uint64_t> lapses_at; /* by the number of an end */
-    std::map<TaskName, Running> running;
-    std::map<TaskName, uint32_t> refused_up_to; /* stopped or ended runs */
+    uint64_t hold_expiries = 0;
+    bool hold_expired = false;
+    std::map<uint64_t, uint64_t> expiries_at_end; /* by the number of an end */
+    std::map<TaskName, RunningTask> running;
+    std::map<TaskName, uint32_t>
+        rejected_up_to; /* highest run stopped or ended */
     std::vector<Runner_EndRow> ends;
 };
 
--- a/tests/lease_world.cc
+++ b/tests/lease_world.cc
@@ -4,15 +4,15 @@
 
 namespace {
 
-const int64_t LATE_BEAT_MS = 700;
-const uint32_t SHRUNK_CPU_MILLI = 4000;
+const int64_t LATE_HEARTBEAT_MS = 700;
+const uint32_t REDUCED_CPU_MILLI = 4000;
 
 } // namespace
 
 /* ---- faults ---- */
 
 void
-World::apply(const Action &action)
+Simulation::inject(const Action &action)
 {
     uint32_t entry = action.target % plan.entries;
     uint32_t companion = action.other % plan.companions;
@@ -45,42 +45,43 @@
     case Fault::CutLossy:
         link.cut_until = until;
         link.lossy = true;
-        at(until, [this, entry, companion] { break_link(entry, companion); });
+        schedule(until,
+                 [this, entry, companion] { break_link(entry, companion); });
         break;
     case Fault::ResetPair:
         break_link(entry, companion);
         break;
     case Fault::CrashUpstream:
-        /* Its last heartbeat comes when the next incarnation has registered.
-         */
-        send_beat(companion, length / 2 + LATE_BEAT_MS);
+        /* Its last heartbeat arrives after the next incarnation's first. */
+        send_heartbeat(companion, length / 2 + LATE_HEARTBEAT_MS);
         upstream->crash(now, false);
-        at(now + length / 2, [this, upstream] { upstream->come_up(now); });
+        schedule(now + length / 2,
+                 [this, upstream] { upstream->come_up(now); });
         break;
     case Fault::LateOrders:
-        late_until[companion] = until;
+        orders_late_until[companion] = until;
         break;
     case Fault::Stuck:
         upstream->manner.stuck = true;
-        at(until, [upstream] { upstream->manner.stuck = false; });
+        schedule(until, [upstream] { upstream->manner.stuck = false; });
         break;
     case Fault::Failing:
         upstream->manner.failing = true;
-        at(until, [upstream] { upstream->manner.failing = false; });
+        schedule(until, [upstream] { upstream->manner.failing = false; });
         break;
     case Fault::Slow:
         upstream->manner.slow = 8;
-        at(until, [upstream] { upstream->manner.slow = 1; });
+        schedule(until, [upstream] { upstream->manner.slow = 1; });
         break;
-    case Fault::HangUps:
-        hang_ups_until = until;
+    case Fault::CallerDisconnects:
+        disconnects_until = until;
         break;
     case Fault::Burst:
         burst_until = until;
         break;
     case Fault::CutEntries:
         gossip_cut_until[entry] = until;
-        entry_cut_way[entry] = action.other % 3;
+        entry_cut_direction[entry] = action.other % 3;
         break;
     case Fault::StoreDown:
         store.down_until = until;
@@ -100,10 +101,10 @@
     case Fault::CloseHall:
         close_hall(action.target, until);
         break;
-    case Fault::RebornUpstream:
-        send_beat(companion, length / 4 + LATE_BEAT_MS);
+    case Fault::RestartUpstream:
+        send_heartbeat(companion, length / 4 + LATE_HEARTBEAT_MS);
         upstream->crash(now, false);
-        at(now + length / 4, [this, upstream] {
+        schedule(now + length / 4, [this, upstream] {
             if (!upstream->is_up()) {
                 upstream->come_again(now);
             }
@@ -112,29 +113,30 @@
     case Fault::Suspend:
         suspend(companion, until);
         break;
-    case Fault::Shrink:
-        upstream->cpu_milli = SHRUNK_CPU_MILLI;
-        upstream->shrunk_ms = now;
-        at(until, [upstream] { upstream->cpu_milli = CAPACITY.cpu_milli; });
+    case Fault::ReduceCapacity:
+        upstream->cpu_milli = REDUCED_CPU_MILLI;
+        upstream->capacity_reduced_ms = now;
+        schedule(until,
+                 [upstream] { upstream->cpu_milli = CAPACITY.cpu_milli; });
         break;
-    case Fault::Crasher:
-        make_crasher();
+    case Fault::CrashingJob:
+        make_crashing_job();
         break;
     case Fault::Count:
         break;
     }
 }
 
-/* Companion and upstream stand on one machine. What runs there is not counted
- * meanwhile; when both are awake again, runs whose lease is over are to be
- * stopped soon. */
+/* A companion and its upstream share one machine. Its runs are not counted
+ * while it is suspended; after it resumes, runs whose lease has expired must
+ * be stopped within RESUME_STOP_MS. */
 void
-World::suspend(uint32_t index, int64_t until)
+Simulation::suspend(uint32_t index, int64_t until)
 {
     CompanionNode *companion = &companions[index];
     Upstream *upstream = &upstreams[index];
 
-    if (upstream->asleep_until() > 0 || companion->frozen_until > now ||
+    if (upstream->suspended_until() > 0 || companion->frozen_until > now ||
         until <= now) {
         return;
     }
@@ -142,16 +144,16 @@
     companion->suspended_ms = until - now;
     upstream->suspend(now, until);
     for (auto &pair : upstream->tasks()) {
-        at_work[task_of(pair.second.id)].erase(index);
+        active_runs[task_of(pair.second.id)].erase(index);
     }
-    at(until, [this, upstream, index] {
-        upstream->wake();
-        at(now + WAKE_MS, [this, index] { count_again(index); });
+    schedule(until, [this, upstream, index] {
+        upstream->resume();
+        schedule(now + RESUME_STOP_MS, [this, index] { recount_runs(index); });
     });
 }
 
 void
-World::count_again(uint32_t index)
+Simulation::recount_runs(uint32_t index)
 {
     for (auto &pair : upstreams[index].tasks()) {
         count_run(index, pair.second.id);
@@ -159,19 +161,19 @@
 }
 
 Report
-World::run()
+Simulation::run()
 {
-    int64_t jobs_until = plan.length_ms + plan.quiet_ms;
-    int64_t end = jobs_until + 6000;
+    int64_t jobs_end_ms = plan.length_ms + plan.quiet_ms;
+    int64_t end = jobs_end_ms + 6000;
 
     entries.resize(plan.entries);
     companions.resize(plan.companions);
-    late_until.resize(plan.companions);
+    orders_late_until.resize(plan.companions);
     store_cut_until.resize(plan.entries);
     gossip_cut_until.resize(plan.entries);
-    entry_cut_way.resize(plan.entries);
+    entry_cut_direction.resize(plan.entries);
     for (uint32_t i = 0; i < plan.companions; i++) {
-        double rate = 1.0 - 0.02 * (double)pick(100) / 100.0;
+        double rate = 1.0 - 0.02 * (double)random_below(100) / 100.0;
         upstreams.emplace_back("u" + std::to_string(i), rate);
     }
     for (uint32_t i = 0; i < plan.companions; i++) {
@@ -182,30 +184,30 @@
             on_ended(i, id, how);
         };
         upstreams[i].on_noted = [this](const lc_run_id &id, Runner_End how) {
-            if (id.job >= FIRST_KEPT) {
-                on_kept_noted(id, how);
+            if (id.job >= FIRST_DURABLE_ID) {
+                on_durable_acknowledged(id, how);
             }
         };
         upstreams[i].work_of = [this](const lc_run_id &id) {
-            return id.job >= FIRST_KEPT ? kept_callers[id.job].work_ms
-                                        : jobs[id.job].work_ms;
+            return id.job >= FIRST_DURABLE_ID ? durable_callers[id.job].work_ms
+                                              : jobs[id.job].work_ms;
         };
         upstreams[i].come_up(0);
-        companions[i].world = this;
+        companions[i].sim = this;
         companions[i].index = i;
         start_companion(i);
-        beat(i);
+        run_heartbeats(i);
     }
     for (uint32_t i = 0; i < plan.entries; i++) {
-        entries[i].world = this;
+        entries[i].sim = this;
         entries[i].index = i;
         start_entry(i);
     }
     for (const Action &action : plan.actions) {
-        at(action.at_ms, [this, action] { apply(action); });
+        schedule(action.at_ms, [this, action] { inject(action); });
     }
-    for (int64_t when = 200; when < jobs_until; when += plan.job_every_ms) {
-        at(when, [this] {
+    for (int64_t when = 200; when < jobs_end_ms; when += plan.job_every_ms) {
+        schedule(when, [this] {
             make_job();
             if (burst_until > now) {
                 make_job();
@@ -213,13 +215,13 @@
             }
         });
     }
-    for (int64_t when = 200; plan.kept_every_ms > 0 && when < jobs_until;
-         when += plan.kept_every_ms) {
-        at(when, [this] { make_kept(); });
+    for (int64_t when = 200; plan.durable_every_ms > 0 && when < jobs_end_ms;
+         when += plan.durable_every_ms) {
+        schedule(when, [this] { make_durable_job(); });
     }
-    at(jobs_until, [this] { end_lasting(); });
-    if (plan.halls_serve) {
-        at(halls_serve_by(), [this] { check_halls_serve(); });
+    schedule(jobs_end_ms, [this] { cancel_long_running(); });
+    if (plan.expect_reopened_halls) {
+        schedule(reopened_halls_due_ms(), [this] { check_reopened_halls(); });
     }
     for (int64_t when = 0; when < end; when++) {
         while (!events.empty() && events.top().at <= when) {
@@ -251,11 +253,11 @@
 }
 
 Report
-play(const Plan &plan)
+simulate(const Plan &plan)
 {
-    World world(plan);
+    Simulation sim(plan);
 
-    return world.run();
+    return sim.run();
 }
 
 } // namespace lease
--- a/tests/lease_world.h
+++ b/tests/lease_world.h
@@ -1,10 +1,10 @@
 /**
  * @file lease_world.h
- * @brief Entries, companions, upstreams and callers of leased jobs in one
- * process, with time, a network and faults between them.
+ * @brief Simulation of leased jobs in one process: entries, companions,
+ * upstreams and callers, with virtual time, a network and injected faults.
  *
- * What is checked is told by the upstreams' own starts and ends and by the
- * answers that callers got, never by state of the nodes.
+ * The checks use only the starts and ends that upstreams executed and the
+ * answers that callers got, never internal state of the nodes.
  */
 #ifndef LC_TESTS_LEASE_WORLD_H
 #define LC_TESTS_LEASE_WORLD_H
@@ -31,37 +31,37 @@
 
 namespace lease {
 
-/** Kinds of fault. */
+/** Kinds of fault that a plan can inject. */
 enum class Fault {
-    KillEntry,     /**< back after a moment with nothing */
+    KillEntry,     /**< restarts after a moment without any state */
     KillCompanion, /**< likewise */
-    FreezeEntry,   /**< its input waits, then all of it comes */
+    FreezeEntry,   /**< its input waits and is delivered at once afterwards */
     FreezeCompanion,
-    CutPair,   /**< bytes between an entry and a companion are held up */
-    CutLossy,  /**< they are lost and the connection breaks when it heals */
+    CutPair,   /**< bytes between an entry and a companion are delayed */
+    CutLossy,  /**< they are lost; the connection breaks when the cut ends */
     ResetPair, /**< the connection breaks */
-    CrashUpstream, /**< a new incarnation after a moment */
-    LateOrders,    /**< orders go unanswered and are done seconds later */
+    CrashUpstream, /**< starts as a new instance after a moment */
+    LateOrders,    /**< orders time out and are executed seconds later */
     Stuck,
     Failing,
     Slow,
-    HangUps, /**< callers leave early */
+    CallerDisconnects, /**< callers disconnect before their answer */
     Burst,
-    CutEntries,     /**< an entry hears no other */
-    StoreDown,      /**< the store answers nobody */
-    StoreCut,       /**< it answers one entry not */
-    StoreLossy,     /**< appends go unanswered, some are done seconds later */
-    StoreCompact,   /**< its history is gone, but for the newest of each key */
-    StopEntry,      /**< a planned stop, then its end */
-    CloseHall,      /**< operators close a hall and open it again */
-    RebornUpstream, /**< it crashes and starts again under its name */
-    Suspend,        /**< a companion's machine, its upstream with it */
-    Shrink,         /**< an upstream has less room for a while */
-    Crasher,        /**< a job comes under which upstreams crash */
+    CutEntries,      /**< between an entry and all others, one way or both */
+    StoreDown,       /**< the store answers no request */
+    StoreCut,        /**< it does not answer one entry */
+    StoreLossy,      /**< appends time out, some are executed seconds later */
+    StoreCompact,    /**< only the newest record of each key is left */
+    StopEntry,       /**< hands its durable jobs over, then exits */
+    CloseHall,       /**< operators close a hall and reopen it */
+    RestartUpstream, /**< it crashes and restarts under the same name */
+    Suspend, /**< suspends the machine of a companion and its upstream */
+    ReduceCapacity, /**< an upstream has less capacity for a while */
+    CrashingJob,    /**< submits a job whose task crashes each upstream */
     Count
 };
 
-/** One fault of a schedule. */
+/** One fault of a plan. Times are ms since the start of the simulation. */
 struct Action {
     Fault fault;
     int64_t at_ms;
@@ -70,24 +70,26 @@
     uint32_t other;
 };
 
-/** A schedule. */
+/** Size, load and faults of one simulation run. */
 struct Plan {
     uint64_t seed = 1;
     uint32_t entries = 2;
     uint32_t companions = 3;
     int64_t length_ms = 4000;
-    int64_t quiet_ms = 6000; /**< after the faults, without any */
-    int64_t job_every_ms =
-        72; /* with the kept ones three quarters of the room */
-    int64_t kept_every_ms = 500; /**< kept jobs; 0 for none */
-    bool narrow = false; /**< the first entry's link carries a part of its jobs
-                            alone: it hands others on */
-    bool halls_serve = false; /**< checks that a hall that was opened serves
-                                 soon; all other faults spare the upstreams */
+    int64_t quiet_ms = 6000; /**< fault-free time after the faults */
+    /** With the durable jobs this takes three quarters of the capacity. */
+    int64_t job_every_ms = 72;
+    int64_t durable_every_ms = 500; /**< durable jobs; 0 for none */
+    /** The first entry's link carries only a part of its jobs: it forwards
+     * the others. */
+    bool slow_link = false;
+    /** Checks that a reopened hall gets starts soon. Such a plan has no fault
+     * that touches upstreams. */
+    bool expect_reopened_halls = false;
     std::vector<Action> actions;
 };
 
-/** What a run showed. */
+/** Violations and counts of one simulation run. */
 struct Report {
     std::vector<std::string> violations;
     uint64_t jobs = 0;
@@ -95,23 +97,24 @@
     uint64_t failed = 0;
     uint64_t not_run = 0;
     uint64_t given_up = 0;
-    uint64_t late_succeeded = 0; /**< in the second half of the quiet time */
-    uint64_t late_jobs = 0;
+    uint64_t late_succeeded = 0; /**< of late_jobs */
+    uint64_t late_jobs = 0; /**< sent in the second half of quiet_ms, without
+                                 those that no upstream had room for */
     uint64_t starts = 0;
     std::vector<uint64_t> starts_at; /**< by upstream */
-    uint64_t kept_jobs = 0;
-    uint64_t kept_accepted = 0;
-    uint64_t kept_succeeded = 0;
+    uint64_t durable_jobs_sent = 0;
+    uint64_t durable_accepted = 0;
+    uint64_t durable_succeeded = 0;
     uint64_t claims = 0;
-    uint64_t forwards = 0;       /**< jobs that came to another entry */
-    uint64_t forwards_taken = 0; /**< and were taken there */
-    int most_crashed = 0; /**< upstreams under one submission of a job */
+    uint64_t forwards = 0; /**< forwarded jobs that reached an entry */
+    uint64_t forwards_accepted = 0; /**< of those, accepted by it */
+    int max_crashes = 0; /**< most crashes of upstreams under one submission */
 
     std::string text() const;
 };
 
-/** Plays a plan. */
-Report play(const Plan &plan);
+/** Runs a plan to its end in virtual time. */
+Report simulate(const Plan &plan);
 
 } // namespace lease
 
--- a/tests/lease_world_checks.cc
+++ b/tests/lease_world_checks.cc
@@ -3,74 +3,77 @@
 namespace lease {
 
 std::string
-World::name(const lc_run_id &id)
+Simulation::run_name(const lc_run_id &id)
 {
     return std::to_string(id.job) + "." + std::to_string(id.step) + "." +
            std::to_string(id.index) + " run " + std::to_string(id.run);
 }
 
-/* ---- what is checked ---- */
+/* ---- checks ---- */
 
 void
-World::check_room(uint32_t index)
+Simulation::check_capacity(uint32_t index)
 {
     const Upstream &upstream = upstreams[index];
-    bool told = now - upstream.shrunk_ms > SHRINK_TOLD_MS;
+    bool told = now - upstream.capacity_reduced_ms > CAPACITY_REPORT_MS;
     uint32_t room = told ? upstream.cpu_milli : CAPACITY.cpu_milli;
 
-    if (used_at(upstream) > room) {
-        violation("upstream " + std::to_string(index) + " over its room");
+    if (cpu_used_at(upstream) > room) {
+        violation("upstream " + std::to_string(index) +
+                  " runs more than its capacity");
     }
 }
 
 std::string
 spec_of(uint64_t job)
 {
-    /* As long as it takes for a start to cost a narrow link something. */
+    /* Long enough that starts use up the bandwidth of a slow link. */
     return "spec of job " + std::to_string(job) + std::string(600, 'x');
 }
 
-/* A start brings what its own job's caller handed in. */
+/* A start must carry the spec of its own job. */
 void
-World::check_spec(const lc_run_id &id, const char *spec)
+Simulation::check_spec(const lc_run_id &id, const char *spec)
 {
     if (spec != spec_of(id.job)) {
-        violation(name(id) + " started with \"" + spec + "\"");
+        violation(run_name(id) + " started with \"" + spec + "\"");
     }
 }
 
 void
-World::count_run(uint32_t index, const lc_run_id &id)
+Simulation::count_run(uint32_t index, const lc_run_id &id)
 {
-    auto &places = at_work[task_of(id)];
+    auto &places = active_runs[task_of(id)];
 
     for (auto &place : places) {
         if (place.first != index) {
-            violation("two runs at once: " + name(place.second) + " at " +
-                      std::to_string(place.first) + ", " + name(id) + " at " +
-                      std::to_string(index));
+            violation("two runs at once: " + run_name(place.second) + " at " +
+                      std::to_string(place.first) + ", " + run_name(id) +
+                      " at " + std::to_string(index));
         }
     }
     places[index] = id;
 }
 
-/* A moment after the start. */
+/* An upstream that starts a task of a crashing job crashes soon afterwards and
+ * restarts under the same name. */
 void
-World::crash_under(uint32_t index, CallerJob *job)
+Simulation::crash_upstream_later(uint32_t index, CallerJob *job)
 {
     Upstream *upstream = &upstreams[index];
 
-    if (!job->crashes) {
+    if (!job->crashes_upstreams) {
         return;
     }
-    report.most_crashed = std::max(report.most_crashed, ++job->crashed);
-    if (job->crashed > CRASHES_MOST) {
+    report.max_crashes = std::max(report.max_crashes,
+                                  ++job->upstreams_crashed);
+    if (job->upstreams_crashed > MAX_CRASHES) {
         violation("job " + std::to_string(job->id) + " has crashed " +
-                  std::to_string(job->crashed) + " upstreams");
+                  std::to_string(job->upstreams_crashed) + " upstreams");
     }
-    at(now + 3 + pick(30), [this, upstream] {
+    schedule(now + 3 + random_below(30), [this, upstream] {
         upstream->crash(now, false);
-        at(now + 300 + pick(400), [this, upstream] {
+        schedule(now + 300 + random_below(400), [this, upstream] {
             if (!upstream->is_up()) {
                 upstream->come_again(now);
             }
@@ -79,80 +82,81 @@
 }
 
 void
-World::on_started(uint32_t index, const lc_run_id &id)
+Simulation::on_started(uint32_t index, const lc_run_id &id)
 {
     auto job = jobs.find(id.job);
 
     report.starts++;
     report.starts_at.resize(plan.companions);
     report.starts_at[index]++;
-    if (id.job >= FIRST_KEPT) {
-        on_kept_start(id);
+    if (id.job >= FIRST_DURABLE_ID) {
+        on_durable_start(id);
     }
     count_run(index, id);
-    if (id.job >= FIRST_KEPT) {
-        kept_callers[id.job].started = true;
+    if (id.job >= FIRST_DURABLE_ID) {
+        durable_callers[id.job].started = true;
     }
     else if (job == jobs.end()) {
-        violation("a start of no job");
+        violation("a start of an unknown job");
     }
     else {
         job->second.started = true;
-        crash_under(index, &job->second);
+        crash_upstream_later(index, &job->second);
     }
     if (trace) {
-        fprintf(stderr, "%6ld start %s at %u\n", (long)now, name(id).c_str(),
-                index);
+        fprintf(stderr, "%6ld start %s at %u\n", (long)now,
+                run_name(id).c_str(), index);
     }
 }
 
 void
-World::on_ended(uint32_t index, const lc_run_id &id, Runner_End end)
+Simulation::on_ended(uint32_t index, const lc_run_id &id, Runner_End end)
 {
-    at_work[task_of(id)].erase(index);
-    if (id.job >= FIRST_KEPT) {
-        on_kept_end(id, end);
+    active_runs[task_of(id)].erase(index);
+    if (id.job >= FIRST_DURABLE_ID) {
+        on_durable_end(id, end);
     }
     if (end == RUNNER_END_DONE) {
         done[task_of(id)] = true;
     }
     if (trace) {
-        fprintf(stderr, "%6ld end %s at %u: %d\n", (long)now, name(id).c_str(),
-                index, (int)end);
+        fprintf(stderr, "%6ld end %s at %u: %d\n", (long)now,
+                run_name(id).c_str(), index, (int)end);
     }
 }
 
 void
-World::check_end()
+Simulation::check_end()
 {
-    for (auto &pair : at_work) {
+    for (auto &pair : active_runs) {
         if (!pair.second.empty()) {
             violation("a task still runs at the end");
         }
     }
     for (auto &pair : jobs) {
-        if (pair.second.started && !pair.second.any_taken) {
-            violation("job " + std::to_string(pair.first) +
-                      " ran though all its attempts were answered not run");
+        if (pair.second.started && !pair.second.may_have_run) {
+            violation(
+                "job " + std::to_string(pair.first) +
+                " ran although all its submissions were answered not_run");
         }
     }
     for (auto &pair : requests) {
         if (!pair.second.answered) {
-            violation("request without an answer");
+            violation("a request without an answer");
         }
     }
     for (uint32_t i = 0; i < plan.companions; i++) {
-        if (upstreams[i].unseen_ends() != 0) {
-            violation("ends that nobody took note of at upstream " +
-                      std::to_string(i) + ", first " +
-                      name(upstreams[i].first_unseen()));
+        if (upstreams[i].unacknowledged_ends() != 0) {
+            violation("unacknowledged ends at upstream " + std::to_string(i) +
+                      ", first " +
+                      run_name(upstreams[i].first_unacknowledged()));
         }
     }
-    check_kept();
+    check_durable();
     if (report.late_succeeded * 10 < report.late_jobs * 9) {
-        violation(
-            "service is not back: " + std::to_string(report.late_succeeded) +
-            " of " + std::to_string(report.late_jobs));
+        violation("service has not recovered, late jobs succeeded: " +
+                  std::to_string(report.late_succeeded) + " of " +
+                  std::to_string(report.late_jobs));
     }
 }
 
--- a/tests/lease_world_halls.cc
+++ b/tests/lease_world_halls.cc
@@ -1,6 +1,7 @@
 /*
- * Halls that operators close in the world: their records in the store, who
- * reads them and who tells others, and that nothing starts in a closed hall.
+ * Closed halls in the simulation: operators' records in the store, how nodes
+ * read them and pass them on, and the check that nothing starts in a closed
+ * hall.
  */
 #include <cstring>
 
@@ -11,17 +12,17 @@
 namespace {
 
 const uint32_t HALLS = 2;
-const int64_t READ_MS = 20;
-/* A companion asks the store after so long without a confirmation, as the
+const int64_t HALLS_POLL_MS = 20;
+/* A companion whose closures are this old reads the store itself, as the
  * process does after three quarters of times.close_ms. */
-const int64_t UNSURE_MS = 500;
-/* Nothing starts so long after a hall was closed: what is left for the read,
- * ticks and the way of the order. */
-const int64_t CLOSED_MS = 2 * UNSURE_MS;
-/* After a hall was opened it serves again within so long. */
-const int64_t OPENED_MS = 500;
-const uint64_t STALE_EACH = 8;
-const int64_t STALE_MS = 1500;
+const int64_t UNCONFIRMED_MS = 500;
+/* Nothing may start in a hall that has been closed for this long: the time
+ * above, and as much again for the read, ticks and the order's delivery. */
+const int64_t CLOSE_BOUND_MS = 2 * UNCONFIRMED_MS;
+/* A reopened hall must get starts within this time. */
+const int64_t REOPEN_BOUND_MS = 500;
+const uint64_t STALE_EVERY = 8;
+const int64_t STALE_DELAY_MS = 1500;
 
 } // namespace
 
@@ -32,7 +33,7 @@
 }
 
 lc_closures
-HallNews::message()
+ClosureSnapshot::message()
 {
     lc_closures told = {};
 
@@ -47,10 +48,10 @@
     return told;
 }
 
-HallNews
-HallNews::of(const Closures *closures, int64_t now)
+ClosureSnapshot
+ClosureSnapshot::of(const Closures *closures, int64_t now)
 {
-    HallNews news;
+    ClosureSnapshot news;
 
     news.as_of = closures->as_of;
     news.age_ms = (uint32_t)Closures_AgeMs(closures, now);
@@ -63,7 +64,7 @@
 /* ---- operators and the store ---- */
 
 void
-World::put_hall(uint32_t number, bool closed)
+Simulation::record_hall(uint32_t number, bool closed)
 {
     std::string hall = "hall-" + std::to_string(number % HALLS);
 
@@ -82,23 +83,23 @@
 }
 
 void
-World::close_hall(uint32_t number, int64_t until)
+Simulation::close_hall(uint32_t number, int64_t until)
 {
-    uint64_t closing = ++closings[number % HALLS];
+    uint64_t closing = ++hall_closings[number % HALLS];
 
-    put_hall(number, true);
-    at(until, [this, number, closing] {
-        if (closings[number % HALLS] == closing) {
-            put_hall(number, false);
+    record_hall(number, true);
+    schedule(until, [this, number, closing] {
+        if (hall_closings[number % HALLS] == closing) {
+            record_hall(number, false);
         }
     });
 }
 
-HallNews
-World::read_halls() const
+ClosureSnapshot
+Simulation::read_halls() const
 {
     std::set<std::string> closed;
-    HallNews news;
+    ClosureSnapshot news;
 
     for (auto &record : hall_log) {
         if (record.second) {
@@ -116,16 +117,16 @@
 /* ---- entries ---- */
 
 void
-World::tell_entry(EntryNode *entry, int64_t after_ms, int64_t asked_ms,
-                  HallNews news)
+Simulation::send_closures_to_entry(EntryNode *entry, int64_t after_ms,
+                                   int64_t asked_ms, ClosureSnapshot news)
 {
-    uint64_t life = entry->life;
+    uint64_t boot_id = entry->boot_id;
 
-    at(now + after_ms, [this, entry, life, asked_ms, news] {
-        if (entry->life != life) {
+    schedule(now + after_ms, [this, entry, boot_id, asked_ms, news] {
+        if (entry->boot_id != boot_id) {
             return;
         }
-        when_awake(entry, [this, entry, asked_ms, news]() mutable {
+        when_thawed(entry, [this, entry, asked_ms, news]() mutable {
             lc_closures told = news.message();
             Dispatcher_TakeClosures(entry->dispatcher, now, asked_ms, &told,
                                     "test");
@@ -133,38 +134,41 @@
     });
 }
 
-/* Some answers come late, when newer ones have been read. */
+/* Delivers some answers late, after newer ones have been read. */
 void
-World::follow_halls(uint32_t index, uint64_t life)
+Simulation::poll_halls(uint32_t index, uint64_t boot_id)
 {
     EntryNode *entry = &entries[index];
 
-    if (entry->life != life) {
+    if (entry->boot_id != boot_id) {
         return;
     }
-    if (store_answers(entry)) {
-        HallNews news = read_halls();
-        tell_entry(entry, LINK_MS, now, news);
-        if (pick(STALE_EACH) == 0) {
-            tell_entry(entry, pick(STALE_MS), CLOSURES_UNASKED, news);
+    if (store_reachable(entry)) {
+        ClosureSnapshot news = read_halls();
+        send_closures_to_entry(entry, LINK_DELAY_MS, now, news);
+        if (random_below(STALE_EVERY) == 0) {
+            send_closures_to_entry(entry, random_below(STALE_DELAY_MS),
+                                   CLOSURES_UNASKED, news);
         }
     }
-    at(now + READ_MS, [this, index, life] { follow_halls(index, life); });
+    schedule(now + HALLS_POLL_MS,
+             [this, index, boot_id] { poll_halls(index, boot_id); });
 }
 
 /* ---- companions ---- */
 
 void
-World::tell_companion(CompanionNode *companion, int64_t after_ms,
-                      int64_t asked_ms, HallNews news)
+Simulation::send_closures_to_companion(CompanionNode *companion,
+                                       int64_t after_ms, int64_t asked_ms,
+                                       ClosureSnapshot news)
 {
-    uint64_t life = companion->life;
+    uint64_t boot_id = companion->boot_id;
 
-    at(now + after_ms, [this, companion, life, asked_ms, news] {
-        if (companion->life != life) {
+    schedule(now + after_ms, [this, companion, boot_id, asked_ms, news] {
+        if (companion->boot_id != boot_id) {
             return;
         }
-        when_awake(companion, [this, companion, asked_ms, news]() mutable {
+        when_thawed(companion, [this, companion, asked_ms, news]() mutable {
             lc_closures told = news.message();
             Runner_TakeClosures(companion->runner, now, asked_ms, &told,
                                 "test");
@@ -172,58 +176,64 @@
     });
 }
 
-/* Whom no entry tells asks the store, as long as that answers anybody. */
+/* A companion that gets no closures from entries reads the store, unless the
+ * store is down. */
 void
-World::confirm_halls(CompanionNode *companion)
+Simulation::refresh_closures(CompanionNode *companion)
 {
-    if (Closures_AgeMs(Runner_Closures(companion->runner), now) >= UNSURE_MS &&
+    if (Closures_AgeMs(Runner_Closures(companion->runner), now) >=
+            UNCONFIRMED_MS &&
         store.down_until <= now) {
-        tell_companion(companion, 2 * LINK_MS, now, read_halls());
+        send_closures_to_companion(companion, 2 * LINK_DELAY_MS, now,
+                                   read_halls());
     }
 }
 
-/* ---- what is checked ---- */
+/* ---- checks ---- */
 
-/* An order of a companion that was well, with a store that answered, for as
- * long as it may take to learn of a closed hall. Copies of it may follow. */
+/* No order may start a task in a closed hall if, for as long as a companion
+ * may take to learn of the closing, the companion ran without a freeze and the
+ * store was up. Only the first copy of an order is checked: later copies may
+ * be sent again after the closing. */
 void
-World::check_hall(uint32_t index, const lc_run_id &id)
+Simulation::check_hall(uint32_t index, const lc_run_id &id)
 {
     const CompanionNode &companion = companions[index];
     auto closed = closed_since.find(hall_of(index));
-    int64_t since = now - CLOSED_MS;
+    int64_t since = now - CLOSE_BOUND_MS;
 
-    if (!ordered
+    if (!checked_orders
              .insert({index, id.job, id.occurrence, id.step, id.index, id.run})
              .second) {
         return;
     }
-    started_in[hall_of(index)] = now;
+    last_order_in_hall[hall_of(index)] = now;
     if (closed != closed_since.end() && closed->second < since &&
         companion.started_ms <= since && companion.frozen_until <= since &&
         store.down_until <= since) {
         violation("a start in " + hall_of(index) + ", closed since " +
-                  std::to_string(closed->second) + " ms: " + name(id));
+                  std::to_string(closed->second) + " ms: " + run_name(id));
     }
 }
 
-/* After the last fault every hall is open: it has its share within the bound.
- * To be asked when the bound has passed. */
+/* After the last fault every hall is open and must have had a start since it
+ * was reopened. Called when REOPEN_BOUND_MS has passed. */
 void
-World::check_halls_serve()
+Simulation::check_reopened_halls()
 {
     for (auto &pair : opened_at) {
-        if (started_in[pair.first] < pair.second) {
-            violation(pair.first + " serves nothing though it was opened at " +
+        if (last_order_in_hall[pair.first] < pair.second) {
+            violation(pair.first +
+                      " had no start although it was reopened at " +
                       std::to_string(pair.second) + " ms");
         }
     }
 }
 
 int64_t
-World::halls_serve_by() const
+Simulation::reopened_halls_due_ms() const
 {
-    return plan.length_ms + OPENED_MS;
+    return plan.length_ms + REOPEN_BOUND_MS;
 }
 
 } // namespace lease
--- a/tests/lease_world_kept.cc
+++ b/tests/lease_world_kept.cc
@@ -1,6 +1,6 @@
 /*
- * Kept jobs in the world: the store, keepers that follow it, callers whose
- * jobs must not get lost, and what is checked of them.
+ * Durable jobs in the simulation: the store, the entries that follow its log,
+ * callers whose accepted jobs must not get lost, and the checks.
  */
 #include <cstring>
 
@@ -10,35 +10,36 @@
 
 namespace {
 
-const int64_t STORE_MS = 2;
-const int64_t FOLLOW_MS = 10;
+const int64_t STORE_DELAY_MS = 2;
+const int64_t STORE_POLL_MS = 10;
 const int64_t APPEND_TIMEOUT_MS = 150;
-const int64_t GOSSIP_MS = 300;
+const int64_t GOSSIP_INTERVAL_MS = 300;
 const int64_t CANCEL_BOUND_MS = 3000;
-const int64_t ANSWER_MS = 2500;
-const int KEPT_TRIES = 6;
-/* One that lasts ends every 400 ms at most, and is started again. */
-const int64_t LAST_AWAY_MS = 2000;
+const int64_t ANSWER_TIMEOUT_MS = 2500;
+const int MAX_DURABLE_SUBMISSIONS = 6;
+/* A long-running task ends after 400 ms at most and must be restarted within
+ * this time. */
+const int64_t MAX_RESTART_GAP_MS = 2000;
 
 uint64_t
 port_put(void *context, const char *key, const uint8_t *value, size_t length)
 {
     EntryNode *entry = (EntryNode *)context;
 
-    return entry->world->put(entry, key, value, length);
+    return entry->sim->put(entry, key, value, length);
 }
 
 void
-port_kept_answer(void *context, uint64_t request,
-                 const Dispatcher_Answer *answer)
+port_durable_answer(void *context, uint64_t request,
+                    const Dispatcher_Answer *answer)
 {
     EntryNode *entry = (EntryNode *)context;
 
-    entry->world->answer_kept(entry, request, answer);
+    entry->sim->answer_durable(entry, request, answer);
 }
 
 void
-port_tell(void *context, uint64_t request, Keeper_State state)
+port_state_answer(void *context, uint64_t request, Keeper_State state)
 {
     (void)context;
     (void)request;
@@ -46,18 +47,18 @@
 }
 
 void
-port_keeper_call(void *context, Address to, uint64_t id, const Msg_Call *call)
+port_durable_call(void *context, Address to, uint64_t id, const Msg_Call *call)
 {
     EntryNode *entry = (EntryNode *)context;
 
-    entry->world->call(entry, to, {id | KEEPER_CALL}, call);
+    entry->sim->call(entry, to, {id | DURABLE_CALL_BIT}, call);
 }
 
 const Route *
 port_route(void *context, const char *queue)
 {
     (void)queue;
-    return ((EntryNode *)context)->world->kept_route();
+    return ((EntryNode *)context)->sim->durable_route();
 }
 
 Err_Kind
@@ -66,27 +67,27 @@
 {
     (void)body;
     (void)status;
-    ((EntryNode *)context)->world->kept_job(id, job);
+    ((EntryNode *)context)->sim->fill_durable_job(id, job);
     return ERR_OK;
 }
 
 void
-port_keeper_event(void *context, Event_Id id, const char *detail)
+port_durable_event(void *context, Event_Id id, const char *detail)
 {
     EntryNode *entry = (EntryNode *)context;
 
     if (id == EVENT_KEPT_CLAIMED) {
-        entry->world->note_claim();
+        entry->sim->count_claim();
     }
-    if (entry->world->trace) {
-        fprintf(stderr, "%6ld entry %u LC%d %s\n", (long)entry->world->now,
+    if (entry->sim->trace) {
+        fprintf(stderr, "%6ld entry %u LC%d %s\n", (long)entry->sim->now,
                 entry->index, Event_Number(id), detail);
     }
 }
 
-const Keeper_Ports keeper_ports = {
-    port_put,   port_kept_answer, port_tell,         port_keeper_call,
-    port_route, port_parse,       port_keeper_event,
+const Keeper_Ports durable_jobs_ports = {
+    port_put,   port_durable_answer, port_state_answer,  port_durable_call,
+    port_route, port_parse,          port_durable_event,
 };
 
 } // namespace
@@ -94,13 +95,13 @@
 /* ---- the store ---- */
 
 void
-World::note_claim()
+Simulation::count_claim()
 {
     report.claims++;
 }
 
 void
-World::start_keeper(EntryNode *entry)
+Simulation::start_durable_jobs(EntryNode *entry)
 {
     Keeper_Config config;
 
@@ -109,28 +110,28 @@
     config.max_jobs = 10000;
     config.resubmit_ms = RESUBMIT_MS;
     config.keep_ms = 60000;
-    entry->pen = KeptPen();
-    entry->keeper = Keeper_New(&config, &keeper_ports, entry,
-                               entry->dispatcher, now);
+    entry->log_client = LogClient();
+    entry->durable_jobs = Keeper_New(&config, &durable_jobs_ports, entry,
+                                     entry->dispatcher, now);
 }
 
 uint64_t
-World::put(EntryNode *from, const char *key, const uint8_t *value,
-           size_t length)
+Simulation::put(EntryNode *from, const char *key, const uint8_t *value,
+                size_t length)
 {
-    from->pen.pending.push_back(
+    from->log_client.pending.push_back(
         {key, std::string((const char *)value, length)});
-    return ++from->pen.pending_number;
+    return ++from->log_client.pending_number;
 }
 
 bool
-World::store_answers(const EntryNode *entry) const
+Simulation::store_reachable(const EntryNode *entry) const
 {
     return store.down_until <= now && store_cut_until[entry->index] <= now;
 }
 
 void
-World::take_records(EntryNode *entry, uint64_t end, bool newest)
+Simulation::apply_records(EntryNode *entry, uint64_t end, bool newest)
 {
     std::map<std::string, uint64_t> last;
 
@@ -138,161 +139,167 @@
         last[store.log[i].key] = i;
     }
     if (newest) {
-        /* By key, as the store's pages are. */
+        /* Ordered by key, like the store's pages. */
         for (auto &pair : last) {
             const SimStore::Record &row = store.log[pair.second];
             Kept_Record record = {pair.second, row.key.data(), row.key.size(),
                                   (const uint8_t *)row.value.data(),
                                   row.value.size()};
             if (!row.value.empty()) {
-                Keeper_OnRecord(entry->keeper, now, &record);
+                Keeper_OnRecord(entry->durable_jobs, now, &record);
             }
         }
     }
-    for (uint64_t i = entry->pen.next; !newest && i < end; i++) {
+    for (uint64_t i = entry->log_client.next_offset; !newest && i < end; i++) {
         const SimStore::Record &row = store.log[i];
         Kept_Record record = {i, row.key.data(), row.key.size(),
                               (const uint8_t *)row.value.data(),
                               row.value.size()};
-        Keeper_OnRecord(entry->keeper, now, &record);
+        Keeper_OnRecord(entry->durable_jobs, now, &record);
     }
-    entry->pen.next = end;
+    entry->log_client.next_offset = end;
 }
 
 void
-World::read_store(EntryNode *entry)
+Simulation::read_store(EntryNode *entry)
 {
     int64_t asked = now;
-    uint64_t life = entry->life;
+    uint64_t boot_id = entry->boot_id;
 
-    at(now + STORE_MS, [this, entry, asked, life] {
+    schedule(now + STORE_DELAY_MS, [this, entry, asked, boot_id] {
         uint64_t end = store.log.size();
-        if (!store_answers(entry)) {
+        if (!store_reachable(entry)) {
             return;
         }
-        at(now + STORE_MS, [this, entry, asked, life, end] {
-            if (entry->life != life) {
+        schedule(now + STORE_DELAY_MS, [this, entry, asked, boot_id, end] {
+            if (entry->boot_id != boot_id) {
                 return;
             }
-            when_awake(entry, [this, entry, asked, end] {
-                bool newest = !entry->pen.following ||
-                              entry->pen.next < store.first;
-                entry->pen.following = true;
-                if (end < entry->pen.next) {
+            when_thawed(entry, [this, entry, asked, end] {
+                bool newest = !entry->log_client.has_read ||
+                              entry->log_client.next_offset < store.first;
+                entry->log_client.has_read = true;
+                if (end < entry->log_client.next_offset) {
                     return;
                 }
-                take_records(entry, end, newest);
-                Keeper_OnRead(entry->keeper, now, asked);
+                apply_records(entry, end, newest);
+                Keeper_OnRead(entry->durable_jobs, now, asked);
             });
         });
     });
 }
 
 void
-World::apply_batch(EntryNode *entry, const std::string &writer,
-                   uint64_t sequence,
-                   std::shared_ptr<std::vector<KeptPen::Put>> batch)
+Simulation::commit_batch(EntryNode *entry, const std::string &writer,
+                         uint64_t sequence,
+                         std::shared_ptr<std::vector<LogClient::Put>> batch)
 {
     uint64_t &last = store.sequences[writer];
 
     (void)entry;
     if (sequence != last + 1) {
-        return; /* done before, or too late */
+        return; /* already applied, or too late */
     }
     last = sequence;
-    for (const KeptPen::Put &row : *batch) {
+    for (const LogClient::Put &row : *batch) {
         store.log.push_back({row.key, row.value});
     }
 }
 
 void
-World::write_store(EntryNode *entry)
+Simulation::write_store(EntryNode *entry)
 {
-    KeptPen &pen = entry->pen;
+    LogClient &log_client = entry->log_client;
     std::string writer = std::to_string(entry->node.address) + "-" +
                          std::to_string(entry->node.incarnation);
-    uint64_t life = entry->life;
-    uint64_t sequence = pen.sequence;
+    uint64_t boot_id = entry->boot_id;
+    uint64_t sequence = log_client.sequence;
 
-    if (pen.batch.empty()) {
-        if (pen.pending.empty()) {
+    if (log_client.batch.empty()) {
+        if (log_client.pending.empty()) {
             return;
         }
-        pen.batch.swap(pen.pending);
-        pen.batch_number = pen.pending_number;
-    }
-    pen.writing = true;
-    auto batch = std::make_shared<std::vector<KeptPen::Put>>(pen.batch);
-    at(now + APPEND_TIMEOUT_MS, [this, entry, life, sequence] {
-        if (entry->life == life && entry->pen.sequence == sequence) {
-            entry->pen.writing = false; /* again */
+        log_client.batch.swap(log_client.pending);
+        log_client.batch_number = log_client.pending_number;
+    }
+    log_client.append_in_flight = true;
+    auto batch = std::make_shared<std::vector<LogClient::Put>>(
+        log_client.batch);
+    schedule(now + APPEND_TIMEOUT_MS, [this, entry, boot_id, sequence] {
+        if (entry->boot_id == boot_id &&
+            entry->log_client.sequence == sequence) {
+            entry->log_client.append_in_flight = false; /* send it again */
         }
     });
-    at(now + STORE_MS, [this, entry, writer, sequence, life, batch] {
-        bool lossy = store.lossy_until > now;
-        if (!store_answers(entry)) {
-            return;
-        }
-        if (lossy && pick(3) == 0) {
-            at(now + 1000 + pick(3000),
-               [this, entry, writer, sequence, batch] {
-                   apply_batch(entry, writer, sequence, batch);
-               });
-            return;
-        }
-        apply_batch(entry, writer, sequence, batch);
-        if (lossy && pick(2) == 0) {
-            return;
-        }
-        at(now + STORE_MS, [this, entry, life, sequence] {
-            if (entry->life != life || entry->pen.sequence != sequence) {
+    schedule(
+        now + STORE_DELAY_MS, [this, entry, writer, sequence, boot_id, batch] {
+            bool lossy = store.lossy_until > now;
+            if (!store_reachable(entry)) {
                 return;
             }
-            when_awake(entry, [this, entry, sequence] {
-                if (entry->pen.sequence != sequence) {
+            if (lossy && random_below(3) == 0) {
+                schedule(now + 1000 + random_below(3000),
+                         [this, entry, writer, sequence, batch] {
+                             commit_batch(entry, writer, sequence, batch);
+                         });
+                return;
+            }
+            commit_batch(entry, writer, sequence, batch);
+            if (lossy && random_below(2) == 0) {
+                return;
+            }
+            schedule(now + STORE_DELAY_MS, [this, entry, boot_id, sequence] {
+                if (entry->boot_id != boot_id ||
+                    entry->log_client.sequence != sequence) {
                     return;
                 }
-                entry->pen.sequence++;
-                entry->pen.batch.clear();
-                entry->pen.writing = false;
-                Keeper_OnWritten(entry->keeper, now, entry->pen.batch_number);
+                when_thawed(entry, [this, entry, sequence] {
+                    if (entry->log_client.sequence != sequence) {
+                        return;
+                    }
+                    entry->log_client.sequence++;
+                    entry->log_client.batch.clear();
+                    entry->log_client.append_in_flight = false;
+                    Keeper_OnWritten(entry->durable_jobs, now,
+                                     entry->log_client.batch_number);
+                });
             });
         });
-    });
 }
 
 void
-World::follow_store(uint32_t index, uint64_t life)
+Simulation::poll_store(uint32_t index, uint64_t boot_id)
 {
     EntryNode *entry = &entries[index];
 
-    if (entry->life != life) {
+    if (entry->boot_id != boot_id) {
         return;
     }
     if (entry->alive && entry->frozen_until <= now) {
         read_store(entry);
-        if (!entry->pen.writing) {
+        if (!entry->log_client.append_in_flight) {
             write_store(entry);
         }
     }
-    at(now + FOLLOW_MS, [this, index, life] { follow_store(index, life); });
+    schedule(now + STORE_POLL_MS,
+             [this, index, boot_id] { poll_store(index, boot_id); });
 }
 
-/* Entries tell each other that they live. */
+/* Entries tell each other that they are alive, and their hall closures. */
 void
-World::gossip(uint32_t index, uint64_t life)
+Simulation::gossip(uint32_t index, uint64_t boot_id)
 {
     EntryNode *from = &entries[index];
 
-    if (from->life != life) {
+    if (from->boot_id != boot_id) {
         return;
     }
     for (uint32_t i = 0; i < plan.entries; i++) {
         EntryNode *to = &entries[i];
-        uint64_t to_life = to->life;
+        uint64_t to_life = to->boot_id;
         Address address = from->node.address;
         int64_t asked_ms = now;
-        uint64_t kept = Keeper_Identity(from->keeper, now);
+        uint64_t kept = Keeper_Identity(from->durable_jobs, now);
         if (i == index || from->frozen_until > now ||
             gossip_cut_until[i] > now || gossip_cut_until[index] > now) {
             continue;
@@ -300,197 +307,204 @@
         if (!from->alive) {
             continue;
         }
-        tell_entry(to, LINK_MS, CLOSURES_UNASKED,
-                   HallNews::of(Dispatcher_Closures(from->dispatcher), now));
-        at(now + LINK_MS, [this, to, to_life, address, kept, from, asked_ms] {
-            if (to->life == to_life) {
-                when_awake(to, [this, to, address, kept, from, asked_ms] {
-                    Keeper_OnPeer(to->keeper, now, address, kept);
-                    tell_entry(from, LINK_MS, asked_ms,
-                               HallNews::of(
-                                   Dispatcher_Closures(to->dispatcher), now));
+        send_closures_to_entry(
+            to, LINK_DELAY_MS, CLOSURES_UNASKED,
+            ClosureSnapshot::of(Dispatcher_Closures(from->dispatcher), now));
+        schedule(now + LINK_DELAY_MS, [this, to, to_life, address, kept, from,
+                                       asked_ms] {
+            if (to->boot_id == to_life) {
+                when_thawed(to, [this, to, address, kept, from, asked_ms] {
+                    Keeper_OnPeer(to->durable_jobs, now, address, kept);
+                    send_closures_to_entry(
+                        from, LINK_DELAY_MS, asked_ms,
+                        ClosureSnapshot::of(
+                            Dispatcher_Closures(to->dispatcher), now));
                 });
             }
         });
     }
-    at(now + GOSSIP_MS, [this, index, life] { gossip(index, life); });
+    schedule(now + GOSSIP_INTERVAL_MS,
+             [this, index, boot_id] { gossip(index, boot_id); });
 }
 
 /* ---- callers ---- */
 
 void
-World::kept_job(uint64_t id, LeasedJob *job)
+Simulation::fill_durable_job(uint64_t id, LeasedJob *job)
 {
-    const KeptCaller &caller = kept_callers[id];
+    const DurableCaller &caller = durable_callers[id];
 
     memset(job, 0, sizeof(*job));
     job->id = id;
     job->spec = g_strdup(spec_of(id).c_str());
     job->needs_keeping = true;
-    job->repeat_count = caller.times;
+    job->repeat_count = caller.occurrences;
     job->start_at_ms = caller.start_at_ms;
     job->interval_ms = caller.interval_ms;
     job->step_count = caller.steps;
     job->steps = g_new0(LeasedJob_Step, caller.steps);
     for (uint32_t i = 0; i < caller.steps; i++) {
         job->steps[i].count = caller.tasks;
-        job->steps[i].need = {need_of(id), JOB_MEMORY_MB, 0};
+        job->steps[i].need = {cpu_need_of(id), TASK_MEMORY_MB, 0};
         job->steps[i].estimate_ms = (uint32_t)caller.work_ms;
         job->steps[i].depends_on = i;
-        job->steps[i].long_running = caller.lasts;
+        job->steps[i].long_running = caller.long_running;
     }
 }
 
 void
-World::make_kept()
+Simulation::make_durable_job()
 {
     static const int64_t works[] = {60, 200, 400};
-    KeptCaller caller = {};
-
-    caller.id = FIRST_KEPT + ++report.kept_jobs;
-    caller.tasks = 1 + pick(4);
-    caller.steps = 1 + pick(2);
-    caller.work_ms = works[pick(3)];
-    if (pick(10) == 0 && now < plan.length_ms) {
-        caller.lasts = true;
+    DurableCaller caller = {};
+
+    caller.id = FIRST_DURABLE_ID + ++report.durable_jobs_sent;
+    caller.tasks = 1 + random_below(4);
+    caller.steps = 1 + random_below(2);
+    caller.work_ms = works[random_below(3)];
+    if (random_below(10) == 0 && now < plan.length_ms) {
+        caller.long_running = true;
         caller.steps = 1;
-        caller.tasks = 1 + pick(2);
+        caller.tasks = 1 + random_below(2);
     }
-    else if (pick(6) == 0) {
-        caller.times = 1 + pick(4);
+    else if (random_below(6) == 0) {
+        caller.occurrences = 1 + random_below(4);
         caller.work_ms = works[0];
-        caller.start_at_ms = WALL_AHEAD_MS + now + pick(1500);
-        caller.interval_ms = 50 + pick(600);
+        caller.start_at_ms = WALL_OFFSET_MS + now + random_below(1500);
+        caller.interval_ms = 50 + random_below(600);
     }
-    kept_callers[caller.id] = caller;
-    submit_kept(caller.id);
-    if (pick(8) == 0) {
+    durable_callers[caller.id] = caller;
+    submit_durable(caller.id);
+    if (random_below(8) == 0) {
         uint64_t id = caller.id;
-        at(now + pick(1500), [this, id] { cancel_kept(id); });
+        schedule(now + random_below(1500), [this, id] { cancel_durable(id); });
     }
 }
 
 void
-World::submit_kept(uint64_t id)
+Simulation::submit_durable(uint64_t id)
 {
-    KeptCaller &caller = kept_callers[id];
-    uint32_t index = pick(plan.entries);
+    DurableCaller &caller = durable_callers[id];
+    uint32_t index = random_below(plan.entries);
     EntryNode *entry = &entries[index];
     uint64_t request = ++next_request;
-    uint64_t life = entry->life;
+    uint64_t boot_id = entry->boot_id;
 
-    caller.tries++;
+    caller.submissions++;
     if (!entry->alive) {
-        if (caller.tries < KEPT_TRIES) {
-            at(now + RESUBMIT_MS, [this, id] { submit_kept(id); });
+        if (caller.submissions < MAX_DURABLE_SUBMISSIONS) {
+            schedule(now + RESUBMIT_MS, [this, id] { submit_durable(id); });
         }
         return;
     }
     caller.open_request = request;
-    caller.asked = index;
-    kept_requests[request] = id;
-    at(now + 3, [this, entry, life, id, request] {
-        if (entry->life != life) {
+    caller.request_entry = index;
+    durable_requests[request] = id;
+    schedule(now + 3, [this, entry, boot_id, id, request] {
+        if (entry->boot_id != boot_id) {
             return;
         }
-        when_awake(entry, [this, entry, id, request] {
+        when_thawed(entry, [this, entry, id, request] {
             Keeper_Submit submit;
             LeasedJob job;
-            kept_job(id, &job);
+            fill_durable_job(id, &job);
             memset(&submit, 0, sizeof(submit));
             submit.request_id = request;
             submit.route = route;
             submit.body = "{}";
             submit.job = &job;
-            Keeper_OnSubmit(entry->keeper, now, &submit);
+            Keeper_OnSubmit(entry->durable_jobs, now, &submit);
             LeasedJob_Clear(&job);
         });
     });
-    /* No answer: the caller asks elsewhere. */
-    at(now + ANSWER_MS, [this, id, request] {
-        KeptCaller &row = kept_callers[id];
+    /* Without an answer the caller submits again, to an entry at random. */
+    schedule(now + ANSWER_TIMEOUT_MS, [this, id, request] {
+        DurableCaller &row = durable_callers[id];
         if (row.open_request == request) {
             row.open_request = 0;
-            row.any_taken = true;
-            if (row.tries < KEPT_TRIES) {
-                submit_kept(id);
+            row.may_have_run = true;
+            if (row.submissions < MAX_DURABLE_SUBMISSIONS) {
+                submit_durable(id);
             }
         }
     });
 }
 
 void
-World::cancel_kept(uint64_t id)
+Simulation::cancel_durable(uint64_t id)
 {
-    uint32_t index = pick(plan.entries);
+    uint32_t index = random_below(plan.entries);
     EntryNode *entry = &entries[index];
     uint64_t request = ++next_request;
-    uint64_t life = entry->life;
+    uint64_t boot_id = entry->boot_id;
 
-    kept_callers[id].cancel_sent = true;
+    durable_callers[id].cancel_sent = true;
     cancel_requests[request] = id;
-    at(now + 3, [this, entry, life, id, request] {
-        if (entry->life != life) {
+    schedule(now + 3, [this, entry, boot_id, id, request] {
+        if (entry->boot_id != boot_id) {
             return;
         }
-        when_awake(entry, [this, entry, id, request] {
-            Keeper_OnCancel(entry->keeper, now, request, id, route->name);
+        when_thawed(entry, [this, entry, id, request] {
+            Keeper_OnCancel(entry->durable_jobs, now, request, id,
+                            route->name);
         });
     });
 }
 
-/* Jobs that last are at work until they are cancelled. */
+/* Long-running jobs must be running until they are cancelled. */
 void
-World::end_lasting()
+Simulation::cancel_long_running()
 {
-    for (auto &pair : kept_callers) {
-        const KeptCaller &caller = pair.second;
-        if (!caller.lasts || !caller.accepted || caller.cancelled_ms != 0) {
+    for (auto &pair : durable_callers) {
+        const DurableCaller &caller = pair.second;
+        if (!caller.long_running || !caller.accepted ||
+            caller.cancelled_ms != 0) {
             continue;
         }
-        if (now - caller.last_start_ms > LAST_AWAY_MS) {
-            violation("tasks that last are away, of kept job " +
+        if (now - caller.last_start_ms > MAX_RESTART_GAP_MS) {
+            violation("long-running tasks are not running, of durable job " +
                       std::to_string(caller.id));
         }
-        cancel_kept(caller.id);
+        cancel_durable(caller.id);
     }
 }
 
-/* The entry died: whoever waited for it asks again. */
+/* The entry was killed: callers that waited for it submit again. */
 void
-World::lose_kept(uint32_t index)
+Simulation::fail_durable_requests(uint32_t index)
 {
-    for (auto &pair : kept_callers) {
-        KeptCaller &caller = pair.second;
+    for (auto &pair : durable_callers) {
+        DurableCaller &caller = pair.second;
         uint64_t id = pair.first;
-        if (caller.open_request != 0 && caller.asked == index) {
+        if (caller.open_request != 0 && caller.request_entry == index) {
             caller.open_request = 0;
-            caller.any_taken = true;
-            if (caller.tries < KEPT_TRIES) {
-                at(now + RESUBMIT_MS, [this, id] { submit_kept(id); });
+            caller.may_have_run = true;
+            if (caller.submissions < MAX_DURABLE_SUBMISSIONS) {
+                schedule(now + RESUBMIT_MS,
+                         [this, id] { submit_durable(id); });
             }
         }
     }
 }
 
 void
-World::answer_kept(EntryNode *from, uint64_t request,
-                   const Dispatcher_Answer *answer)
+Simulation::answer_durable(EntryNode *from, uint64_t request,
+                           const Dispatcher_Answer *answer)
 {
     auto cancel = cancel_requests.find(request);
 
     (void)from;
     if (cancel != cancel_requests.end()) {
         if (answer->outcome == DISPATCHER_CANCELLED &&
-            kept_callers[cancel->second].cancelled_ms == 0) {
-            kept_callers[cancel->second].cancelled_ms = now;
+            durable_callers[cancel->second].cancelled_ms == 0) {
+            durable_callers[cancel->second].cancelled_ms = now;
         }
         return;
     }
-    uint64_t id = kept_requests[request];
-    KeptCaller &caller = kept_callers[id];
+    uint64_t id = durable_requests[request];
+    DurableCaller &caller = durable_callers[id];
     if (answer->outcome != DISPATCHER_NOT_RUN) {
-        caller.any_taken = true;
+        caller.may_have_run = true;
     }
     if (answer->outcome == DISPATCHER_KEPT) {
         caller.accepted = true;
@@ -499,103 +513,107 @@
         return;
     }
     caller.open_request = 0;
-    if (answer->outcome == DISPATCHER_GIVEN_UP && caller.tries < KEPT_TRIES) {
-        at(now + RESUBMIT_MS, [this, id] { submit_kept(id); });
+    if (answer->outcome == DISPATCHER_GIVEN_UP &&
+        caller.submissions < MAX_DURABLE_SUBMISSIONS) {
+        schedule(now + RESUBMIT_MS, [this, id] { submit_durable(id); });
     }
-    /* Now and then it comes once more, seconds after its answer. */
-    if (answer->outcome == DISPATCHER_KEPT && caller.tries < 3 &&
-        pick(4) == 0) {
-        at(now + pick(3000), [this, id] { submit_kept(id); });
+    /* Some callers submit again up to 3 s after their answer. */
+    if (answer->outcome == DISPATCHER_KEPT && caller.submissions < 3 &&
+        random_below(4) == 0) {
+        schedule(now + random_below(3000), [this, id] { submit_durable(id); });
     }
 }
 
-/* ---- what is checked ---- */
+/* ---- checks ---- */
 
 void
-World::on_kept_start(const lc_run_id &id)
+Simulation::on_durable_start(const lc_run_id &id)
 {
-    KeptCaller &caller = kept_callers[id.job];
-    KeptTask &task = kept_tasks[task_of(id)];
+    DurableCaller &caller = durable_callers[id.job];
+    DurableTask &task = durable_tasks[task_of(id)];
 
     caller.last_start_ms = now;
-    if (caller.lasts) {
+    if (caller.long_running) {
         return;
     }
     task.ends_before_start.push_back((int)task.ends.size());
     if (caller.cancelled_ms != 0 && plan.actions.empty() &&
         now > caller.cancelled_ms + CANCEL_BOUND_MS) {
-        violation("a start after a cancel: " + name(id));
+        violation("a start after a cancel: " + run_name(id));
     }
-    if (caller.times > 0 &&
-        now + WALL_AHEAD_MS <
+    if (caller.occurrences > 0 &&
+        now + WALL_OFFSET_MS <
             caller.start_at_ms + id.occurrence * caller.interval_ms) {
-        violation("a start before its time: " + name(id));
+        violation("a start before its scheduled time: " + run_name(id));
     }
     for (uint32_t i = 0; id.step > 0 && i < caller.tasks; i++) {
         if (!done[TaskName(id.job, id.occurrence << 16, i)]) {
-            violation("a start before the step it waits for: " + name(id));
+            violation("a start before the end of the previous step: " +
+                      run_name(id));
         }
     }
 }
 
 void
-World::on_kept_end(const lc_run_id &id, Runner_End end)
+Simulation::on_durable_end(const lc_run_id &id, Runner_End end)
 {
     if (end == RUNNER_END_DONE || end == RUNNER_END_FAILED) {
-        kept_tasks[task_of(id)].ends.push_back(
+        durable_tasks[task_of(id)].ends.push_back(
             {id.run, end == RUNNER_END_DONE, false});
     }
 }
 
 void
-World::on_kept_noted(const lc_run_id &id, Runner_End end)
+Simulation::on_durable_acknowledged(const lc_run_id &id, Runner_End end)
 {
-    for (KeptTask::End &row : kept_tasks[task_of(id)].ends) {
+    for (DurableTask::End &row : durable_tasks[task_of(id)].ends) {
         if (row.run == id.run && row.done == (end == RUNNER_END_DONE)) {
-            row.noted = true;
+            row.acknowledged = true;
             return;
         }
     }
 }
 
 void
-World::check_kept()
+Simulation::check_durable()
 {
     static const char *const queue = "queue";
 
-    for (auto &pair : kept_tasks) {
-        const KeptTask &task = pair.second;
-        std::string called = std::to_string(std::get<0>(pair.first)) + "." +
-                             std::to_string(std::get<1>(pair.first)) + "." +
-                             std::to_string(std::get<2>(pair.first));
+    for (auto &pair : durable_tasks) {
+        const DurableTask &task = pair.second;
+        std::string task_name = std::to_string(std::get<0>(pair.first)) + "." +
+                                std::to_string(std::get<1>(pair.first)) + "." +
+                                std::to_string(std::get<2>(pair.first));
         for (int before : task.ends_before_start) {
             uint32_t failed = 0;
             for (int i = 0; i < before; i++) {
-                if (task.ends[i].noted && task.ends[i].done) {
-                    violation("a start after an end taken note of: " + called);
+                if (task.ends[i].acknowledged && task.ends[i].done) {
+                    violation(
+                        "a start after an acknowledged successful end: " +
+                        task_name);
                 }
-                failed += task.ends[i].noted && !task.ends[i].done;
+                failed += task.ends[i].acknowledged && !task.ends[i].done;
             }
-            if (failed >= MOST_ATTEMPTS) {
-                violation("a start after too many attempts: " + called);
+            if (failed >= MAX_ATTEMPTS) {
+                violation("a start after too many attempts: " + task_name);
             }
         }
     }
-    for (auto &pair : kept_callers) {
-        const KeptCaller &caller = pair.second;
-        if (caller.started && !caller.any_taken) {
-            violation("kept job " + std::to_string(caller.id) +
-                      " ran though all its attempts were rejected");
+    for (auto &pair : durable_callers) {
+        const DurableCaller &caller = pair.second;
+        if (caller.started && !caller.may_have_run) {
+            violation("durable job " + std::to_string(caller.id) +
+                      " ran although all its submissions were rejected");
         }
         if (!caller.accepted) {
             continue;
         }
-        report.kept_accepted++;
+        report.durable_accepted++;
         for (EntryNode &entry : entries) {
-            Keeper_State state = Keeper_Look(entry.keeper, now, caller.id,
-                                             queue);
+            Keeper_State state = Keeper_Look(entry.durable_jobs, now,
+                                             caller.id, queue);
             bool all = true;
-            uint32_t slices = caller.steps * std::max(caller.times, 1U);
+            uint32_t slices = caller.steps * std::max(caller.occurrences, 1U);
             for (uint32_t slice = 0; slice < slices; slice++) {
                 uint32_t step = slice % caller.steps | slice / caller.steps
                                                            << 16;
@@ -603,18 +621,18 @@
                     all &= done[TaskName(caller.id, step, i)];
                 }
             }
-            report.kept_succeeded += entry.index == 0 &&
-                                     state == KEEPER_SUCCEEDED;
+            report.durable_succeeded += entry.index == 0 &&
+                                        state == KEEPER_SUCCEEDED;
             if (state == KEEPER_SUCCEEDED && !all) {
-                violation("kept job " + std::to_string(caller.id) +
-                          " told as done with a task that is not");
+                violation("durable job " + std::to_string(caller.id) +
+                          " reported as succeeded with an unfinished task");
             }
             if (state == KEEPER_SUCCEEDED || state == KEEPER_FAILED ||
                 (state == KEEPER_CANCELLED && caller.cancel_sent)) {
                 continue;
             }
-            violation("kept job " + std::to_string(caller.id) +
-                      " is lost or not over: state " +
+            violation("durable job " + std::to_string(caller.id) +
+                      " is lost or unfinished: state " +
                       std::to_string((int)state) + " at entry " +
                       std::to_string(entry.index));
         }
--- a/tests/lease_world_messages.cc
+++ b/tests/lease_world_messages.cc
@@ -7,11 +7,12 @@
 namespace {
 
 void
-take_reply(EntryNode *entry, int64_t now, uint64_t call_id,
-           const Msg_Reply *reply)
+deliver_reply(EntryNode *entry, int64_t now, uint64_t call_id,
+              const Msg_Reply *reply)
 {
-    if ((call_id & KEEPER_CALL) != 0) {
-        Keeper_OnReply(entry->keeper, now, call_id & ~KEEPER_CALL, reply);
+    if ((call_id & DURABLE_CALL_BIT) != 0) {
+        Keeper_OnReply(entry->durable_jobs, now, call_id & ~DURABLE_CALL_BIT,
+                       reply);
     }
     else {
         Dispatcher_OnReply(entry->dispatcher, now, call_id, reply);
@@ -25,7 +26,7 @@
     delete reply;
 }
 
-/* Of all replies here that of a FENCE alone owns memory. */
+/* A deep copy. Of the replies sent here only the one to FENCE owns memory. */
 std::shared_ptr<Msg_Reply>
 copy_of(const Msg_Reply *message)
 {
@@ -43,41 +44,42 @@
 } // namespace
 
 void
-World::lose(uint32_t index, uint64_t life, uint64_t call_id)
+Simulation::fail_call(uint32_t index, uint64_t boot_id, uint64_t call_id)
 {
     EntryNode *entry = &entries[index];
 
-    at(now + LINK_MS, [this, entry, life, call_id] {
-        if (entry->life != life) {
+    schedule(now + LINK_DELAY_MS, [this, entry, boot_id, call_id] {
+        if (entry->boot_id != boot_id) {
             return;
         }
-        when_awake(entry, [this, entry, call_id] {
-            take_reply(entry, now, call_id, nullptr);
+        when_thawed(entry, [this, entry, call_id] {
+            deliver_reply(entry, now, call_id, nullptr);
         });
     });
 }
 
 void
-World::break_link(uint32_t entry, uint32_t companion)
+Simulation::break_link(uint32_t entry, uint32_t companion)
 {
     Link &link = links[{entry, companion}];
     std::set<uint64_t> pending = link.pending;
 
     link.generation++;
     link.pending.clear();
-    link.free_ms = 0;
+    link.next_arrival_ms = 0;
     for (uint64_t call_id : pending) {
-        lose(entry, entries[entry].life, call_id);
+        fail_call(entry, entries[entry].boot_id, call_id);
     }
 }
 
 void
-World::to_companion(uint32_t entry, uint32_t index, Call message)
+Simulation::send_to_companion(uint32_t entry, uint32_t index,
+                              EncodedCall message)
 {
     Link &link = links[{entry, index}];
     uint64_t generation = link.generation;
-    int64_t arrives = std::max(now + LINK_MS, link.free_ms);
-    auto shared = std::make_shared<Call>(std::move(message));
+    int64_t arrives = std::max(now + LINK_DELAY_MS, link.next_arrival_ms);
+    auto shared = std::make_shared<EncodedCall>(std::move(message));
 
     link.pending.insert(shared->call_ids.begin(), shared->call_ids.end());
     if (!companions[index].alive) {
@@ -90,13 +92,13 @@
     if (link.cut_until > arrives) {
         arrives = link.cut_until;
     }
-    link.free_ms = arrives;
-    at(arrives, [this, entry, index, generation, shared] {
+    link.next_arrival_ms = arrives;
+    schedule(arrives, [this, entry, index, generation, shared] {
         CompanionNode *companion = &companions[index];
         if (links[{entry, index}].generation != generation) {
             return;
         }
-        when_awake(companion, [this, entry, companion, generation, shared] {
+        when_thawed(companion, [this, entry, companion, generation, shared] {
             Msg_Record record;
             Msg_Decode(shared->bytes.data() + MSG_MARK_SIZE,
                        shared->bytes.size() - MSG_MARK_SIZE, &record);
@@ -106,8 +108,8 @@
                 if (record.call.kind == MSG_RUNS) {
                     Runs_Get(&record.call.u.runs, i, &row);
                 }
-                companion->owed[reply_id] = {entry, shared->call_ids[i],
-                                             generation};
+                companion->pending_replies[reply_id] = {
+                    entry, shared->call_ids[i], generation};
                 Runner_OnCall(companion->runner, now, reply_id, &row);
             }
             Msg_FreeCall(&record.call);
@@ -118,21 +120,22 @@
 /* ---- between entries ---- */
 
 int64_t
-World::entries_cut_until(uint32_t from, uint32_t to) const
+Simulation::entry_link_cut_until(uint32_t from, uint32_t to) const
 {
     int64_t until = 0;
 
-    if (entry_cut_way[from] != 2) {
+    if (entry_cut_direction[from] != 2) {
         until = std::max(until, gossip_cut_until[from]);
     }
-    if (entry_cut_way[to] != 1) {
+    if (entry_cut_direction[to] != 1) {
         until = std::max(until, gossip_cut_until[to]);
     }
     return until;
 }
 
 void
-World::take_from_entry(EntryNode *at, uint64_t reply_id, const Msg_Call *call)
+Simulation::handle_entry_call(EntryNode *at, uint64_t reply_id,
+                              const Msg_Call *call)
 {
     if (call->kind == MSG_FORWARD) {
         report.forwards++;
@@ -144,120 +147,121 @@
     }
 }
 
-/* What a cut holds up arrives when it heals. */
+/* Messages sent during a cut arrive when it ends. */
 void
-World::to_entry(uint32_t from, uint32_t index, Call message)
+Simulation::send_to_entry(uint32_t from, uint32_t index, EncodedCall message)
 {
-    Link &link = links[{from, ENTRY_END + index}];
+    Link &link = links[{from, ENTRY_LINK_BASE + index}];
     uint64_t generation = link.generation;
-    int64_t arrives = std::max(now + LINK_MS, link.free_ms);
-    auto shared = std::make_shared<Call>(std::move(message));
+    int64_t arrives = std::max(now + LINK_DELAY_MS, link.next_arrival_ms);
+    auto shared = std::make_shared<EncodedCall>(std::move(message));
     uint64_t call_id = shared->call_ids[0];
 
     link.pending.insert(call_id);
     if (!entries[index].alive) {
-        break_link(from, ENTRY_END + index);
+        break_link(from, ENTRY_LINK_BASE + index);
         return;
     }
-    arrives = std::max(arrives, entries_cut_until(from, index));
-    link.free_ms = arrives;
-    at(arrives, [this, from, index, generation, shared, call_id] {
+    arrives = std::max(arrives, entry_link_cut_until(from, index));
+    link.next_arrival_ms = arrives;
+    schedule(arrives, [this, from, index, generation, shared, call_id] {
         EntryNode *entry = &entries[index];
-        if (links[{from, ENTRY_END + index}].generation != generation) {
+        if (links[{from, ENTRY_LINK_BASE + index}].generation != generation) {
             return;
         }
-        when_awake(entry, [this, from, entry, generation, shared, call_id] {
+        when_thawed(entry, [this, from, entry, generation, shared, call_id] {
             Msg_Record record;
             uint64_t reply_id = ++entry->next_reply;
             Msg_Decode(shared->bytes.data() + MSG_MARK_SIZE,
                        shared->bytes.size() - MSG_MARK_SIZE, &record);
-            entry->owed[reply_id] = {from, call_id, generation};
-            take_from_entry(entry, reply_id, &record.call);
+            entry->pending_replies[reply_id] = {from, call_id, generation};
+            handle_entry_call(entry, reply_id, &record.call);
             Msg_FreeCall(&record.call);
         });
     });
 }
 
 void
-World::reply(EntryNode *from, uint64_t reply_id, const Msg_Reply *message)
+Simulation::reply(EntryNode *from, uint64_t reply_id, const Msg_Reply *message)
 {
-    auto owed = from->owed.find(reply_id);
+    auto pending = from->pending_replies.find(reply_id);
 
-    if (owed == from->owed.end()) {
+    if (pending == from->pending_replies.end()) {
         return;
     }
-    Owed to = owed->second;
-    from->owed.erase(owed);
-    Link &link = links[{to.entry, ENTRY_END + from->index}];
+    PendingReply to = pending->second;
+    from->pending_replies.erase(pending);
+    Link &link = links[{to.entry, ENTRY_LINK_BASE + from->index}];
     if (link.generation != to.generation ||
         link.pending.erase(to.call_id) == 0) {
         return;
     }
-    report.forwards_taken += message->kind == MSG_FORWARD &&
-                             message->u.forward.taken;
+    report.forwards_accepted += message->kind == MSG_FORWARD &&
+                                message->u.forward.taken;
     GByteArray *bytes = g_byte_array_new();
     Msg_EncodeReply(message, 1, bytes);
     std::vector<uint8_t> copy(bytes->data + MSG_MARK_SIZE,
                               bytes->data + bytes->len);
     g_byte_array_unref(bytes);
-    int64_t arrives = std::max(now + LINK_MS,
-                               entries_cut_until(from->index, to.entry));
+    int64_t arrives = std::max(now + LINK_DELAY_MS,
+                               entry_link_cut_until(from->index, to.entry));
     EntryNode *entry = &entries[to.entry];
-    uint64_t life = entry->life;
+    uint64_t boot_id = entry->boot_id;
     Msg_Kind kind = message->kind;
-    at(arrives, [this, entry, life, to, kind, copy] {
-        if (entry->life != life) {
+    schedule(arrives, [this, entry, boot_id, to, kind, copy] {
+        if (entry->boot_id != boot_id) {
             return;
         }
-        when_awake(entry, [this, entry, to, kind, copy] {
+        when_thawed(entry, [this, entry, to, kind, copy] {
             Msg_Record record;
             Msg_Reply reply;
             Msg_Decode(copy.data(), copy.size(), &record);
             Msg_DecodeReply(kind, copy.data() + record.body,
                             copy.size() - record.body, &reply);
-            take_reply(entry, now, to.call_id, &reply);
+            deliver_reply(entry, now, to.call_id, &reply);
             Msg_FreeReply(&reply);
         });
     });
 }
 
 void
-World::call(EntryNode *from, Address to, std::vector<uint64_t> call_ids,
-            const Msg_Call *message)
+Simulation::call(EntryNode *from, Address to, std::vector<uint64_t> call_ids,
+                 const Msg_Call *message)
 {
     GByteArray *bytes = g_byte_array_new();
-    Call copy;
+    EncodedCall copy;
 
     Msg_EncodeCall(message, 1, bytes);
     copy.call_ids = std::move(call_ids);
     copy.bytes.assign(bytes->data, bytes->data + bytes->len);
     g_byte_array_unref(bytes);
     if (to < companion_address(0)) {
-        to_entry(from->index, (uint32_t)(to - entry_address(0)),
-                 std::move(copy));
+        send_to_entry(from->index, (uint32_t)(to - entry_address(0)),
+                      std::move(copy));
         return;
     }
-    to_companion(from->index, (uint32_t)(to - companion_address(0)),
-                 std::move(copy));
+    send_to_companion(from->index, (uint32_t)(to - companion_address(0)),
+                      std::move(copy));
 }
 
 void
-World::reset(EntryNode *from, Address to)
+Simulation::reset(EntryNode *from, Address to)
 {
     break_link(from->index, (uint32_t)(to - companion_address(0)));
 }
 
 void
-World::reply(CompanionNode *from, uint64_t reply_id, const Msg_Reply *message)
+Simulation::reply(CompanionNode *from, uint64_t reply_id,
+                  const Msg_Reply *message)
 {
-    auto owed = from->owed.find(reply_id);
-    Owed to;
+    auto pending = from->pending_replies.find(reply_id);
+    PendingReply to;
 
-    if (owed == from->owed.end()) {
+    if (pending == from->pending_replies.end()) {
         return;
     }
-    to = owed->second;
-    from->owed.erase(owed);
+    to = pending->second;
+    from->pending_replies.erase(pending);
     uint32_t entry_index = to.entry;
     uint64_t call_id = to.call_id;
     Link &link = links[{entry_index, from->index}];
@@ -269,66 +273,69 @@
         return;
     }
     auto copy = copy_of(message);
-    int64_t arrives = std::max(now + LINK_MS, link.cut_until);
-    uint64_t life = entries[entry_index].life;
+    int64_t arrives = std::max(now + LINK_DELAY_MS, link.cut_until);
+    uint64_t boot_id = entries[entry_index].boot_id;
     EntryNode *entry = &entries[entry_index];
-    at(arrives, [this, entry, life, call_id, copy] {
-        if (entry->life != life) {
+    schedule(arrives, [this, entry, boot_id, call_id, copy] {
+        if (entry->boot_id != boot_id) {
             return;
         }
-        when_awake(entry, [this, entry, call_id, copy] {
-            take_reply(entry, now, call_id, copy.get());
+        when_thawed(entry, [this, entry, call_id, copy] {
+            deliver_reply(entry, now, call_id, copy.get());
         });
     });
 }
 
 /* ---- orders ---- */
 
-/* What comes while the upstream's machine is suspended waits there. */
+/* Runs @p act now, or when the upstream's suspended machine has resumed. */
 void
-World::when_up(const Upstream *upstream, std::function<void()> act)
+Simulation::when_resumed(const Upstream *upstream, std::function<void()> act)
 {
-    if (upstream->asleep_until() > now) {
-        at(upstream->asleep_until(),
-           [this, upstream, act] { when_up(upstream, act); });
+    if (upstream->suspended_until() > now) {
+        schedule(upstream->suspended_until(),
+                 [this, upstream, act] { when_resumed(upstream, act); });
         return;
     }
     act();
 }
 
 void
-World::order(CompanionNode *from, std::function<Runner_OrderEnd()> act,
-             std::function<void(Runner_OrderEnd, int64_t)> done_with)
+Simulation::send_order(CompanionNode *from,
+                       std::function<Runner_OrderEnd()> act,
+                       std::function<void(Runner_OrderEnd, int64_t)> done_with)
 {
     Upstream *upstream = &upstreams[from->index];
-    uint64_t life = from->life;
-    bool late = late_until[from->index] > now && pick(3) == 0;
-    int64_t delay = late ? 1000 + pick(MAX_ORDER_DELAY_MS - 1000) : 0;
+    uint64_t boot_id = from->boot_id;
+    bool late = orders_late_until[from->index] > now && random_below(3) == 0;
+    int64_t delay = late ? 1000 + random_below(MAX_ORDER_DELAY_MS - 1000) : 0;
 
     if (!upstream->is_up()) {
-        at(now + 1, [this, from, life, done_with] {
-            if (from->life == life) {
-                when_awake(from, [this, done_with] {
+        schedule(now + 1, [this, from, boot_id, done_with] {
+            if (from->boot_id == boot_id) {
+                when_thawed(from, [this, done_with] {
                     done_with(RUNNER_ORDER_UNSENT, 0);
                 });
             }
         });
         return;
     }
-    at(now + delay, [this, from, life, late, upstream, act, done_with] {
-        when_up(upstream, [this, from, life, late, upstream, act, done_with] {
+    schedule(now + delay, [this, from, boot_id, late, upstream, act,
+                           done_with] {
+        when_resumed(upstream, [this, from, boot_id, late, upstream, act,
+                                done_with] {
             Runner_OrderEnd end = RUNNER_ORDER_UNANSWERED;
             int64_t clock = upstream->clock(now);
             if (upstream->is_up()) {
                 upstream->advance(now);
                 end = act();
             }
-            if (late || from->life != life) {
+            if (late || from->boot_id != boot_id) {
                 return;
             }
-            at(now + 1, [this, from, life, end, clock, done_with] {
-                if (from->life == life) {
-                    when_awake(from, [end, clock, done_with] {
+            schedule(now + 1, [this, from, boot_id, end, clock, done_with] {
+                if (from->boot_id == boot_id) {
+                    when_thawed(from, [end, clock, done_with] {
                         done_with(end, clock);
                     });
                 }
@@ -336,9 +343,9 @@
         });
     });
     if (late) {
-        at(now + ORDER_TIMEOUT_MS, [this, from, life, done_with] {
-            if (from->life == life) {
-                when_awake(from, [done_with] {
+        schedule(now + ORDER_TIMEOUT_MS, [this, from, boot_id, done_with] {
+            if (from->boot_id == boot_id) {
+                when_thawed(from, [done_with] {
                     done_with(RUNNER_ORDER_UNANSWERED, 0);
                 });
             }
@@ -347,7 +354,8 @@
 }
 
 void
-World::order_start(CompanionNode *from, uint64_t id, const Runner_Start *start)
+Simulation::order_start(CompanionNode *from, uint64_t id,
+                        const Runner_Start *start)
 {
     Upstream *upstream = &upstreams[from->index];
     uint32_t index = from->index;
@@ -357,12 +365,12 @@
     check_spec(copy.id, start->spec);
     copy.spec = "";
     check_hall(index, copy.id);
-    order(
+    send_order(
         from,
         [this, upstream, index, copy, instance]() mutable {
             copy.instance = instance->c_str();
             Runner_OrderEnd end = upstream->start(now, copy);
-            check_room(index);
+            check_capacity(index);
             return end;
         },
         [this, from, id](Runner_OrderEnd end, int64_t clock) {
@@ -371,14 +379,14 @@
 }
 
 void
-World::order_stop(CompanionNode *from, uint64_t id, const lc_run_id *run,
-                  const char *expected, int64_t token)
+Simulation::order_stop(CompanionNode *from, uint64_t id, const lc_run_id *run,
+                       const char *expected, int64_t token)
 {
     Upstream *upstream = &upstreams[from->index];
     lc_run_id copy = *run;
     std::string instance = expected;
 
-    order(
+    send_order(
         from,
         [this, upstream, copy, instance, token] {
             return upstream->stop(now, copy, instance, token);
@@ -389,7 +397,8 @@
 }
 
 void
-World::order_look(CompanionNode *from, uint64_t id, const Runner_Look *look)
+Simulation::order_poll(CompanionNode *from, uint64_t id,
+                       const Runner_Look *look)
 {
     Upstream *upstream = &upstreams[from->index];
     Runner_Look copy = *look;
@@ -398,9 +407,10 @@
     auto ended = std::make_shared<std::vector<Runner_EndRow>>();
     auto born_ms = std::make_shared<int64_t>(0);
 
-    /* A wait of the look is played as a late reading of the same lists. */
+    /* The wait of a long poll is simulated by delivering the same lists
+     * later. */
     copy.wait_ms = 0;
-    order(
+    send_order(
         from,
         [this, upstream, copy, instance, running, ended, born_ms]() mutable {
             copy.instance = instance->c_str();
@@ -416,16 +426,17 @@
                                       (uint32_t)running->size(),
                                       ended->data(),
                                       (uint32_t)ended->size()};
-            uint64_t life = from->life;
-            /* One look in ten ms stands for a waiting one. */
-            at(now + 9, [this, from, life, id, running, ended, listing] {
-                if (from->life == life) {
-                    when_awake(
-                        from, [this, from, id, running, ended, listing] {
-                            Runner_OnLook(from->runner, now, id, &listing);
-                        });
-                }
-            });
+            uint64_t boot_id = from->boot_id;
+            /* One poll per 10 ms stands for a long poll. */
+            schedule(
+                now + 9, [this, from, boot_id, id, running, ended, listing] {
+                    if (from->boot_id == boot_id) {
+                        when_thawed(
+                            from, [this, from, id, running, ended, listing] {
+                                Runner_OnLook(from->runner, now, id, &listing);
+                            });
+                    }
+                });
         });
 }
 
--- a/tests/lease_world_nodes.cc
+++ b/tests/lease_world_nodes.cc
@@ -6,66 +6,67 @@
 
 namespace {
 
-const int64_t BEAT_MS = 500;
-const uint64_t HELD_UP_EACH = 5;
-const int64_t HELD_UP_MS = 1200;
+const int64_t HEARTBEAT_MS = 500;
+const uint64_t DELAYED_EVERY = 5;
+const int64_t HEARTBEAT_DELAY_MS = 1200;
 
 } // namespace
 
-/* ---- time of nodes ---- */
+/* ---- scheduling of nodes ---- */
 
 void
-World::when_awake(EntryNode *entry, std::function<void()> run)
+Simulation::when_thawed(EntryNode *entry, std::function<void()> run)
 {
-    uint64_t life = entry->life;
+    uint64_t boot_id = entry->boot_id;
 
     if (!entry->alive) {
         return;
     }
     if (entry->frozen_until > now) {
-        at(entry->frozen_until, [this, entry, life, run] {
-            if (entry->life == life) {
-                when_awake(entry, run);
+        schedule(entry->frozen_until, [this, entry, boot_id, run] {
+            if (entry->boot_id == boot_id) {
+                when_thawed(entry, run);
             }
         });
         return;
     }
-    touch(entry);
+    pause_after_stall(entry);
     run();
     Dispatcher_Settle(entry->dispatcher, now);
-    Keeper_Settle(entry->keeper, now);
+    Keeper_Settle(entry->durable_jobs, now);
 }
 
-/* As the process does: after standing still, all input is read first. */
+/* As the process does: after a stall, all waiting input is read before tasks
+ * are dispatched. */
 void
-World::touch(EntryNode *entry)
+Simulation::pause_after_stall(EntryNode *entry)
 {
-    uint64_t life = entry->life;
+    uint64_t boot_id = entry->boot_id;
 
-    if (now - entry->awake_ms > 200) {
+    if (now - entry->active_ms > 200) {
         Dispatcher_Pause(entry->dispatcher);
-        at(now + 40, [this, entry, life] {
-            if (entry->life == life && entry->alive) {
+        schedule(now + 40, [this, entry, boot_id] {
+            if (entry->boot_id == boot_id && entry->alive) {
                 Dispatcher_Resume(entry->dispatcher);
                 Dispatcher_Settle(entry->dispatcher, now);
             }
         });
     }
-    entry->awake_ms = now;
+    entry->active_ms = now;
 }
 
 void
-World::when_awake(CompanionNode *companion, std::function<void()> run)
+Simulation::when_thawed(CompanionNode *companion, std::function<void()> run)
 {
-    uint64_t life = companion->life;
+    uint64_t boot_id = companion->boot_id;
 
     if (!companion->alive) {
         return;
     }
     if (companion->frozen_until > now) {
-        at(companion->frozen_until, [this, companion, life, run] {
-            if (companion->life == life) {
-                when_awake(companion, run);
+        schedule(companion->frozen_until, [this, companion, boot_id, run] {
+            if (companion->boot_id == boot_id) {
+                when_thawed(companion, run);
             }
         });
         return;
@@ -75,24 +76,24 @@
         companion->suspended_ms = 0;
     }
     run();
-    arm(companion);
+    schedule_overdue_check(companion);
 }
 
-/* As the process does: the runner is called when an answer is overdue. */
+/* As the process does: calls the runner when an answer is overdue. */
 void
-World::arm(CompanionNode *companion)
+Simulation::schedule_overdue_check(CompanionNode *companion)
 {
     int64_t due = std::max(Runner_DueMs(companion->runner), now + 1);
-    uint64_t life = companion->life;
+    uint64_t boot_id = companion->boot_id;
 
-    if (due >= INT64_MAX - 1 ||
-        (companion->wake_ms > now && companion->wake_ms <= due)) {
+    if (due >= INT64_MAX - 1 || (companion->overdue_check_ms > now &&
+                                 companion->overdue_check_ms <= due)) {
         return;
     }
-    companion->wake_ms = due;
-    at(due, [this, companion, life] {
-        if (companion->life == life) {
-            when_awake(companion, [this, companion] {
+    companion->overdue_check_ms = due;
+    schedule(due, [this, companion, boot_id] {
+        if (companion->boot_id == boot_id) {
+            when_thawed(companion, [this, companion] {
                 Runner_Wake(companion->runner, now);
             });
         }
@@ -107,7 +108,7 @@
 port_call(void *context, Address to, uint64_t id, const Msg_Call *call)
 {
     EntryNode *entry = (EntryNode *)context;
-    entry->world->call(entry, to, {id}, call);
+    entry->sim->call(entry, to, {id}, call);
 }
 
 void
@@ -119,28 +120,28 @@
 
     call.kind = MSG_RUNS;
     call.u.runs = *runs;
-    entry->world->call(entry, to, {ids, ids + runs->rows.rows_len}, &call);
+    entry->sim->call(entry, to, {ids, ids + runs->rows.rows_len}, &call);
 }
 
 void
 port_entry_reply(void *context, uint64_t id, const Msg_Reply *reply)
 {
     EntryNode *entry = (EntryNode *)context;
-    entry->world->reply(entry, id, reply);
+    entry->sim->reply(entry, id, reply);
 }
 
 void
 port_reset(void *context, Address to)
 {
     EntryNode *entry = (EntryNode *)context;
-    entry->world->reset(entry, to);
+    entry->sim->reset(entry, to);
 }
 
 void
 port_answer(void *context, uint64_t id, const Dispatcher_Answer *answer)
 {
     EntryNode *entry = (EntryNode *)context;
-    entry->world->answer(entry, id, answer);
+    entry->sim->answer(entry, id, answer);
 }
 
 void
@@ -158,8 +159,8 @@
 port_entry_event(void *context, Event_Id id, json_t *fields)
 {
     EntryNode *entry = (EntryNode *)context;
-    if (entry->world->trace) {
-        print_event(entry->world->now, "entry", entry->index, id, fields);
+    if (entry->sim->trace) {
+        print_event(entry->sim->now, "entry", entry->index, id, fields);
     }
     json_decref(fields);
 }
@@ -168,8 +169,8 @@
 port_companion_event(void *context, Event_Id id, json_t *fields)
 {
     CompanionNode *companion = (CompanionNode *)context;
-    if (companion->world->trace) {
-        print_event(companion->world->now, "companion", companion->index, id,
+    if (companion->sim->trace) {
+        print_event(companion->sim->now, "companion", companion->index, id,
                     fields);
     }
     json_decref(fields);
@@ -179,7 +180,7 @@
 port_start(void *context, uint64_t id, const Runner_Start *start)
 {
     CompanionNode *companion = (CompanionNode *)context;
-    companion->world->order_start(companion, id, start);
+    companion->sim->order_start(companion, id, start);
 }
 
 void
@@ -187,51 +188,57 @@
           const char *instance, int64_t token)
 {
     CompanionNode *companion = (CompanionNode *)context;
-    companion->world->order_stop(companion, id, run, instance, token);
+    companion->sim->order_stop(companion, id, run, instance, token);
 }
 
 void
-port_look(void *context, uint64_t id, const Runner_Look *look)
+port_poll(void *context, uint64_t id, const Runner_Look *look)
 {
     CompanionNode *companion = (CompanionNode *)context;
-    companion->world->order_look(companion, id, look);
+    companion->sim->order_poll(companion, id, look);
 }
 
 void
 port_reply(void *context, uint64_t id, const Msg_Reply *reply)
 {
     CompanionNode *companion = (CompanionNode *)context;
-    companion->world->reply(companion, id, reply);
+    companion->sim->reply(companion, id, reply);
 }
 
 void
-port_kept_end(void *context, const lc_run_id *id, uint32_t task, lc_node host,
-              bool done)
+port_durable_run_end(void *context, const lc_run_id *id, uint32_t task,
+                     lc_node host, bool done)
 {
-    Keeper_OnRunEnd(((EntryNode *)context)->keeper, id, task, host, done);
+    Keeper_OnRunEnd(((EntryNode *)context)->durable_jobs, id, task, host,
+                    done);
 }
 
 void
-port_kept_crash(void *context, const lc_run_id *id, uint32_t task)
+port_durable_run_crash(void *context, const lc_run_id *id, uint32_t task)
 {
-    Keeper_OnCrash(((EntryNode *)context)->keeper, id, task);
+    Keeper_OnCrash(((EntryNode *)context)->durable_jobs, id, task);
 }
 
 void
-port_kept_over(void *context, uint64_t job, Dispatcher_Outcome outcome)
+port_durable_job_end(void *context, uint64_t job, Dispatcher_Outcome outcome)
 {
-    Keeper_OnJobOver(((EntryNode *)context)->keeper, job, outcome);
+    Keeper_OnJobOver(((EntryNode *)context)->durable_jobs, job, outcome);
 }
 
-const Dispatcher_Ports entry_ports = {
-    port_call,        port_reset,    port_answer,
-    port_entry_event, port_kept_end, port_kept_crash,
-    port_kept_over,   port_runs,     port_entry_reply};
-const Runner_Ports companion_ports = {port_start, port_stop, port_look,
+const Dispatcher_Ports entry_ports = {port_call,
+                                      port_reset,
+                                      port_answer,
+                                      port_entry_event,
+                                      port_durable_run_end,
+                                      port_durable_run_crash,
+                                      port_durable_job_end,
+                                      port_runs,
+                                      port_entry_reply};
+const Runner_Ports companion_ports = {port_start, port_stop, port_poll,
                                       port_reply, port_companion_event};
 
 Term
-make_term()
+derive_timing()
 {
     Term_Bounds bounds = {RESUBMIT_MS, 1000, 50, TICK_MS};
     Term term;
@@ -242,41 +249,46 @@
 
 } // namespace
 
-/* ---- lives of nodes ---- */
+/* ---- starts and ends of nodes ---- */
 
 void
-World::start_entry(uint32_t index)
+Simulation::start_entry(uint32_t index)
 {
     EntryNode *entry = &entries[index];
     Dispatcher_Config config;
 
     memset(&config, 0, sizeof(config));
-    /* An identity that was claimed is followed by the next number. */
+    /* An entry whose incarnation was claimed takes the next number, so a
+     * restart leaves a gap. */
     entry->node = {entry_address(index),
                    incarnations[entry_address(index)] += 1000};
     entry->alive = true;
     entry->frozen_until = 0;
-    entry->awake_ms = now;
+    entry->active_ms = now;
     config.node = entry->node;
-    config.term = make_term();
+    config.term = derive_timing();
     config.max_jobs = 10000;
-    /* Both ways stand side by side, as while a new version is rolled out. */
+    /* Mixes entries with and without joined runs, as during a rolling
+     * upgrade. */
     config.join_runs = index % 2 == 1;
-    if (plan.narrow && index == 0) {
-        config.link_mbps = NARROW_MBPS;
+    if (plan.slow_link && index == 0) {
+        config.link_mbps = SLOW_LINK_MBPS;
         config.join_runs = true;
     }
     entry->dispatcher = Dispatcher_New(&config, &entry_ports, entry, now);
-    start_keeper(entry);
-    uint64_t life = ++entry->life;
-    at(now + pick(10), [this, index, life] { follow_store(index, life); });
-    at(now + pick(300), [this, index, life] { gossip(index, life); });
-    follow_halls(index, life);
-    at(now + pick(TICK_MS), [this, index, life] { tick_entry(index, life); });
+    start_durable_jobs(entry);
+    uint64_t boot_id = ++entry->boot_id;
+    schedule(now + random_below(10),
+             [this, index, boot_id] { poll_store(index, boot_id); });
+    schedule(now + random_below(300),
+             [this, index, boot_id] { gossip(index, boot_id); });
+    poll_halls(index, boot_id);
+    schedule(now + random_below(TICK_MS),
+             [this, index, boot_id] { tick_entry(index, boot_id); });
 }
 
 void
-World::start_companion(uint32_t index)
+Simulation::start_companion(uint32_t index)
 {
     CompanionNode *companion = &companions[index];
     Runner_Config config;
@@ -285,26 +297,26 @@
     companion->node = {companion_address(index),
                        ++incarnations[companion_address(index)]};
     companion->alive = true;
-    companion->frozen_until = upstreams[index].asleep_until();
+    companion->frozen_until = upstreams[index].suspended_until();
     companion->suspended_ms = 0;
     companion->started_ms = now;
     companion->hall = hall_of(index);
-    companion->wake_ms = 0;
-    companion->owed.clear();
+    companion->overdue_check_ms = 0;
+    companion->pending_replies.clear();
     config.node = companion->node;
     config.hall = companion->hall.c_str();
-    config.term = make_term();
+    config.term = derive_timing();
     config.first_token = 1000000 + now;
     config.beat_ms = 500;
     config.late_ms = MAX_ORDER_DELAY_MS;
     companion->runner = Runner_New(&config, &companion_ports, companion, now);
-    uint64_t life = ++companion->life;
-    at(now + pick(TICK_MS),
-       [this, index, life] { tick_companion(index, life); });
+    uint64_t boot_id = ++companion->boot_id;
+    schedule(now + random_below(TICK_MS),
+             [this, index, boot_id] { tick_companion(index, boot_id); });
 }
 
 void
-World::kill_entry(uint32_t index, int64_t for_ms)
+Simulation::kill_entry(uint32_t index, int64_t for_ms)
 {
     EntryNode *entry = &entries[index];
 
@@ -312,23 +324,23 @@
         return;
     }
     entry->alive = false;
-    entry->life++;
-    Keeper_Free(entry->keeper);
-    entry->keeper = nullptr;
+    entry->boot_id++;
+    Keeper_Free(entry->durable_jobs);
+    entry->durable_jobs = nullptr;
     Dispatcher_Free(entry->dispatcher);
     entry->dispatcher = nullptr;
-    lose_kept(index);
+    fail_durable_requests(index);
     for (uint32_t i = 0; i < plan.companions; i++) {
         Link &link = links[{index, i}];
         link.generation++;
         link.pending.clear();
     }
-    entry->owed.clear();
+    entry->pending_replies.clear();
     for (uint32_t i = 0; i < plan.entries; i++) {
-        Link &link = links[{index, ENTRY_END + i}];
+        Link &link = links[{index, ENTRY_LINK_BASE + i}];
         link.generation++;
         link.pending.clear();
-        break_link(i, ENTRY_END + index);
+        break_link(i, ENTRY_LINK_BASE + index);
     }
     for (auto &pair : requests) {
         Request &request = pair.second;
@@ -336,33 +348,34 @@
             request.answered = true;
             CallerJob &job = jobs[request.job];
             if (job.open_request == pair.first) {
-                job.any_taken = true;
-                again(&job, RESUBMIT_MS);
+                job.may_have_run = true;
+                resubmit_later(&job, RESUBMIT_MS);
             }
         }
     }
-    at(now + for_ms, [this, index] { start_entry(index); });
+    schedule(now + for_ms, [this, index] { start_entry(index); });
 }
 
 void
-World::stop_entry(uint32_t index, int64_t length_ms)
+Simulation::stop_entry(uint32_t index, int64_t length_ms)
 {
     EntryNode *entry = &entries[index];
-    uint64_t life = entry->life;
+    uint64_t boot_id = entry->boot_id;
 
     if (!entry->alive) {
         return;
     }
-    when_awake(entry, [this, entry] { Keeper_Leave(entry->keeper, now); });
-    at(now + length_ms / 2, [this, entry, index, life, length_ms] {
-        if (entry->life == life) {
+    when_thawed(entry,
+                [this, entry] { Keeper_Leave(entry->durable_jobs, now); });
+    schedule(now + length_ms / 2, [this, entry, index, boot_id, length_ms] {
+        if (entry->boot_id == boot_id) {
             kill_entry(index, length_ms / 4);
         }
     });
 }
 
 void
-World::kill_companion(uint32_t index, int64_t for_ms)
+Simulation::kill_companion(uint32_t index, int64_t for_ms)
 {
     CompanionNode *companion = &companions[index];
 
@@ -370,17 +383,17 @@
         return;
     }
     companion->alive = false;
-    companion->life++;
+    companion->boot_id++;
     Runner_Free(companion->runner);
     companion->runner = nullptr;
     for (uint32_t i = 0; i < plan.entries; i++) {
         break_link(i, index);
     }
-    at(now + for_ms, [this, index] { start_companion(index); });
+    schedule(now + for_ms, [this, index] { start_companion(index); });
 }
 
 void
-World::offer_delegates(EntryNode *entry)
+Simulation::offer_delegates(EntryNode *entry)
 {
     std::vector<Address> others;
 
@@ -396,40 +409,42 @@
 }
 
 void
-World::tick_entry(uint32_t index, uint64_t life)
+Simulation::tick_entry(uint32_t index, uint64_t boot_id)
 {
     EntryNode *entry = &entries[index];
 
-    if (entry->life != life) {
+    if (entry->boot_id != boot_id) {
         return;
     }
-    when_awake(entry, [this, entry] {
-        Keeper_Tick(entry->keeper, now);
-        Dispatcher_SetWall(entry->dispatcher, WALL_AHEAD_MS);
+    when_thawed(entry, [this, entry] {
+        Keeper_Tick(entry->durable_jobs, now);
+        Dispatcher_SetWall(entry->dispatcher, WALL_OFFSET_MS);
         offer_delegates(entry);
         Dispatcher_Tick(entry->dispatcher, now);
     });
-    at(now + TICK_MS, [this, index, life] { tick_entry(index, life); });
+    schedule(now + TICK_MS,
+             [this, index, boot_id] { tick_entry(index, boot_id); });
 }
 
 void
-World::tick_companion(uint32_t index, uint64_t life)
+Simulation::tick_companion(uint32_t index, uint64_t boot_id)
 {
     CompanionNode *companion = &companions[index];
 
-    if (companion->life != life) {
+    if (companion->boot_id != boot_id) {
         return;
     }
-    when_awake(companion, [this, companion] {
+    when_thawed(companion, [this, companion] {
         Runner_Tick(companion->runner, now);
-        confirm_halls(companion);
+        refresh_closures(companion);
     });
     report_to_entries(index);
-    at(now + TICK_MS, [this, index, life] { tick_companion(index, life); });
+    schedule(now + TICK_MS,
+             [this, index, boot_id] { tick_companion(index, boot_id); });
 }
 
 void
-World::report_to_entries(uint32_t index)
+Simulation::report_to_entries(uint32_t index)
 {
     CompanionNode *companion = &companions[index];
     lc_report_args args;
@@ -438,32 +453,34 @@
         !Runner_Report(companion->runner, now, &args)) {
         return;
     }
-    HallNews news = HallNews::of(Runner_Closures(companion->runner), now);
+    ClosureSnapshot news = ClosureSnapshot::of(
+        Runner_Closures(companion->runner), now);
     for (uint32_t i = 0; i < plan.entries; i++) {
         EntryNode *entry = &entries[i];
         const Link &link = links[{i, index}];
-        uint64_t life = entry->life;
+        uint64_t boot_id = entry->boot_id;
         if (link.cut_until > now) {
-            continue; /* said again soon */
+            continue; /* the next report follows soon */
         }
         lc_host_state host = args.host;
         std::string instance = args.instance;
         std::string service = args.service;
         lc_resources room = args.capacity;
         int64_t asked_ms = now;
-        at(now + LINK_MS, [=, this] {
-            if (entry->life != life) {
+        schedule(now + LINK_DELAY_MS, [=, this] {
+            if (entry->boot_id != boot_id) {
                 return;
             }
-            when_awake(entry, [=, this]() mutable {
+            when_thawed(entry, [=, this]() mutable {
                 lc_report_args copy;
                 memset(&copy, 0, sizeof(copy));
                 copy.host = host;
                 copy.hall = (char *)companion->hall.c_str();
                 copy.closures = news.message();
-                tell_companion(
-                    companion, LINK_MS, asked_ms,
-                    HallNews::of(Dispatcher_Closures(entry->dispatcher), now));
+                send_closures_to_companion(
+                    companion, LINK_DELAY_MS, asked_ms,
+                    ClosureSnapshot::of(Dispatcher_Closures(entry->dispatcher),
+                                        now));
                 copy.instance = (char *)instance.c_str();
                 copy.service = (char *)service.c_str();
                 copy.capacity = room;
@@ -475,31 +492,32 @@
                 Dispatcher_OnReport(entry->dispatcher, now, &copy);
                 known = Dispatcher_Host(entry->dispatcher, host.node.address);
                 if (known != nullptr && known->node.incarnation != before) {
-                    Keeper_OnHost(entry->keeper, now);
+                    Keeper_OnHost(entry->durable_jobs, now);
                 }
             });
         });
     }
 }
 
-/* A heartbeat as it is sent now, that arrives after @p delay_ms. */
+/* Sends a heartbeat with the upstream's present state; it arrives after
+ * @p delay_ms. */
 void
-World::send_beat(uint32_t index, int64_t delay_ms)
+Simulation::send_heartbeat(uint32_t index, int64_t delay_ms)
 {
     CompanionNode *companion = &companions[index];
     Upstream *upstream = &upstreams[index];
     std::string instance = upstream->instance();
-    uint64_t sequence = ++upstream->beats;
+    uint64_t sequence = ++upstream->heartbeats_sent;
     int64_t clock_ms = upstream->clock(now);
     int64_t born_ms = upstream->born();
     lc_resources capacity = CAPACITY;
 
-    if (!upstream->is_up() || upstream->asleep_until() > 0) {
+    if (!upstream->is_up() || upstream->suspended_until() > 0) {
         return;
     }
     capacity.cpu_milli = upstream->cpu_milli;
-    at(now + delay_ms, [=, this] {
-        when_awake(companion, [=, this] {
+    schedule(now + delay_ms, [=, this] {
+        when_thawed(companion, [=, this] {
             static const char *const labels[] = {nullptr};
             Runner_Upstream said = {
                 instance.c_str(),      born_ms,  sequence, "service",
@@ -509,14 +527,15 @@
     });
 }
 
-/* Every fifth heartbeat is held up by a cut until later ones have come. */
+/* Every fifth heartbeat is delayed until later ones have arrived. */
 void
-World::beat(uint32_t index)
+Simulation::run_heartbeats(uint32_t index)
 {
-    uint64_t number = upstreams[index].beats + index;
+    uint64_t number = upstreams[index].heartbeats_sent + index;
 
-    send_beat(index, number % HELD_UP_EACH == 0 ? HELD_UP_MS : 0);
-    at(now + BEAT_MS, [this, index] { beat(index); });
+    send_heartbeat(index,
+                   number % DELAYED_EVERY == 0 ? HEARTBEAT_DELAY_MS : 0);
+    schedule(now + HEARTBEAT_MS, [this, index] { run_heartbeats(index); });
 }
 
 } // namespace lease
--- a/tests/load.c
+++ b/tests/load.c
@@ -1,13 +1,14 @@
 /*
- * Load on a running cluster, open loop: seeded arrivals that do not wait for
- * answers. Prints, for each group and all, response against the ideal (a
- * job's time over the longest of its tasks, or its work over all slots, on
- * idle hosts), the share of slot time, and the outcomes.
+ * Open-loop load generator for a running cluster: seeded arrivals that do not
+ * wait for answers. Prints for each group, and for all, the ratio of a job's
+ * response time to its ideal on idle hosts (the longest of its tasks, or its
+ * work over all slots, whichever is longer), the share of slot time, and the
+ * outcomes.
  *
  * usage: load SEED SECONDS SLOTS UTILISATION GROUPS ENTRY...
- *   UTILISATION  percent of all slots that the arrivals ask for
+ *   UTILISATION  percent of all slots that the arrivals need
  *   GROUPS       "name:percent of the work,..."
- *   ENTRY        callers' addresses
+ *   ENTRY        address that an entry serves callers at
  */
 
 #include <glib.h>
@@ -23,17 +24,17 @@
 
 #define MAX_GROUPS 8
 #define MAX_ENTRIES 64
-#define ANSWER_MS 120000
-#define MOST_TRIES 200
+#define ANSWER_TIMEOUT_MS 120000
+#define MAX_TRIES 200
 
 typedef struct {
     char name[65];
     double share;
-    GArray *ratios; /* double, of jobs that were done */
+    GArray *ratios; /* double, of done jobs */
     uint64_t sent;
     uint64_t failed;
     uint64_t refused;
-    double slot_ms; /* of jobs that were done */
+    double slot_ms; /* of done jobs */
 } load_group;
 
 typedef struct {
@@ -46,25 +47,25 @@
     load_group groups[MAX_GROUPS];
     int group_count;
     double slots;
-    double work_per_ms; /* slot-ms asked for in each ms */
+    double work_per_ms; /* slot-ms that arrive per ms */
     int64_t end_ms;
     int64_t resend_ms;
     uint64_t resent;
-    uint64_t open;
+    uint64_t jobs_open;
     uint64_t tasks;
 } load;
 
 typedef struct {
     load *self;
     load_group *group;
-    int64_t begun_ms;
+    int64_t started_ms;
     double ideal_ms;
     double work_ms;
     char key[KEY_TEXT_LENGTH + 1];
     char *body;
     int tries;
     bool ended;
-    int open;
+    int requests_open;
     uv_timer_t timer;
 } load_job;
 
@@ -76,9 +77,9 @@
     return g_get_monotonic_time() / 1000;
 }
 
-/* 50 ms to 1 s, a few of several seconds. */
+/* 50 ms to 1 s, one in a hundred 2 s to 5 s. */
 static int
-task_ms(GRand *rand)
+random_task_ms(GRand *rand)
 {
     if (g_rand_double(rand) < 0.01) {
         return g_rand_int_range(rand, 2000, 5000);
@@ -86,9 +87,9 @@
     return 50 + (int)(950.0 * pow(g_rand_double(rand), 3.0));
 }
 
-/* Mostly a few tasks, seldom hundreds, at most 1,500. */
+/* Mostly a few tasks, rarely hundreds, at most 1,500. */
 static int
-task_count(GRand *rand)
+random_task_count(GRand *rand)
 {
     double draw = g_rand_double(rand);
 
@@ -111,9 +112,9 @@
 }
 
 static void
-release(load_job *job)
+free_if_idle(load_job *job)
 {
-    if (job->ended && job->open == 0 &&
+    if (job->ended && job->requests_open == 0 &&
         !uv_is_closing((uv_handle_t *)&job->timer)) {
         uv_close((uv_handle_t *)&job->timer, free_job);
     }
@@ -122,11 +123,11 @@
 static void
 end_job(load_job *job, bool done)
 {
-    double took_ms = (double)(now_ms() - job->begun_ms);
+    double took_ms = (double)(now_ms() - job->started_ms);
     double ratio = took_ms / job->ideal_ms;
 
     job->ended = true;
-    job->self->open--;
+    job->self->jobs_open--;
     uv_timer_stop(&job->timer);
     if (done) {
         g_array_append_val(job->group->ratios, ratio);
@@ -159,15 +160,15 @@
 {
     load_job *job = context;
 
-    job->open--;
+    job->requests_open--;
     if (job->ended) {
-        release(job);
+        free_if_idle(job);
         return;
     }
     if (has_outcome(answer, "done")) {
         end_job(job, true);
     }
-    else if (has_outcome(answer, "failed") || ++job->tries > MOST_TRIES) {
+    else if (has_outcome(answer, "failed") || ++job->tries > MAX_TRIES) {
         job->group->failed++;
         end_job(job, false);
     }
@@ -175,11 +176,11 @@
         job->group->refused++;
         end_job(job, false);
     }
-    else if (job->open == 0) {
+    else if (job->requests_open == 0) {
         uv_timer_start(&job->timer, on_resend,
                        MAX(answer->retry_after_s, 1) * 1000, 0);
     }
-    release(job);
+    free_if_idle(job);
 }
 
 static void
@@ -190,23 +191,23 @@
                                   .path = "/v1/jobs",
                                   .body = job->body,
                                   .length = strlen(job->body),
-                                  .timeout_ms = ANSWER_MS};
+                                  .timeout_ms = ANSWER_TIMEOUT_MS};
     char headers[80];
 
     g_snprintf(headers, sizeof(headers), "Idempotency-Key: %s\r\n", job->key);
     request.headers = headers;
     request.to =
         self->entries[g_rand_int_range(self->rand, 0, self->entry_count)];
-    job->open++;
+    job->requests_open++;
     if (self->resend_ms > 0) {
-        /* An impatient caller sends again without waiting. */
+        /* Send again without waiting for the answer. */
         uv_timer_start(&job->timer, on_resend, (uint64_t)self->resend_ms, 0);
     }
     Http_Send(self->http, &request, on_answer, job);
 }
 
 static load_group *
-draw_group(load *self)
+random_group(load *self)
 {
     double draw = g_rand_double(self->rand);
     int i;
@@ -221,21 +222,21 @@
 }
 
 static double
-new_job(load *self)
+submit_job(load *self)
 {
     load_job *job = g_new0(load_job, 1);
-    int count = task_count(self->rand);
+    int count = random_task_count(self->rand);
     GString *body = g_string_new(NULL);
     double longest_ms = 0.0;
     Key key;
     int i;
 
     job->self = self;
-    job->group = draw_group(self);
+    job->group = random_group(self);
     g_string_printf(body, "{\"group\":\"%s\",\"repeatable\":true,\"tasks\":[",
                     job->group->name);
     for (i = 0; i < count; i++) {
-        int ms = task_ms(self->rand);
+        int ms = random_task_ms(self->rand);
         g_string_append_printf(body, "%s\"{\\\"ms\\\":%d}\"",
                                i == 0 ? "" : ",", ms);
         job->work_ms += ms;
@@ -249,17 +250,18 @@
         ((uint64_t)g_rand_int(self->rand) << 32) | g_rand_int(self->rand),
         ((uint64_t)g_rand_int(self->rand) << 32) | g_rand_int(self->rand));
     Key_Format(&key, job->key);
-    job->begun_ms = now_ms();
+    job->started_ms = now_ms();
     uv_timer_init(self->loop, &job->timer);
     job->timer.data = job;
     job->group->sent++;
-    self->open++;
+    self->jobs_open++;
     self->tasks += (uint64_t)count;
     send_job(job);
     return job->work_ms;
 }
 
-/* The gap after a job holds the work asked for to the wanted rate. */
+/* The time to the next job is exponential with a mean proportional to this
+ * job's work, so that work arrives at work_per_ms. */
 static void
 on_arrival(uv_timer_t *timer)
 {
@@ -271,7 +273,7 @@
         uv_close((uv_handle_t *)timer, NULL);
         return;
     }
-    work_ms = new_job(self);
+    work_ms = submit_job(self);
     gap_ms = -log(1.0 - g_rand_double(self->rand)) * work_ms /
              self->work_per_ms;
     uv_timer_start(timer, on_arrival, (uint64_t)MAX(gap_ms, 0.0), 0);
@@ -312,7 +314,7 @@
 }
 
 static void
-report(load *self)
+print_report(load *self)
 {
     GArray *all = g_array_new(FALSE, FALSE, sizeof(double));
     double slot_ms = 0.0;
@@ -386,7 +388,7 @@
     uv_timer_start(&self.timer, on_arrival, 0, 0);
     do {
         uv_run(self.loop, UV_RUN_ONCE);
-    } while (now_ms() < self.end_ms || self.open > 0);
-    report(&self);
+    } while (now_ms() < self.end_ms || self.jobs_open > 0);
+    print_report(&self);
     return 0;
 }
--- a/tests/prop_lease.cc
+++ b/tests/prop_lease.cc
@@ -1,8 +1,8 @@
 /*
- * Properties of leased jobs over random schedules of faults. The seed comes
- * from RC_PARAMS (scripts/test.sh fixes it). LEASE_PLAN replays the plan that
- * a failed property printed (with LEASE_HALLS=1 one of closed halls),
- * LEASE_TRACE prints what happens.
+ * Property tests of leased jobs over random schedules of faults. The seed
+ * comes from RC_PARAMS (scripts/test.sh fixes it). LEASE_PLAN replays the plan
+ * that a failed property printed; LEASE_HALLS=1 and LEASE_NARROW=1, if printed
+ * with it, select its variant. LEASE_TRACE prints all events.
  */
 
 #include <rapidcheck.h>
@@ -15,10 +15,11 @@
 
 namespace {
 
-/* Of the mean share, and the same part of it at least. */
-const uint64_t MOST_SHARE_PERCENT = 150;
-/* Of plans in which the first entry hands jobs on. */
-const int64_t NARROW_JOB_EVERY_MS = 60;
+/* Bound on an upstream's starts in percent of the mean; the mean may exceed
+ * them by the same factor. */
+const uint64_t MAX_SHARE_PERCENT = 150;
+/* In plans in which the first entry forwards jobs. */
+const int64_t SLOW_LINK_JOB_EVERY_MS = 60;
 
 uint64_t schedules;
 lease::Report total;
@@ -44,9 +45,9 @@
 std::string
 describe(const lease::Plan &plan)
 {
-    std::string text = plan.halls_serve ? "LEASE_HALLS=1 " : "";
+    std::string text = plan.expect_reopened_halls ? "LEASE_HALLS=1 " : "";
 
-    text += plan.narrow ? "LEASE_NARROW=1 " : "";
+    text += plan.slow_link ? "LEASE_NARROW=1 " : "";
 
     text += "LEASE_PLAN=\"" + std::to_string(plan.seed);
     for (const lease::Action &action : plan.actions) {
@@ -59,15 +60,15 @@
     return text + "\"";
 }
 
-/* Jobs come to three entries, one of which hands on what its link does not
+/* Three entries, the first of which forwards the jobs that its link cannot
  * carry. */
 void
-make_narrow(lease::Plan *plan)
+use_slow_link(lease::Plan *plan)
 {
-    plan->narrow = true;
+    plan->slow_link = true;
     plan->entries = 3;
-    plan->job_every_ms = NARROW_JOB_EVERY_MS;
-    plan->kept_every_ms = 0;
+    plan->job_every_ms = SLOW_LINK_JOB_EVERY_MS;
+    plan->durable_every_ms = 0;
 }
 
 lease::Plan
@@ -78,9 +79,9 @@
     lease::Action action;
     int fault;
 
-    plan.halls_serve = getenv("LEASE_HALLS") != nullptr;
+    plan.expect_reopened_halls = getenv("LEASE_HALLS") != nullptr;
     if (getenv("LEASE_NARROW") != nullptr) {
-        make_narrow(&plan);
+        use_slow_link(&plan);
     }
     in >> plan.seed;
     while (in >> fault >> action.at_ms >> action.length_ms >> action.target >>
@@ -92,7 +93,7 @@
 }
 
 void
-add(const lease::Report &report)
+add_to_total(const lease::Report &report)
 {
     schedules++;
     total.jobs += report.jobs;
@@ -101,146 +102,147 @@
     total.not_run += report.not_run;
     total.given_up += report.given_up;
     total.starts += report.starts;
-    total.kept_jobs += report.kept_jobs;
-    total.kept_accepted += report.kept_accepted;
-    total.kept_succeeded += report.kept_succeeded;
+    total.durable_jobs_sent += report.durable_jobs_sent;
+    total.durable_accepted += report.durable_accepted;
+    total.durable_succeeded += report.durable_succeeded;
     total.claims += report.claims;
     total.forwards += report.forwards;
-    total.forwards_taken += report.forwards_taken;
+    total.forwards_accepted += report.forwards_accepted;
 }
 
 void
-check(int most)
+check_any_faults(int size)
 {
     lease::Plan plan;
 
     plan.seed = *rc::gen::inRange<uint64_t>(1, 1ULL << 40);
     plan.actions = *rc::gen::resize(
-        most, rc::gen::container<std::vector<lease::Action>>(
+        size, rc::gen::container<std::vector<lease::Action>>(
                   gen_action(plan.length_ms)));
-    lease::Report report = lease::play(plan);
-    add(report);
+    lease::Report report = lease::simulate(plan);
+    add_to_total(report);
     if (!report.violations.empty()) {
         RC_FAIL(report.text() + describe(plan));
     }
 }
 
-/* A schedule of faults drawn from some kinds alone, on top of @p plan. */
+/* Runs @p plan with random faults of the given kinds only. */
 void
-check_among(lease::Plan plan, const std::vector<lease::Fault> &faults,
-            int most)
+check_faults(lease::Plan plan, const std::vector<lease::Fault> &faults,
+             int size)
 {
     plan.seed = *rc::gen::inRange<uint64_t>(1, 1ULL << 40);
     plan.actions = *rc::gen::resize(
-        most, rc::gen::container<std::vector<lease::Action>>(
+        size, rc::gen::container<std::vector<lease::Action>>(
                   gen_action(plan.length_ms)));
     for (lease::Action &action : plan.actions) {
         action.fault = faults[(size_t)action.fault % faults.size()];
     }
-    lease::Report report = lease::play(plan);
-    add(report);
+    lease::Report report = lease::simulate(plan);
+    add_to_total(report);
     if (!report.violations.empty()) {
         RC_FAIL(report.text() + describe(plan));
     }
 }
 
-/* Halls closed and opened, again and in series, while the ways by which that
- * is learnt fail: nothing starts in one beyond the bound, and it serves again.
- */
+/* Halls are closed and reopened repeatedly while the paths by which nodes
+ * learn of it fail: nothing may start in a closed hall after the bound, and
+ * reopened halls must get starts again. */
 void
-check_halls(int most)
+check_halls(int size)
 {
     lease::Plan plan;
 
-    plan.halls_serve = true;
-    check_among(plan,
-                {
-                    lease::Fault::CloseHall,
-                    lease::Fault::CloseHall,
-                    lease::Fault::CloseHall,
-                    lease::Fault::CutEntries,
-                    lease::Fault::StoreDown,
-                    lease::Fault::StoreCut,
-                    lease::Fault::StoreCompact,
-                    lease::Fault::KillEntry,
-                    lease::Fault::KillCompanion,
-                    lease::Fault::CutPair,
-                    lease::Fault::FreezeCompanion,
-                    lease::Fault::FreezeEntry,
-                },
-                most);
+    plan.expect_reopened_halls = true;
+    check_faults(plan,
+                 {
+                     lease::Fault::CloseHall,
+                     lease::Fault::CloseHall,
+                     lease::Fault::CloseHall,
+                     lease::Fault::CutEntries,
+                     lease::Fault::StoreDown,
+                     lease::Fault::StoreCut,
+                     lease::Fault::StoreCompact,
+                     lease::Fault::KillEntry,
+                     lease::Fault::KillCompanion,
+                     lease::Fault::CutPair,
+                     lease::Fault::FreezeCompanion,
+                     lease::Fault::FreezeEntry,
+                 },
+                 size);
 }
 
-/* Upstreams that start again under their names, machines that are suspended,
- * capacity that shrinks and tasks under which upstreams crash, beside orders
- * that come late and companions that die. */
+/* Upstreams restart under the same name, machines are suspended, capacity is
+ * reduced and tasks crash upstreams, while orders are late and companions are
+ * killed. */
 void
-check_lives(int most)
+check_upstream_restarts(int size)
 {
-    check_among(lease::Plan(),
-                {
-                    lease::Fault::RebornUpstream,
-                    lease::Fault::RebornUpstream,
-                    lease::Fault::RebornUpstream,
-                    lease::Fault::Suspend,
-                    lease::Fault::Suspend,
-                    lease::Fault::Shrink,
-                    lease::Fault::Crasher,
-                    lease::Fault::LateOrders,
-                    lease::Fault::KillCompanion,
-                    lease::Fault::CrashUpstream,
-                    lease::Fault::CutLossy,
-                    lease::Fault::FreezeEntry,
-                },
-                most);
+    check_faults(lease::Plan(),
+                 {
+                     lease::Fault::RestartUpstream,
+                     lease::Fault::RestartUpstream,
+                     lease::Fault::RestartUpstream,
+                     lease::Fault::Suspend,
+                     lease::Fault::Suspend,
+                     lease::Fault::ReduceCapacity,
+                     lease::Fault::CrashingJob,
+                     lease::Fault::LateOrders,
+                     lease::Fault::KillCompanion,
+                     lease::Fault::CrashUpstream,
+                     lease::Fault::CutLossy,
+                     lease::Fault::FreezeEntry,
+                 },
+                 size);
 }
 
-/* An entry hands jobs to others while it, they, the links between them and
- * companions fail, and callers leave and come again elsewhere. */
+/* An entry forwards jobs to others while entries, the links between them and
+ * companions fail, and callers disconnect and submit again elsewhere. */
 void
-check_forwards(int most)
+check_forwards(int size)
 {
     lease::Plan plan;
 
-    make_narrow(&plan);
-    check_among(plan,
-                {
-                    lease::Fault::Burst,
-                    lease::Fault::Burst,
-                    lease::Fault::CutEntries,
-                    lease::Fault::CutEntries,
-                    lease::Fault::CutEntries,
-                    lease::Fault::HangUps,
-                    lease::Fault::HangUps,
-                    lease::Fault::KillEntry,
-                    lease::Fault::FreezeEntry,
-                    lease::Fault::KillCompanion,
-                    lease::Fault::FreezeCompanion,
-                    lease::Fault::CutPair,
-                    lease::Fault::CutLossy,
-                    lease::Fault::CrashUpstream,
-                },
-                most);
+    use_slow_link(&plan);
+    check_faults(plan,
+                 {
+                     lease::Fault::Burst,
+                     lease::Fault::Burst,
+                     lease::Fault::CutEntries,
+                     lease::Fault::CutEntries,
+                     lease::Fault::CutEntries,
+                     lease::Fault::CallerDisconnects,
+                     lease::Fault::CallerDisconnects,
+                     lease::Fault::KillEntry,
+                     lease::Fault::FreezeEntry,
+                     lease::Fault::KillCompanion,
+                     lease::Fault::FreezeCompanion,
+                     lease::Fault::CutPair,
+                     lease::Fault::CutLossy,
+                     lease::Fault::CrashUpstream,
+                 },
+                 size);
 }
 
-/* On a day without other faults the second crash is the last. */
+/* Without other faults a job crashes two upstreams at most. */
 bool
-check_crashers()
+check_crashing_jobs()
 {
     lease::Plan plan;
 
     plan.companions = 6;
     for (int64_t at_ms = 300; at_ms < plan.length_ms; at_ms += 900) {
-        plan.actions.push_back({lease::Fault::Crasher, at_ms, 100, 0, 0});
+        plan.actions.push_back({lease::Fault::CrashingJob, at_ms, 100, 0, 0});
     }
-    lease::Report report = lease::play(plan);
-    add(report);
+    lease::Report report = lease::simulate(plan);
+    add_to_total(report);
     fprintf(stderr, "%sat most %d upstreams crashed under one job\n",
-            report.text().c_str(), report.most_crashed);
-    return report.violations.empty() && report.most_crashed <= 2;
+            report.text().c_str(), report.max_crashes);
+    return report.violations.empty() && report.max_crashes <= 2;
 }
 
-/* Equal upstreams share the work of a calm day, whatever the entries drew. */
+/* Without faults, equal upstreams get about equal numbers of starts for every
+ * seed. */
 void
 check_shares()
 {
@@ -248,12 +250,12 @@
 
     plan.seed = *rc::gen::inRange<uint64_t>(1, 1ULL << 40);
     plan.companions = *rc::gen::inRange<uint32_t>(2, 6);
-    lease::Report report = lease::play(plan);
-    add(report);
+    lease::Report report = lease::simulate(plan);
+    add_to_total(report);
     uint64_t mean = report.starts / plan.companions;
     for (uint64_t starts : report.starts_at) {
-        if (starts * 100 > mean * MOST_SHARE_PERCENT ||
-            starts * MOST_SHARE_PERCENT < mean * 100) {
+        if (starts * 100 > mean * MAX_SHARE_PERCENT ||
+            starts * MAX_SHARE_PERCENT < mean * 100) {
             RC_FAIL("an upstream had " + std::to_string(starts) +
                     " starts, the mean is " + std::to_string(mean) + " " +
                     describe(plan));
@@ -261,12 +263,13 @@
     }
 }
 
-/* Every pair of faults of a plan whose jobs are handed on. */
+/* Every pair of faults that matter to forwarding, with jobs being forwarded.
+ */
 bool
 check_forward_pairs()
 {
     static const lease::Fault faults[] = {
-        lease::Fault::CutEntries,    lease::Fault::HangUps,
+        lease::Fault::CutEntries,    lease::Fault::CallerDisconnects,
         lease::Fault::KillEntry,     lease::Fault::FreezeEntry,
         lease::Fault::KillCompanion, lease::Fault::FreezeCompanion,
         lease::Fault::CutLossy,
@@ -278,12 +281,12 @@
         for (lease::Fault two : faults) {
             for (uint32_t at_entry = 0; at_entry < 3; at_entry++) {
                 lease::Plan plan;
-                make_narrow(&plan);
+                use_slow_link(&plan);
                 plan.seed = seed++;
                 plan.actions = {{one, 800, 1700, 0, at_entry},
                                 {two, 1100, 1500, at_entry, at_entry}};
-                lease::Report report = lease::play(plan);
-                add(report);
+                lease::Report report = lease::simulate(plan);
+                add_to_total(report);
                 if (!report.violations.empty()) {
                     fprintf(stderr, "%s%s\n", report.text().c_str(),
                             describe(plan).c_str());
@@ -295,7 +298,7 @@
     return good;
 }
 
-/* Every pair of faults, close together on the same nodes. */
+/* Every pair of faults, overlapping on the same nodes. */
 bool
 check_pairs()
 {
@@ -307,8 +310,8 @@
             plan.seed = (uint64_t)(1 + one * 100 + two);
             plan.actions = {{(lease::Fault)one, 800, 1200, 0, 0},
                             {(lease::Fault)two, 1100, 1500, 0, 0}};
-            lease::Report report = lease::play(plan);
-            add(report);
+            lease::Report report = lease::simulate(plan);
+            add_to_total(report);
             if (!report.violations.empty()) {
                 fprintf(stderr, "%s%s\n", report.text().c_str(),
                         describe(plan).c_str());
@@ -319,25 +322,26 @@
     return good;
 }
 
-/* Schedules that showed a fault, and what it was. */
-const char *const known_plans[] = {
-    /* a late heartbeat, taken unasked, made a life that lives count as gone */
+/* Plans that once failed, each with the cause. */
+const char *const regression_plans[] = {
+    /* A late heartbeat was accepted without polling the upstream, and its live
+     * incarnation was taken for dead. */
     "68 21 0 50 0 0 21 13 50 0 0 21 0 50 0 2",
     "38 21 0 50 0 0 21 13 50 0 0 21 0 50 0 2",
-    /* two entries with one incarnation at two addresses put a job under one
-     * key: the store kept the later record, and the ends of the one that had
-     * begun it were not asked for */
+    /* Two entries at different addresses with the same incarnation number
+     * wrote a job under the same key. The store kept the later record, so
+     * nobody asked for the ends of the entry that had started the job. */
     "339939079932 2 5 211 0 0 0 224 50 3 0 0 226 50 0 0",
 };
 
 bool
-check_known_plans()
+check_regression_plans()
 {
     bool good = true;
 
-    for (const char *plan : known_plans) {
-        lease::Report report = lease::play(parse(plan));
-        add(report);
+    for (const char *plan : regression_plans) {
+        lease::Report report = lease::simulate(parse(plan));
+        add_to_total(report);
         if (!report.violations.empty()) {
             fprintf(stderr, "%s%s\n", report.text().c_str(), plan);
             good = false;
@@ -346,10 +350,10 @@
     return good;
 }
 
-/* No entry reaches the store while a hall is closed, opened and closed again:
- * companions are left to ask it themselves. */
+/* No entry reaches the store while a hall is closed, reopened and closed
+ * again: companions must read the store themselves. */
 bool
-check_all_cut()
+check_store_cut_off()
 {
     lease::Plan plan;
 
@@ -357,8 +361,8 @@
                     {lease::Fault::StoreCut, 300, 3500, 1, 0},
                     {lease::Fault::CloseHall, 500, 1400, 0, 0},
                     {lease::Fault::CloseHall, 2000, 1900, 1, 0}};
-    lease::Report report = lease::play(plan);
-    add(report);
+    lease::Report report = lease::simulate(plan);
+    add_to_total(report);
     fprintf(stderr, "%s", report.text().c_str());
     return report.violations.empty();
 }
@@ -372,33 +376,33 @@
     bool good = true;
 
     if (plan != nullptr) {
-        lease::Report report = lease::play(parse(plan));
+        lease::Report report = lease::simulate(parse(plan));
         fprintf(stderr, "%s", report.text().c_str());
         return report.violations.empty() ? 0 : 1;
     }
     good &= check_pairs();
     good &= check_forward_pairs();
-    good &= check_all_cut();
-    good &= check_known_plans();
+    good &= check_store_cut_off();
+    good &= check_regression_plans();
     good &= rc::check("no two runs, room, answers, few faults",
-                      [] { check(3); });
+                      [] { check_any_faults(3); });
     good &= rc::check("no two runs, room, answers, many faults",
-                      [] { check(12); });
+                      [] { check_any_faults(12); });
     good &= rc::check("closed halls, few faults", [] { check_halls(4); });
     good &= rc::check("closed halls, many faults", [] { check_halls(14); });
-    good &= check_crashers();
+    good &= check_crashing_jobs();
     good &= rc::check("lives of upstreams, few faults",
-                      [] { check_lives(4); });
+                      [] { check_upstream_restarts(4); });
     good &= rc::check("lives of upstreams, many faults",
-                      [] { check_lives(14); });
+                      [] { check_upstream_restarts(14); });
     good &= rc::check("jobs handed on, few faults", [] { check_forwards(4); });
     good &= rc::check("jobs handed on, many faults",
                       [] { check_forwards(14); });
     good &= rc::check("equal upstreams share the work",
                       [] { check_shares(); });
-    printf("%lu jobs handed on, %lu taken\n", (unsigned long)total.forwards,
-           (unsigned long)total.forwards_taken);
-    good &= total.forwards_taken > 0;
+    printf("%lu jobs forwarded, %lu accepted\n", (unsigned long)total.forwards,
+           (unsigned long)total.forwards_accepted);
+    good &= total.forwards_accepted > 0;
     printf("%lu schedules, %lu jobs, %lu starts: %lu succeeded, %lu failed, "
            "%lu not run, %lu given up\n",
            (unsigned long)schedules, (unsigned long)total.jobs,
