--- a/tests/fleet_world.c
+++ b/tests/fleet_world.c
@@ -607,17 +607,17 @@
 send_heartbeat(simulation *sim, companion_node *node)
 {
     static const char *const labels[] = {NULL};
-    Runner_Upstream said = {.instance = node->instance,
-                            .born_ms = 1 + node->born_ms,
-                            .sequence = ++node->sequence,
-                            .service = "service",
-                            .says = RUNNER_UPSTREAM_READY,
-                            .capacity = {node->capacity, MEMORY_MB, 0},
-                            .labels = labels,
-                            .clock_ms = upstream_clock_ms(sim)};
+    Runner_Upstream heartbeat = {.instance = node->instance,
+                                 .born_ms = 1 + node->born_ms,
+                                 .sequence = ++node->sequence,
+                                 .service = "service",
+                                 .says = RUNNER_UPSTREAM_READY,
+                                 .capacity = {node->capacity, MEMORY_MB, 0},
+                                 .labels = labels,
+                                 .clock_ms = upstream_clock_ms(sim)};
 
     if (node->up) {
-        Runner_OnUpstream(node->runner, sim->now_ms, &said);
+        Runner_OnUpstream(node->runner, sim->now_ms, &heartbeat);
         schedule_overdue_check(node);
     }
 }
@@ -805,18 +805,18 @@
 static bool
 has_free_capacity(const simulation *sim)
 {
-    uint64_t room = 0;
+    uint64_t free_milli = 0;
     uint64_t all = 0;
     uint32_t i;
 
     for (i = 0; i < sim->load->deployment->companions; i++) {
         const companion_node *node = &sim->companions[i];
         if (node->up) {
-            room += node->capacity - MIN(node->used, node->capacity);
+            free_milli += node->capacity - MIN(node->used, node->capacity);
             all += node->capacity;
         }
     }
-    return room * FREE_DIVISOR > all;
+    return free_milli * FREE_DIVISOR > all;
 }
 
 static void
@@ -1062,11 +1062,11 @@
 begin_surge(simulation *sim)
 {
     const FleetSim_Load *load = sim->load;
-    uint32_t away = (uint32_t)(load->entries_down * load->deployment->entries);
+    uint32_t down = (uint32_t)(load->entries_down * load->deployment->entries);
     uint32_t i;
 
-    for (i = 0; i < away; i++) {
-        sim->entries[i * load->deployment->entries / away].up = false;
+    for (i = 0; i < down; i++) {
+        sim->entries[i * load->deployment->entries / down].up = false;
     }
     for (i = 0; i < (uint32_t)(load->flapping * load->deployment->companions);
          i++) {
@@ -1138,20 +1138,20 @@
 announce_closures(simulation *sim, int64_t as_of, bool closed)
 {
     lc_hall hall = (char *)(uintptr_t) "hall-0";
-    lc_closures told = {.as_of = as_of};
+    lc_closures closures = {.as_of = as_of};
     uint32_t i;
 
-    told.halls.halls_len = closed;
-    told.halls.halls_val = &hall;
+    closures.halls.halls_len = closed;
+    closures.halls.halls_val = &hall;
     for (i = 0; i < sim->load->deployment->entries; i++) {
         Dispatcher_TakeClosures(sim->entries[i].dispatcher, sim->now_ms,
-                                sim->now_ms, &told, "test");
+                                sim->now_ms, &closures, "test");
         dispatch_waiting(&sim->entries[i]);
     }
     for (i = 0; i < sim->load->deployment->companions; i++) {
         if (sim->companions[i].runner != NULL) {
             Runner_TakeClosures(sim->companions[i].runner, sim->now_ms,
-                                sim->now_ms, &told, "test");
+                                sim->now_ms, &closures, "test");
         }
     }
 }
@@ -1326,7 +1326,7 @@
 }
 
 static void
-free_world(simulation *sim)
+free_simulation(simulation *sim)
 {
     uint32_t i;
 
@@ -1368,6 +1368,6 @@
         step(&sim);
     }
     fill_report(&sim);
-    free_world(&sim);
+    free_simulation(&sim);
     return sim.report;
 }
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -69,10 +69,10 @@
 decode_heartbeat(const char *bytes, size_t length)
 {
     Status status = {ERR_OK, ""};
-    Upstreams_Beat beat;
+    Upstreams_Beat heartbeat;
 
-    Upstreams_ReadBeat("i-1", bytes, length, &beat, &status);
-    Upstreams_FreeBeat(&beat);
+    Upstreams_ReadBeat("i-1", bytes, length, &heartbeat, &status);
+    Upstreams_FreeBeat(&heartbeat);
 }
 
 static void
@@ -115,7 +115,7 @@
 {
     Halls *halls = Halls_New();
     json_t *page = json_loadb(bytes, length, 0, NULL);
-    lc_closures told;
+    lc_closures closures;
 
     Halls_Begin(halls);
     KeyedRecords_TakePage(page, apply_record, halls);
@@ -123,7 +123,7 @@
         KeyedRecords_TakeRead((const uint8_t *)bytes, length, 1, apply_record,
                               halls);
     }
-    Halls_Tell(halls, 1, &told);
+    Halls_Tell(halls, 1, &closures);
     json_decref(page);
     Halls_Free(halls);
 }
@@ -205,8 +205,8 @@
 static void
 mutate(GByteArray *bytes, uint64_t *random)
 {
-    guint place = bytes->len == 0 ? 0
-                                  : (guint)(Random_Next(random) % bytes->len);
+    guint offset = bytes->len == 0 ? 0
+                                   : (guint)(Random_Next(random) % bytes->len);
     guint8 byte = (guint8)Random_Next(random);
 
     switch (Random_Next(random) % 5) {
@@ -215,25 +215,25 @@
         break;
     case 1:
         if (bytes->len > 0) {
-            g_byte_array_remove_index(bytes, place);
+            g_byte_array_remove_index(bytes, offset);
         }
         break;
     case 2:
         if (bytes->len > 0) {
-            bytes->data[place] ^= (guint8)(1U << (byte % 8));
+            bytes->data[offset] ^= (guint8)(1U << (byte % 8));
         }
         break;
     case 3:
         if (bytes->len > 0) {
             GByteArray *copy = g_byte_array_new();
-            g_byte_array_append(copy, bytes->data + place,
-                                MIN(bytes->len - place, 32));
+            g_byte_array_append(copy, bytes->data + offset,
+                                MIN(bytes->len - offset, 32));
             g_byte_array_append(bytes, copy->data, copy->len);
             g_byte_array_unref(copy);
         }
         break;
     default:
-        g_byte_array_set_size(bytes, place);
+        g_byte_array_set_size(bytes, offset);
         break;
     }
 }
--- a/tests/lease_upstream.cc
+++ b/tests/lease_upstream.cc
@@ -102,9 +102,9 @@
 void
 Upstream::crash(int64_t now_ms, bool restart_now)
 {
-    std::map<TaskName, RunningTask> gone = running;
+    std::map<TaskName, RunningTask> lost = running;
 
-    for (auto &pair : gone) {
+    for (auto &pair : lost) {
         on_end(pair.second.id, RUNNER_END_LAPSED);
     }
     running.clear();
@@ -160,9 +160,9 @@
 void
 Upstream::extend(int64_t now_ms, int64_t deadline)
 {
-    int64_t most = clock(now_ms) + HOLD_MAX_MS;
+    int64_t limit = clock(now_ms) + HOLD_MAX_MS;
 
-    deadline_clock_ms = std::max(deadline_clock_ms, std::min(deadline, most));
+    deadline_clock_ms = std::max(deadline_clock_ms, std::min(deadline, limit));
     hold_expired = hold_expired && clock(now_ms) >= deadline_clock_ms;
 }
 
--- a/tests/lease_world_checks.cc
+++ b/tests/lease_world_checks.cc
@@ -15,10 +15,10 @@
 Simulation::check_capacity(uint32_t index)
 {
     const Upstream &upstream = upstreams[index];
-    bool told = now - upstream.capacity_reduced_ms > CAPACITY_REPORT_MS;
-    uint32_t room = told ? upstream.cpu_milli : CAPACITY.cpu_milli;
+    bool reported = now - upstream.capacity_reduced_ms > CAPACITY_REPORT_MS;
+    uint32_t limit = reported ? upstream.cpu_milli : CAPACITY.cpu_milli;
 
-    if (cpu_used_at(upstream) > room) {
+    if (cpu_used_at(upstream) > limit) {
         violation("upstream " + std::to_string(index) +
                   " runs more than its capacity");
     }
--- a/tests/lease_world_halls.cc
+++ b/tests/lease_world_halls.cc
@@ -35,30 +35,30 @@
 lc_closures
 ClosureSnapshot::message()
 {
-    lc_closures told = {};
+    lc_closures closures = {};
 
     names.clear();
     for (std::string &hall : halls) {
         names.push_back((char *)hall.c_str());
     }
-    told.as_of = as_of;
-    told.age_ms = age_ms;
-    told.halls.halls_len = (u_int)names.size();
-    told.halls.halls_val = names.data();
-    return told;
+    closures.as_of = as_of;
+    closures.age_ms = age_ms;
+    closures.halls.halls_len = (u_int)names.size();
+    closures.halls.halls_val = names.data();
+    return closures;
 }
 
 ClosureSnapshot
 ClosureSnapshot::of(const Closures *closures, int64_t now)
 {
-    ClosureSnapshot news;
+    ClosureSnapshot snapshot;
 
-    news.as_of = closures->as_of;
-    news.age_ms = (uint32_t)Closures_AgeMs(closures, now);
+    snapshot.as_of = closures->as_of;
+    snapshot.age_ms = (uint32_t)Closures_AgeMs(closures, now);
     for (guint i = 0; i < closures->halls->len; i++) {
-        news.halls.push_back((const char *)closures->halls->pdata[i]);
+        snapshot.halls.push_back((const char *)closures->halls->pdata[i]);
     }
-    return news;
+    return snapshot;
 }
 
 /* ---- operators and the store ---- */
@@ -99,7 +99,7 @@
 Simulation::read_halls() const
 {
     std::set<std::string> closed;
-    ClosureSnapshot news;
+    ClosureSnapshot snapshot;
 
     for (auto &record : hall_log) {
         if (record.second) {
@@ -109,27 +109,27 @@
             closed.erase(record.first);
         }
     }
-    news.as_of = (int64_t)hall_log.size();
-    news.halls.assign(closed.begin(), closed.end());
-    return news;
+    snapshot.as_of = (int64_t)hall_log.size();
+    snapshot.halls.assign(closed.begin(), closed.end());
+    return snapshot;
 }
 
 /* ---- entries ---- */
 
 void
 Simulation::send_closures_to_entry(EntryNode *entry, int64_t after_ms,
-                                   int64_t asked_ms, ClosureSnapshot news)
+                                   int64_t asked_ms, ClosureSnapshot snapshot)
 {
     uint64_t boot_id = entry->boot_id;
 
-    schedule(now + after_ms, [this, entry, boot_id, asked_ms, news] {
+    schedule(now + after_ms, [this, entry, boot_id, asked_ms, snapshot] {
         if (entry->boot_id != boot_id) {
             return;
         }
-        when_thawed(entry, [this, entry, asked_ms, news]() mutable {
-            lc_closures told = news.message();
-            Dispatcher_TakeClosures(entry->dispatcher, now, asked_ms, &told,
-                                    "test");
+        when_thawed(entry, [this, entry, asked_ms, snapshot]() mutable {
+            lc_closures closures = snapshot.message();
+            Dispatcher_TakeClosures(entry->dispatcher, now, asked_ms,
+                                    &closures, "test");
         });
     });
 }
@@ -144,11 +144,11 @@
         return;
     }
     if (store_reachable(entry)) {
-        ClosureSnapshot news = read_halls();
-        send_closures_to_entry(entry, LINK_DELAY_MS, now, news);
+        ClosureSnapshot snapshot = read_halls();
+        send_closures_to_entry(entry, LINK_DELAY_MS, now, snapshot);
         if (random_below(STALE_EVERY) == 0) {
             send_closures_to_entry(entry, random_below(STALE_DELAY_MS),
-                                   CLOSURES_UNASKED, news);
+                                   CLOSURES_UNASKED, snapshot);
         }
     }
     schedule(now + HALLS_POLL_MS,
@@ -160,19 +160,20 @@
 void
 Simulation::send_closures_to_companion(CompanionNode *companion,
                                        int64_t after_ms, int64_t asked_ms,
-                                       ClosureSnapshot news)
+                                       ClosureSnapshot snapshot)
 {
     uint64_t boot_id = companion->boot_id;
 
-    schedule(now + after_ms, [this, companion, boot_id, asked_ms, news] {
+    schedule(now + after_ms, [this, companion, boot_id, asked_ms, snapshot] {
         if (companion->boot_id != boot_id) {
             return;
         }
-        when_thawed(companion, [this, companion, asked_ms, news]() mutable {
-            lc_closures told = news.message();
-            Runner_TakeClosures(companion->runner, now, asked_ms, &told,
-                                "test");
-        });
+        when_thawed(companion,
+                    [this, companion, asked_ms, snapshot]() mutable {
+                        lc_closures closures = snapshot.message();
+                        Runner_TakeClosures(companion->runner, now, asked_ms,
+                                            &closures, "test");
+                    });
     });
 }
 
--- a/tests/lease_world_kept.cc
+++ b/tests/lease_world_kept.cc
@@ -296,10 +296,10 @@
     }
     for (uint32_t i = 0; i < plan.entries; i++) {
         EntryNode *to = &entries[i];
-        uint64_t to_life = to->boot_id;
+        uint64_t to_boot_id = to->boot_id;
         Address address = from->node.address;
         int64_t asked_ms = now;
-        uint64_t kept = Keeper_Identity(from->durable_jobs, now);
+        uint64_t owner_incarnation = Keeper_Identity(from->durable_jobs, now);
         if (i == index || from->frozen_until > now ||
             gossip_cut_until[i] > now || gossip_cut_until[index] > now) {
             continue;
@@ -310,11 +310,13 @@
         send_closures_to_entry(
             to, LINK_DELAY_MS, CLOSURES_UNASKED,
             ClosureSnapshot::of(Dispatcher_Closures(from->dispatcher), now));
-        schedule(now + LINK_DELAY_MS, [this, to, to_life, address, kept, from,
-                                       asked_ms] {
-            if (to->boot_id == to_life) {
-                when_thawed(to, [this, to, address, kept, from, asked_ms] {
-                    Keeper_OnPeer(to->durable_jobs, now, address, kept);
+        schedule(now + LINK_DELAY_MS, [this, to, to_boot_id, address,
+                                       owner_incarnation, from, asked_ms] {
+            if (to->boot_id == to_boot_id) {
+                when_thawed(to, [this, to, address, owner_incarnation, from,
+                                 asked_ms] {
+                    Keeper_OnPeer(to->durable_jobs, now, address,
+                                  owner_incarnation);
                     send_closures_to_entry(
                         from, LINK_DELAY_MS, asked_ms,
                         ClosureSnapshot::of(
--- a/tests/lease_world_nodes.cc
+++ b/tests/lease_world_nodes.cc
@@ -14,6 +14,8 @@
 
 /* ---- scheduling of nodes ---- */
 
+/* Runs @p run on the entry, after its freeze if it is frozen; drops it if the
+ * entry is down or restarts before. */
 void
 Simulation::when_thawed(EntryNode *entry, std::function<void()> run)
 {
@@ -453,7 +455,7 @@
         !Runner_Report(companion->runner, now, &args)) {
         return;
     }
-    ClosureSnapshot news = ClosureSnapshot::of(
+    ClosureSnapshot snapshot = ClosureSnapshot::of(
         Runner_Closures(companion->runner), now);
     for (uint32_t i = 0; i < plan.entries; i++) {
         EntryNode *entry = &entries[i];
@@ -465,7 +467,7 @@
         lc_host_state host = args.host;
         std::string instance = args.instance;
         std::string service = args.service;
-        lc_resources room = args.capacity;
+        lc_resources capacity = args.capacity;
         int64_t asked_ms = now;
         schedule(now + LINK_DELAY_MS, [=, this] {
             if (entry->boot_id != boot_id) {
@@ -476,14 +478,14 @@
                 memset(&copy, 0, sizeof(copy));
                 copy.host = host;
                 copy.hall = (char *)companion->hall.c_str();
-                copy.closures = news.message();
+                copy.closures = snapshot.message();
                 send_closures_to_companion(
                     companion, LINK_DELAY_MS, asked_ms,
                     ClosureSnapshot::of(Dispatcher_Closures(entry->dispatcher),
                                         now));
                 copy.instance = (char *)instance.c_str();
                 copy.service = (char *)service.c_str();
-                copy.capacity = room;
+                copy.capacity = capacity;
                 copy.next_ms = 500;
                 const Fleet_Host *known = Dispatcher_Host(entry->dispatcher,
                                                           host.node.address);
@@ -519,10 +521,10 @@
     schedule(now + delay_ms, [=, this] {
         when_thawed(companion, [=, this] {
             static const char *const labels[] = {nullptr};
-            Runner_Upstream said = {
+            Runner_Upstream heartbeat = {
                 instance.c_str(),      born_ms,  sequence, "service",
                 RUNNER_UPSTREAM_READY, capacity, labels,   clock_ms};
-            Runner_OnUpstream(companion->runner, now, &said);
+            Runner_OnUpstream(companion->runner, now, &heartbeat);
         });
     });
 }
--- a/tests/lease_world_state.h
+++ b/tests/lease_world_state.h
@@ -153,16 +153,16 @@
     Simulation *sim;
     uint32_t index;
     lc_node node;
-    std::map<uint64_t, PendingReply>
-        pending_replies; /* by the id of the reply */
+    /* By reply id. */
+    std::map<uint64_t, PendingReply> pending_replies;
     uint64_t next_reply = 0;
     Dispatcher *dispatcher = nullptr;
     Keeper *durable_jobs = nullptr;
     LogClient log_client;
     int64_t frozen_until = 0;
     bool alive = false;
-    uint64_t boot_id = 0;
-    int64_t active_ms = 0;
+    uint64_t boot_id = 0;  /* events of an earlier boot are dropped */
+    int64_t active_ms = 0; /* when it last ran */
 };
 
 struct CompanionNode {
@@ -176,9 +176,9 @@
     std::string hall;
     bool alive = false;
     uint64_t boot_id = 0;
-    std::map<uint64_t, PendingReply>
-        pending_replies;          /* by the id of the reply */
-    int64_t overdue_check_ms = 0; /* when it is woken next, 0 if not */
+    /* By reply id. */
+    std::map<uint64_t, PendingReply> pending_replies;
+    int64_t overdue_check_ms = 0; /* 0: none due */
     uint64_t next_reply = 0;
 };
 
@@ -188,11 +188,11 @@
     uint32_t tasks;
     int64_t work_ms;
     int submissions = 0;
-    bool crashes_upstreams =
-        false;                 /* each upstream that starts its task crashes */
+    /* Each upstream that starts its task crashes. */
+    bool crashes_upstreams = false;
     int upstreams_crashed = 0; /* in this submission */
     bool finished = false;
-    bool may_have_run = false; /* an attempt ended otherwise than "not run" */
+    bool may_have_run = false; /* some submission was not answered not_run */
     uint64_t open_request = 0;
     bool started = false;
     int64_t first_submit_ms = 0;
@@ -390,10 +390,11 @@
     void close_hall(uint32_t number, int64_t until);
     ClosureSnapshot read_halls() const;
     void send_closures_to_entry(EntryNode *entry, int64_t after_ms,
-                                int64_t asked_ms, ClosureSnapshot news);
+                                int64_t asked_ms, ClosureSnapshot snapshot);
     void poll_halls(uint32_t index, uint64_t boot_id);
     void send_closures_to_companion(CompanionNode *companion, int64_t after_ms,
-                                    int64_t asked_ms, ClosureSnapshot news);
+                                    int64_t asked_ms,
+                                    ClosureSnapshot snapshot);
     void refresh_closures(CompanionNode *companion);
     void check_hall(uint32_t index, const lc_run_id &id);
     void check_spec(const lc_run_id &id, const char *spec);
@@ -423,8 +424,8 @@
     std::vector<int64_t> orders_late_until;
     std::map<uint64_t, CallerJob> jobs;
     std::map<uint64_t, Request> requests;
-    std::map<TaskName, std::map<uint32_t, lc_run_id>>
-        active_runs; /* by upstream */
+    /* By upstream. */
+    std::map<TaskName, std::map<uint32_t, lc_run_id>> active_runs;
     std::map<TaskName, bool> done;
     std::map<uint64_t, uint64_t> incarnations;
     uint64_t next_request = 0;
@@ -438,15 +439,14 @@
     std::map<uint32_t, uint64_t> hall_closings; /* by hall number */
     std::map<std::string, int64_t> closed_since;
     std::map<std::string, int64_t> opened_at;
-    std::map<std::string, int64_t>
-        last_order_in_hall; /* time of the last order */
+    std::map<std::string, int64_t> last_order_in_hall; /* ms */
     std::set<
         std::tuple<uint32_t, uint64_t, uint32_t, uint32_t, uint32_t, uint32_t>>
         checked_orders;
     std::vector<int64_t> store_cut_until;
     std::vector<int64_t> gossip_cut_until;
-    std::vector<uint32_t>
-        entry_cut_direction; /* 0: both, 1: outgoing, 2: incoming */
+    /* 0: both, 1: outgoing, 2: incoming. */
+    std::vector<uint32_t> entry_cut_direction;
     int64_t disconnects_until = 0;
     int64_t burst_until = 0;
 };
--- a/tests/load.c
+++ b/tests/load.c
@@ -291,14 +291,14 @@
 static double
 percentile(GArray *values, double part)
 {
-    guint place;
+    guint rank;
 
     if (values->len == 0) {
         return 0.0;
     }
     g_array_sort(values, compare_doubles);
-    place = (guint)(part * (values->len - 1) + 0.5);
-    return g_array_index(values, double, place);
+    rank = (guint)(part * (values->len - 1) + 0.5);
+    return g_array_index(values, double, rank);
 }
 
 static double
