--- a/tests/lease_upstream.cc
+++ b/tests/lease_upstream.cc
@@ -8,10 +8,11 @@
 const int64_t HOLD_MAX_MS = 1000;
 const int64_t CLOCK_START_MS = 500000;
 const int64_t WALL_OFFSET_MS = 1700000000000;
-/* Steps of the clock between two incarnations with the same name. */
+/* The next incarnation's clock is back or ahead by this when it restarts under
+ * the same name. */
 const int64_t CLOCK_STEP_BACK_MS = 400000;
 const int64_t CLOCK_STEP_FORWARD_MS = 90000;
-/* Step of the wall clock before some incarnations. */
+/* The wall clock jumps back by this before some incarnations. */
 const int64_t WALL_STEP_BACK_MS = 60000;
 
 } // namespace
--- a/tests/lease_upstream.h
+++ b/tests/lease_upstream.h
@@ -145,10 +145,10 @@
     uint64_t last_end = 0;
     uint64_t hold_expiries = 0;
     bool hold_expired = false;
-    std::map<uint64_t, uint64_t> expiries_at_end; /* by the number of an end */
+    std::map<uint64_t, uint64_t> expiries_at_end; /* by number of the end */
     std::map<TaskName, RunningTask> running;
-    std::map<TaskName, uint32_t>
-        rejected_up_to; /* highest run stopped or ended */
+    /* Highest run that was stopped or has ended. */
+    std::map<TaskName, uint32_t> rejected_up_to;
     std::vector<Runner_EndRow> ends;
 };
 
--- a/tests/lease_world.h
+++ b/tests/lease_world.h
@@ -52,7 +52,7 @@
     StoreCut,        /**< it does not answer one entry */
     StoreLossy,      /**< appends time out, some are executed seconds later */
     StoreCompact,    /**< only the newest record of each key is left */
-    StopEntry,       /**< hands its durable jobs over, then exits */
+    StopEntry,       /**< planned stop: hands durable jobs over, exits */
     CloseHall,       /**< operators close a hall and reopen it */
     RestartUpstream, /**< it crashes and restarts under the same name */
     Suspend, /**< suspends the machine of a companion and its upstream */
@@ -83,8 +83,8 @@
     /** The first entry's link carries only a part of its jobs: it forwards
      * the others. */
     bool slow_link = false;
-    /** Checks that a reopened hall gets starts soon. Such a plan has no fault
-     * that touches upstreams. */
+    /** Checks that a reopened hall gets starts soon. Such a plan must have
+     * no faults of upstreams. */
     bool expect_reopened_halls = false;
     std::vector<Action> actions;
 };
