--- a/base/clock.c
+++ b/base/clock.c
@@ -38,13 +38,13 @@
 }
 
 void
-Clock_Follow(Clock_Suspension *tracker, Clock_Reading reading)
+Clock_InitTracker(Clock_SuspendTracker *tracker, Clock_Reading reading)
 {
     tracker->offset_ms = reading.now_ms - reading.monotonic_ms;
 }
 
 int64_t
-Clock_Suspended(Clock_Suspension *tracker, Clock_Reading reading)
+Clock_TakeSuspendedMs(Clock_SuspendTracker *tracker, Clock_Reading reading)
 {
     int64_t offset_ms = reading.now_ms - reading.monotonic_ms;
     int64_t added_ms = offset_ms - tracker->offset_ms;
--- a/base/clock.h
+++ b/base/clock.h
@@ -22,7 +22,7 @@
 /** Detects suspensions of the machine from the drift between both clocks. */
 typedef struct {
     int64_t offset_ms; /**< now_ms less monotonic_ms, as last accounted for */
-} Clock_Suspension;
+} Clock_SuspendTracker;
 
 /** Reads both clocks. */
 Clock_Reading Clock_Read(void);
@@ -31,11 +31,12 @@
 int64_t Clock_NowMs(void);
 
 /** Starts detection at a reading; suspensions before it are not reported. */
-void Clock_Follow(Clock_Suspension *tracker, Clock_Reading reading);
+void Clock_InitTracker(Clock_SuspendTracker *tracker, Clock_Reading reading);
 
 /** Returns the time in ms that the machine was suspended and that no earlier
  * call returned, or 0. */
-int64_t Clock_Suspended(Clock_Suspension *tracker, Clock_Reading reading);
+int64_t Clock_TakeSuspendedMs(Clock_SuspendTracker *tracker,
+                              Clock_Reading reading);
 
 /** For tests only: adds @p ms of simulated suspension to Clock_NowMs. */
 void Clock_TestSuspend(int64_t ms);
--- a/base/err.c
+++ b/base/err.c
@@ -54,13 +54,13 @@
 }
 
 int
-Err_Http(Err_Kind kind)
+Err_HttpStatus(Err_Kind kind)
 {
     return err_rows[kind].http_status;
 }
 
 int
-Err_Exit(Err_Kind kind)
+Err_ExitCode(Err_Kind kind)
 {
     return err_rows[kind].exit_code;
 }
@@ -72,7 +72,7 @@
 }
 
 int
-Err_Retry(Err_Kind kind)
+Err_HasRetryAfter(Err_Kind kind)
 {
     return err_rows[kind].retry;
 }
--- a/base/err.h
+++ b/base/err.h
@@ -85,16 +85,16 @@
 Err_Kind Err_FromText(const char *text);
 
 /** HTTP status code for a kind. */
-int Err_Http(Err_Kind kind);
+int Err_HttpStatus(Err_Kind kind);
 
 /** Exit code of the command-line program for a kind. */
-int Err_Exit(Err_Kind kind);
+int Err_ExitCode(Err_Kind kind);
 
 /** What a kind tells the caller about its job. */
 Outcome Err_Outcome(Err_Kind kind);
 
 /** Whether an answer of this kind carries a Retry-After header. */
-int Err_Retry(Err_Kind kind);
+int Err_HasRetryAfter(Err_Kind kind);
 
 /** Outcome as text, as sent to callers. */
 const char *Err_OutcomeText(Outcome outcome);
--- a/base/handle.c
+++ b/base/handle_table.c
@@ -1,4 +1,4 @@
-#include "base/handle.h"
+#include "base/handle_table.h"
 
 #include <glib.h>
 
@@ -100,19 +100,19 @@
 }
 
 uint32_t
-Handle_Count(const Handle_Table *table)
+Handle_ItemCount(const Handle_Table *table)
 {
     return table->count;
 }
 
 void *
-Handle_At(const Handle_Table *table, uint32_t index)
+Handle_ItemAt(const Handle_Table *table, uint32_t index)
 {
     return g_array_index(table->rows, handle_row, index).item;
 }
 
 uint32_t
-Handle_Size(const Handle_Table *table)
+Handle_RowCount(const Handle_Table *table)
 {
     return table->rows->len;
 }
--- a/base/handle.h
+++ b/base/handle_table.h
@@ -1,13 +1,13 @@
 /**
- * @file handle.h
- * @brief Table of pointers, addressed by handles. A handle holds an index and
- * a generation, so that the handle of a removed item is never taken for the
- * item that reuses its row.
+ * @file handle_table.h
+ * @brief GroupTable of pointers, addressed by handles. A handle holds an index
+ * and a generation, so that the handle of a removed item is never taken for
+ * the item that reuses its row.
  *
  * Ownership: the table owns its rows, never the items that they point to.
  */
-#ifndef LC_BASE_HANDLE_H
-#define LC_BASE_HANDLE_H
+#ifndef LC_BASE_HANDLE_TABLE_H
+#define LC_BASE_HANDLE_TABLE_H
 
 #include <stdint.h>
 
@@ -32,13 +32,13 @@
 void *Handle_Remove(Handle_Table *table, Handle handle);
 
 /** Number of items. */
-uint32_t Handle_Count(const Handle_Table *table);
+uint32_t Handle_ItemCount(const Handle_Table *table);
 
-/** Item in the row at @p index, which is below Handle_Size; NULL for a free
- * row. */
-void *Handle_At(const Handle_Table *table, uint32_t index);
+/** Item in the row at @p index, which is below Handle_RowCount; NULL for a
+ * free row. */
+void *Handle_ItemAt(const Handle_Table *table, uint32_t index);
 
 /** Number of rows, used and free. */
-uint32_t Handle_Size(const Handle_Table *table);
+uint32_t Handle_RowCount(const Handle_Table *table);
 
 #endif
--- a/base/key.c
+++ b/base/idempotency_key.c
@@ -1,4 +1,4 @@
-#include "base/key.h"
+#include "base/idempotency_key.h"
 
 #include <ctype.h>
 #include <glib.h>
@@ -60,7 +60,7 @@
 }
 
 Key
-Key_Mint(int64_t wall_ms, uint64_t random_high, uint64_t random_low)
+Key_Create(int64_t wall_ms, uint64_t random_high, uint64_t random_low)
 {
     Key key;
     int i;
@@ -78,7 +78,7 @@
 }
 
 int64_t
-Key_Time(const Key *key)
+Key_CreatedMs(const Key *key)
 {
     int64_t wall_ms = 0;
     int i;
--- a/base/key.h
+++ b/base/idempotency_key.h
@@ -1,10 +1,10 @@
 /**
- * @file key.h
+ * @file idempotency_key.h
  * @brief Idempotency keys: UUID version 7 (RFC 9562), which hold their
  * creation time in milliseconds of the Unix epoch.
  */
-#ifndef LC_BASE_KEY_H
-#define LC_BASE_KEY_H
+#ifndef LC_BASE_IDEMPOTENCY_KEY_H
+#define LC_BASE_IDEMPOTENCY_KEY_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -25,10 +25,10 @@
 
 /** Creates a key from the wall clock time in ms of the Unix epoch and random
  * bits, of which 74 are used. */
-Key Key_Mint(int64_t wall_ms, uint64_t random_high, uint64_t random_low);
+Key Key_Create(int64_t wall_ms, uint64_t random_high, uint64_t random_low);
 
 /** Creation time in ms of the Unix epoch. */
-int64_t Key_Time(const Key *key);
+int64_t Key_CreatedMs(const Key *key);
 
 /** Hash for GLib tables. */
 unsigned int Key_Hash(const void *key);
--- a/base/settings.c
+++ b/base/settings.c
@@ -164,7 +164,7 @@
     case SETTING_TEXT:
         read_text(in, setting, value);
         break;
-    case SETTING_GROUP:
+    case SETTING_OBJECT:
         if (!json_is_object(value)) {
             add_error(in, path, "expected an object");
             break;
--- a/base/settings.h
+++ b/base/settings.h
@@ -20,7 +20,7 @@
     SETTING_NUMBER,    /**< as above, fractions allowed, as double */
     SETTING_ADDRESSES, /**< list of "IP:port", as Setting_Addresses */
     SETTING_TEXT,      /**< one of `choices`, or any; stored as char[64] */
-    SETTING_GROUP      /**< object; its members have rows "object.name" */
+    SETTING_OBJECT     /**< object; its members have rows "object.name" */
 } Setting_Kind;
 
 /** Row of a table of settings, which ends with a NULL path. */
--- a/cli/commands.c
+++ b/cli/commands.c
@@ -6,10 +6,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "cli/csv.h"
-#include "cli/exchange.h"
 #include "cli/explain.h"
-#include "cli/halls.h"
+#include "cli/hall_commands.h"
+#include "cli/http_exchange.h"
+#include "cli/table_csv.h"
 #include "daemon/options.h"
 
 /* Sends a request; prints an error, if any. Returns the exit code. */
@@ -71,7 +71,7 @@
 #define X(field, name, least, most, initial)                                  \
     printf(" %*lld", (int)MAX(strlen(name), 8),                               \
            (long long)json_integer_value(json_object_get(row, name)));
-        TABLE_COLUMNS(X)
+        GROUP_TABLE_COLUMNS(X)
 #undef X
         printf(" %8lld\n",
                (long long)json_integer_value(json_object_get(row, "version")));
@@ -148,12 +148,12 @@
 
     if (equals == NULL) {
         fprintf(stderr, "levercove: %s: expected COLUMN=NUMBER\n", text);
-        return Err_Exit(ERR_BAD_REQUEST);
+        return Err_ExitCode(ERR_BAD_REQUEST);
     }
     number = g_ascii_strtoll(equals + 1, &end, 10);
     if (*end != '\0' || end == equals + 1) {
         fprintf(stderr, "levercove: %s: expected a whole number\n", text);
-        return Err_Exit(ERR_BAD_REQUEST);
+        return Err_ExitCode(ERR_BAD_REQUEST);
     }
     name = g_strndup(text, (gsize)(equals - text));
     json_object_set_new(row, name, json_integer(number));
@@ -217,9 +217,9 @@
 }
 
 static int
-import_row(Address entry, const Table_Row *wanted)
+import_row(Address entry, const GroupTable_Row *wanted)
 {
-    json_t *value = Table_RowToJson(wanted);
+    json_t *value = GroupTable_RowToJson(wanted);
     json_t *row;
     char etag[40];
     int code = fetch_row(entry, wanted->group, &row, etag);
@@ -249,17 +249,18 @@
     if (!g_file_get_contents(arguments[0], &text, NULL, &error)) {
         fprintf(stderr, "levercove: %s\n", error->message);
         g_error_free(error);
-        code = Err_Exit(ERR_IO);
+        code = Err_ExitCode(ERR_IO);
         goto done;
     }
     rows = Csv_Read(text, &errors);
     if (rows == NULL) {
         fprintf(stderr, "%s: nothing was changed:\n%s", arguments[0], errors);
-        code = Err_Exit(ERR_BAD_REQUEST);
+        code = Err_ExitCode(ERR_BAD_REQUEST);
         goto done;
     }
     for (i = 0; i < rows->len && code == 0; i++) {
-        code = import_row(options->entry, &g_array_index(rows, Table_Row, i));
+        code = import_row(options->entry,
+                          &g_array_index(rows, GroupTable_Row, i));
     }
 done:
     if (rows != NULL) {
@@ -281,7 +282,7 @@
     (void)count;
     if (!Address_Parse(arguments[0], &request.to)) {
         fprintf(stderr, "levercove: %s: expected IP:port\n", arguments[0]);
-        return Err_Exit(ERR_BAD_REQUEST);
+        return Err_ExitCode(ERR_BAD_REQUEST);
     }
     code = call(&request, &answer);
     if (code == 0) {
@@ -305,7 +306,7 @@
     if (kind == ERR_OK) {
         printf("%s: settings are valid\n", arguments[0]);
     }
-    return Err_Exit(kind);
+    return Err_ExitCode(kind);
 }
 
 static int
@@ -325,7 +326,7 @@
     if (!g_file_get_contents(arguments[0], &text, &length, &error)) {
         fprintf(stderr, "levercove: %s\n", error->message);
         g_error_free(error);
-        return Err_Exit(ERR_IO);
+        return Err_ExitCode(ERR_IO);
     }
     if (options->key != NULL) {
         headers = g_strdup_printf("Idempotency-Key: %s\r\n", options->key);
@@ -338,7 +339,7 @@
     }
     else {
         puts(answer.body);
-        code = Err_Exit(Exchange_Check(&answer, &status));
+        code = Err_ExitCode(Exchange_Check(&answer, &status));
     }
     Exchange_Clear(&answer);
     g_free(headers);
--- a/cli/explain.c
+++ b/cli/explain.c
@@ -276,5 +276,5 @@
     }
     g_hash_table_unref(all.nodes);
     g_ptr_array_unref(all.lines);
-    return Err_Exit(status.kind);
+    return Err_ExitCode(status.kind);
 }
--- a/cli/halls.c
+++ b/cli/hall_commands.c
@@ -1,11 +1,11 @@
-#include "cli/halls.h"
+#include "cli/hall_commands.h"
 
 #include <glib.h>
 #include <jansson.h>
 #include <stdio.h>
 
-#include "cli/exchange.h"
-#include "platform/halls.h"
+#include "cli/http_exchange.h"
+#include "platform/hall_records.h"
 
 #define OK_STATUS 200
 #define ABSENT (-1)
@@ -79,7 +79,7 @@
 /* ---- show ---- */
 
 static void
-print_row(void *context, const Halls_Row *row)
+print_row(void *context, const HallRecords_Row *row)
 {
     int *rows = context;
 
@@ -93,7 +93,7 @@
 }
 
 /* Prints one page, the one after the key *after, which is then set as by
- * Halls_ReadPage. */
+ * HallRecords_ParsePage. */
 static Err_Kind
 show_page(const Command_Options *options, char **after, int *rows,
           Status *status)
@@ -106,8 +106,8 @@
 
     g_clear_pointer(after, g_free);
     if (kind == ERR_OK) {
-        kind = Halls_ReadPage(answer.body, answer.length, print_row, rows,
-                              after, status);
+        kind = HallRecords_ParsePage(answer.body, answer.length, print_row,
+                                     rows, after, status);
     }
     Exchange_Clear(&answer);
     g_free(path);
@@ -220,7 +220,7 @@
     if (!json_is_object(json_object_get(state, "closed"))) {
         printf("%-22s %s\n", text,
                state == NULL ? "no answer" : "not a process of leased jobs");
-        code = Err_Exit(ERR_IO);
+        code = Err_ExitCode(ERR_IO);
     }
     else {
         print_process(text, state);
--- a/cli/halls.h
+++ b/cli/hall_commands.h
@@ -1,10 +1,10 @@
 /**
- * @file halls.h
+ * @file hall_commands.h
  * @brief The commands about halls: `levercove hall close`, `hall open` and
  * `hall show`.
  */
-#ifndef LC_CLI_HALLS_H
-#define LC_CLI_HALLS_H
+#ifndef LC_CLI_HALL_COMMANDS_H
+#define LC_CLI_HALL_COMMANDS_H
 
 #include "cli/commands.h"
 
--- a/cli/exchange.c
+++ b/cli/http_exchange.c
@@ -1,4 +1,4 @@
-#include "cli/exchange.h"
+#include "cli/http_exchange.h"
 
 #include <glib.h>
 #include <jansson.h>
@@ -34,8 +34,8 @@
 {
     static const char *const outcome_texts[] = {
         [HTTP_CLIENT_ANSWERED] = "",
-        [HTTP_CLIENT_UNREACHED] = "could not connect",
-        [HTTP_CLIENT_BROKEN] = "connection lost",
+        [HTTP_CLIENT_UNSENT] = "could not connect",
+        [HTTP_CLIENT_DISCONNECTED] = "connection lost",
         [HTTP_CLIENT_TIMEOUT] = "request timed out",
     };
     static Http_Client *client;
@@ -47,7 +47,7 @@
                                .body = request->body,
                                .length = request->length,
                                .timeout_ms = TIMEOUT_MS};
-    exchange_result result = {answer, HTTP_CLIENT_BROKEN};
+    exchange_result result = {answer, HTTP_CLIENT_DISCONNECTED};
 
     if (client == NULL) {
         client = Http_NewClient(loop);
@@ -92,7 +92,7 @@
 Exchange_PrintError(const Status *status)
 {
     fprintf(stderr, "levercove: %s\n", status->message);
-    return Err_Exit(status->kind);
+    return Err_ExitCode(status->kind);
 }
 
 void
--- a/cli/exchange.h
+++ b/cli/http_exchange.h
@@ -1,9 +1,9 @@
 /**
- * @file exchange.h
+ * @file http_exchange.h
  * @brief Blocking HTTP requests for the command line.
  */
-#ifndef LC_CLI_EXCHANGE_H
-#define LC_CLI_EXCHANGE_H
+#ifndef LC_CLI_HTTP_EXCHANGE_H
+#define LC_CLI_HTTP_EXCHANGE_H
 
 #include <stddef.h>
 
--- a/cli/main.c
+++ b/cli/main.c
@@ -55,7 +55,7 @@
     if (!g_option_context_parse(context, argc, argv, &error)) {
         fprintf(stderr, "levercove: %s\n", error->message);
         g_error_free(error);
-        code = Err_Exit(ERR_BAD_REQUEST);
+        code = Err_ExitCode(ERR_BAD_REQUEST);
     }
     g_option_context_free(context);
     g_free(commands);
@@ -93,7 +93,7 @@
 
     if (text != NULL && !Address_Parse(text, address)) {
         fprintf(stderr, "levercove: %s %s: expected IP:port\n", name, text);
-        return Err_Exit(ERR_BAD_REQUEST);
+        return Err_ExitCode(ERR_BAD_REQUEST);
     }
     return 0;
 }
@@ -125,20 +125,20 @@
     }
     if (command == NULL) {
         fprintf(stderr, "levercove: unknown command, see --help\n");
-        return Err_Exit(ERR_BAD_REQUEST);
+        return Err_ExitCode(ERR_BAD_REQUEST);
     }
     if (count < command->min_arguments || count > command->max_arguments) {
         fprintf(stderr, "levercove: usage: levercove %s %s\n", command->name,
                 command->arguments);
-        return Err_Exit(ERR_BAD_REQUEST);
+        return Err_ExitCode(ERR_BAD_REQUEST);
     }
     if (command->needs_entry && options.entry == 0) {
         fprintf(stderr, "levercove: specify --entry or set LEVERCOVE_ENTRY\n");
-        return Err_Exit(ERR_BAD_REQUEST);
+        return Err_ExitCode(ERR_BAD_REQUEST);
     }
     if (command->needs_store && options.store == 0) {
         fprintf(stderr, "levercove: specify --store or set LEVERCOVE_STORE\n");
-        return Err_Exit(ERR_BAD_REQUEST);
+        return Err_ExitCode(ERR_BAD_REQUEST);
     }
     return command->run(&options, count, argv + 1 + words);
 }
--- a/cli/csv.c
+++ b/cli/table_csv.c
@@ -1,11 +1,11 @@
-#include "cli/csv.h"
+#include "cli/table_csv.h"
 
 #include <string.h>
 
 /* Column names, in the order of output. */
 static const char *const columns[] = {"group",
 #define X(field, name, least, most, initial) name,
-                                      TABLE_COLUMNS(X)
+                                      GROUP_TABLE_COLUMNS(X)
 #undef X
 };
 
@@ -76,8 +76,8 @@
     return cells;
 }
 
-/* Converts a row to JSON, so that Table_RowFromJson checks it; invalid numbers
- * stay strings. */
+/* Converts a row to JSON, so that GroupTable_RowFromJson checks it; invalid
+ * numbers stay strings. */
 static json_t *
 cells_to_json(const GPtrArray *header, const GPtrArray *cells)
 {
@@ -107,7 +107,7 @@
     json_t *value = cells_to_json(header, cells);
     char *group = NULL;
     Status status = {ERR_OK, ""};
-    Table_Row row;
+    GroupTable_Row row;
     guint i;
 
     for (i = 0; i < header->len && i < cells->len; i++) {
@@ -120,7 +120,8 @@
                 header->len, cells->len);
     }
     else {
-        Table_RowFromJson(group == NULL ? "" : group, value, &row, &status);
+        GroupTable_RowFromJson(group == NULL ? "" : group, value, &row,
+                               &status);
     }
     if (status.kind == ERR_OK) {
         g_array_append_val(rows, row);
@@ -137,7 +138,7 @@
 Csv_Read(const char *text, char **errors)
 {
     char **lines = g_strsplit(text, "\n", 0);
-    GArray *rows = g_array_new(FALSE, FALSE, sizeof(Table_Row));
+    GArray *rows = g_array_new(FALSE, FALSE, sizeof(GroupTable_Row));
     GString *messages = g_string_new(NULL);
     GPtrArray *header = NULL;
     guint i;
--- a/core/admission.c
+++ b/core/admission.c
@@ -3,8 +3,8 @@
 #include <string.h>
 
 #include "core/dispatch.h"
-#include "core/limits.h"
-#include "core/members.h"
+#include "core/group_limits.h"
+#include "core/membership.h"
 #include "core/outcome.h"
 #include "core/ownership.h"
 
@@ -13,8 +13,8 @@
 #define MS_PER_S 1000.0
 
 static void
-forward(Board *board, const Job_Waiter *waiter, const Admission_Spec *spec,
-        const lc_node *to, bool held)
+forward(Blackboard *board, const Job_Waiter *waiter,
+        const Admission_Spec *spec, const lc_node *to, bool held)
 {
     Msg_Call call = {.kind = MSG_SUBMIT};
     lc_submit_args *args = &call.u.submit;
@@ -25,20 +25,20 @@
 
     args->kind = spec->look ? LC_SUBMIT_LOOK : LC_SUBMIT_RUN;
     args->held = held;
-    args->key = Node_WireKey(&spec->key);
+    args->key = Node_KeyToWire(&spec->key);
     args->group = (char *)(uintptr_t)spec->group;
     args->repeatable = spec->repeatable;
     args->deadline_ms = spec->deadline_ms;
     args->tasks.tasks_len = spec->count;
     args->tasks.tasks_val = (lc_payload *)(uintptr_t)spec->tasks;
     Counter_Add(&board->counters, COUNTER_JOBS_FORWARDED, 1);
-    Board_Call(board, &call, &info);
+    Blackboard_SendCall(board, &call, &info);
 }
 
 static bool
-key_in_window(Board *board, const Job_Waiter *waiter, const Key *key)
+key_in_window(Blackboard *board, const Job_Waiter *waiter, const Key *key)
 {
-    int64_t age_ms = board->now.wall_ms - Key_Time(key);
+    int64_t age_ms = board->now.wall_ms - Key_CreatedMs(key);
 
     if (age_ms > board->config.window_ms) {
         Outcome_Refuse(board, waiter, key, ERR_KEY_TOO_OLD,
@@ -56,7 +56,7 @@
 
 /* Time to work off the group's queue at the recent rate of task ends. */
 static int64_t
-expected_wait_ms(const Board *board, const Group *group)
+expected_wait_ms(const Blackboard *board, const Group *group)
 {
     if (board->tasks_ended_per_s < 1.0) {
         return 0;
@@ -65,9 +65,11 @@
 }
 
 static bool
-has_room(Board *board, const Job_Waiter *waiter, const Admission_Spec *spec)
+has_room(Blackboard *board, const Job_Waiter *waiter,
+         const Admission_Spec *spec)
 {
-    const Table_Row *row = Table_Find(Board_Table(board), spec->group);
+    const GroupTable_Row *row = GroupTable_Find(Blackboard_GroupTable(board),
+                                                spec->group);
     Group *group;
     int64_t wait_ms;
 
@@ -79,7 +81,7 @@
     group = Groups_Get(board->groups, spec->group);
     group->weight = (uint32_t)row->weight;
     wait_ms = expected_wait_ms(board, group);
-    if (group->queue->len >= Limits_MaxQueued(board, spec->group)) {
+    if (group->queue->len >= GroupLimits_MaxQueued(board, spec->group)) {
         Outcome_Refuse(board, waiter, &spec->key, ERR_QUEUE_FULL,
                        "the group's queue is full",
                        wait_ms > RETRY_MS ? wait_ms : RETRY_MS);
@@ -106,7 +108,7 @@
 }
 
 static void
-activate(Board *board, Job *job, const Admission_Spec *spec,
+activate(Blackboard *board, Job *job, const Admission_Spec *spec,
          const Job_Waiter *waiter)
 {
     job->state = JOB_ACTIVE;
@@ -121,7 +123,7 @@
 }
 
 static void
-admit(Board *board, const Job_Waiter *waiter, const Admission_Spec *spec)
+admit(Blackboard *board, const Job_Waiter *waiter, const Admission_Spec *spec)
 {
     Job *job;
 
@@ -152,7 +154,7 @@
 
 /* Continues a job of a gone entry from what companions have reported. */
 static void
-resume_recovered(Board *board, Job *job, const Job_Waiter *waiter,
+resume_recovered(Blackboard *board, Job *job, const Job_Waiter *waiter,
                  const Admission_Spec *spec)
 {
     uint32_t i;
@@ -177,13 +179,13 @@
 
 /* Another entry may own the key by now and have continued the job. */
 static void
-resume_if_owner(Board *board, Job *job, const Job_Waiter *waiter,
+resume_if_owner(Blackboard *board, Job *job, const Job_Waiter *waiter,
                 const Admission_Spec *spec)
 {
     lc_node owner;
-    Own_Verdict verdict = Ownership_Judge(board, &spec->key, &owner);
+    Ownership_Verdict verdict = Ownership_Check(board, &spec->key, &owner);
 
-    if (verdict == OWN_CLEAN || verdict == OWN_UNSURE) {
+    if (verdict == OWN_NEVER_STARTED || verdict == OWN_UNSURE) {
         resume_recovered(board, job, waiter, spec);
         return;
     }
@@ -201,7 +203,7 @@
 
 /* A request for a key that is in the ledger. */
 static void
-attach(Board *board, Job *job, const Job_Waiter *waiter,
+attach(Blackboard *board, Job *job, const Job_Waiter *waiter,
        const Admission_Spec *spec)
 {
     if (job->state == JOB_HELD) {
@@ -234,7 +236,7 @@
 }
 
 static void
-record_lost(Board *board, const Job_Waiter *waiter, const Key *key)
+record_lost(Blackboard *board, const Job_Waiter *waiter, const Key *key)
 {
     Job *job = Ledger_Add(board->ledger, key);
 
@@ -250,8 +252,8 @@
 
 /* A request for a key that is not in the ledger and that this entry owns. */
 static void
-handle_new_key(Board *board, const Job_Waiter *waiter,
-               const Admission_Spec *spec, Own_Verdict verdict)
+handle_new_key(Blackboard *board, const Job_Waiter *waiter,
+               const Admission_Spec *spec, Ownership_Verdict verdict)
 {
     if (verdict == OWN_UNSETTLED) {
         Outcome_Refuse(board, waiter, &spec->key, ERR_UNSETTLED,
@@ -277,11 +279,12 @@
 }
 
 void
-Admission_Submit(Board *board, uint64_t request, const Admission_Spec *spec)
+Admission_Submit(Blackboard *board, uint64_t request,
+                 const Admission_Spec *spec)
 {
     Job_Waiter waiter = {false, request};
     Job *job = Ledger_Find(board->ledger, &spec->key);
-    Own_Verdict verdict;
+    Ownership_Verdict verdict;
     lc_node owner;
 
     if (!key_in_window(board, &waiter, &spec->key)) {
@@ -291,11 +294,11 @@
         attach(board, job, &waiter, spec);
         return;
     }
-    verdict = Ownership_Judge(board, &spec->key, &owner);
+    verdict = Ownership_Check(board, &spec->key, &owner);
     if (verdict == OWN_OTHER) {
         forward(board, &waiter, spec, &owner, false);
     }
-    else if (verdict == OWN_NOBODY) {
+    else if (verdict == OWN_NO_OWNER) {
         Outcome_Refuse(board, &waiter, &spec->key, ERR_UNSETTLED,
                        "no entry has joined the view yet", RETRY_MS);
     }
@@ -305,11 +308,11 @@
 }
 
 void
-Admission_AnswerSubmit(Board *board, uint64_t reply_id,
+Admission_AnswerSubmit(Blackboard *board, uint64_t reply_id,
                        const lc_submit_args *args)
 {
     Job_Waiter waiter = {true, reply_id};
-    Key key = Node_KeyOf(&args->key);
+    Key key = Node_KeyFromWire(&args->key);
     Admission_Spec spec = {.key = key,
                            .look = args->kind == LC_SUBMIT_LOOK,
                            .group = args->group,
@@ -318,7 +321,7 @@
                            .tasks = args->tasks.tasks_val,
                            .count = args->tasks.tasks_len};
     Job *job = Ledger_Find(board->ledger, &key);
-    Own_Verdict verdict;
+    Ownership_Verdict verdict;
     lc_node owner;
 
     if (!key_in_window(board, &waiter, &key)) {
@@ -328,8 +331,8 @@
         attach(board, job, &waiter, &spec);
         return;
     }
-    verdict = Ownership_Judge(board, &key, &owner);
-    if (args->held || verdict == OWN_OTHER || verdict == OWN_NOBODY) {
+    verdict = Ownership_Check(board, &key, &owner);
+    if (args->held || verdict == OWN_OTHER || verdict == OWN_NO_OWNER) {
         Outcome_NotOwner(board, reply_id);
         return;
     }
@@ -337,9 +340,10 @@
 }
 
 void
-Admission_OnSubmit(Board *board, const Call *call, const lc_submit_res *reply)
+Admission_OnSubmit(Blackboard *board, const Call *call,
+                   const lc_submit_res *reply)
 {
-    Peer *peer = Board_Peer(board, call->to);
+    Peer *peer = Blackboard_GetPeer(board, call->to);
 
     if (reply != NULL && reply->accepted) {
         Outcome_Forward(board, &call->waiter, &call->key, &reply->answer);
@@ -354,24 +358,25 @@
     }
     if (peer->node.incarnation != 0) {
         peer->position = reply->position;
-        peer->wants_relay = reply->position.offset < Fold_Next(board->fold);
+        peer->wants_relay = reply->position.offset <
+                            Replica_NextOffset(board->replica);
     }
     Outcome_Refuse(board, &call->waiter, &call->key, ERR_UNSETTLED,
                    "entries do not yet agree on the view", RETRY_MS);
 }
 
 Key
-Admission_MintKey(Board *board)
+Admission_MintKey(Blackboard *board)
 {
     Key key;
     int i;
 
     for (i = 0; i < MINT_TRIES; i++) {
         lc_node owner;
-        uint64_t high = Board_Random(board);
-        uint64_t low = Board_Random(board);
-        key = Key_Mint(board->now.wall_ms, high, low);
-        owner = View_Owner(Board_View(board), &key);
+        uint64_t high = Blackboard_Random(board);
+        uint64_t low = Blackboard_Random(board);
+        key = Key_Create(board->now.wall_ms, high, low);
+        owner = View_Owner(Blackboard_View(board), &key);
         if (Node_Same(&owner, &board->config.self)) {
             break;
         }
--- a/core/admission.h
+++ b/core/admission.h
@@ -6,7 +6,7 @@
 #ifndef LC_CORE_ADMISSION_H
 #define LC_CORE_ADMISSION_H
 
-#include "core/board.h"
+#include "core/blackboard.h"
 
 /** A job as submitted. Borrowed. */
 typedef struct {
@@ -20,18 +20,18 @@
 } Admission_Spec;
 
 /** A caller submitted a job or queries its state. */
-void Admission_Submit(Board *board, uint64_t request,
+void Admission_Submit(Blackboard *board, uint64_t request,
                       const Admission_Spec *spec);
 
 /** Another entry forwarded a job or a state query. */
-void Admission_AnswerSubmit(Board *board, uint64_t reply_id,
+void Admission_AnswerSubmit(Blackboard *board, uint64_t reply_id,
                             const lc_submit_args *args);
 
 /** A forwarded job was answered; @p reply is NULL if the call was lost. */
-void Admission_OnSubmit(Board *board, const Call *call,
+void Admission_OnSubmit(Blackboard *board, const Call *call,
                         const lc_submit_res *reply);
 
 /** A new key that this entry owns, if it owns any. */
-Key Admission_MintKey(Board *board);
+Key Admission_MintKey(Blackboard *board);
 
 #endif
--- a/core/board.c
+++ b/core/blackboard.c
@@ -1,4 +1,4 @@
-#include "core/board.h"
+#include "core/blackboard.h"
 
 #include <stdarg.h>
 #include <stdio.h>
@@ -7,10 +7,10 @@
 
 #include "base/random.h"
 
-Board_Config
-Board_Defaults(lc_node self)
+Entry_Config
+Entry_Defaults(lc_node self)
 {
-    Board_Config config = {
+    Entry_Config config = {
         .self = self,
         .seed = self.incarnation ^ self.address,
         .evidence_ms = 3000,
@@ -43,16 +43,17 @@
     g_free(edit);
 }
 
-Board *
-Board_New(const Board_Config *config, const Node_Ports *ports, void *context)
+Blackboard *
+Blackboard_New(const Entry_Config *config, const Node_Ports *ports,
+               void *context)
 {
-    Board *board = g_new0(Board, 1);
+    Blackboard *board = g_new0(Blackboard, 1);
 
     board->config = *config;
     board->ports = *ports;
     board->context = context;
     board->random = Random_Seed(config->seed);
-    board->fold = Fold_New(config->window_ms + config->skew_ms);
+    board->replica = Replica_New(config->window_ms + config->skew_ms);
     board->peers = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
                                          g_free);
     board->usable = g_ptr_array_new();
@@ -66,7 +67,7 @@
                                                   NULL, g_free);
     board->settle.companions = g_hash_table_new_full(
         g_int64_hash, g_int64_equal, NULL, g_free);
-    board->settles = g_array_new(FALSE, FALSE, sizeof(Settled));
+    board->settles = g_array_new(FALSE, FALSE, sizeof(Completed_Settle));
     board->discharged = g_hash_table_new_full(Node_Hash, Node_Equal, g_free,
                                               NULL);
     board->edits = g_ptr_array_new_with_free_func(free_edit);
@@ -74,24 +75,24 @@
 }
 
 static void
-free_calls(Board *board)
+free_calls(Blackboard *board)
 {
     uint32_t i;
 
-    for (i = 0; i < Handle_Size(board->calls); i++) {
-        g_free(Handle_At(board->calls, i));
+    for (i = 0; i < Handle_RowCount(board->calls); i++) {
+        g_free(Handle_ItemAt(board->calls, i));
     }
     Handle_FreeTable(board->calls);
 }
 
 void
-Board_Free(Board *board)
+Blackboard_Free(Blackboard *board)
 {
     if (board == NULL) {
         return;
     }
     free_calls(board);
-    Fold_Free(board->fold);
+    Replica_Free(board->replica);
     g_hash_table_unref(board->peers);
     g_ptr_array_unref(board->usable);
     g_hash_table_unref(board->active);
@@ -110,27 +111,27 @@
 }
 
 const View *
-Board_View(const Board *board)
+Blackboard_View(const Blackboard *board)
 {
-    return Fold_View(board->fold);
+    return Replica_View(board->replica);
 }
 
-const Table *
-Board_Table(const Board *board)
+const GroupTable *
+Blackboard_GroupTable(const Blackboard *board)
 {
-    return Fold_Table(board->fold);
+    return Replica_Table(board->replica);
 }
 
 Peer *
-Board_FindPeer(const Board *board, Address address)
+Blackboard_FindPeer(const Blackboard *board, Address address)
 {
     return g_hash_table_lookup(board->peers, &address);
 }
 
 Peer *
-Board_Peer(Board *board, Address address)
+Blackboard_GetPeer(Blackboard *board, Address address)
 {
-    Peer *peer = Board_FindPeer(board, address);
+    Peer *peer = Blackboard_FindPeer(board, address);
 
     if (peer == NULL) {
         peer = g_new0(Peer, 1);
@@ -141,7 +142,7 @@
 }
 
 uint64_t
-Board_Call(Board *board, const Msg_Call *call, const Call *info)
+Blackboard_SendCall(Blackboard *board, const Msg_Call *call, const Call *info)
 {
     Call *pending = g_new(Call, 1);
     uint64_t call_id;
@@ -156,13 +157,13 @@
 }
 
 uint64_t
-Board_Random(Board *board)
+Blackboard_Random(Blackboard *board)
 {
     return Random_Next(&board->random);
 }
 
 void
-Board_Event(Board *board, Event_Id id, const char *format, ...)
+Blackboard_Event(Blackboard *board, Event_Id id, const char *format, ...)
 {
     char detail[320];
     va_list args;
@@ -174,25 +175,27 @@
 }
 
 bool
-Board_IsMember(const Board *board)
+Blackboard_IsMember(const Blackboard *board)
 {
-    return View_Find(Board_View(board), &board->config.self) != NULL;
+    return View_Find(Blackboard_View(board), &board->config.self) != NULL;
 }
 
 bool
-Board_IsOwner(const Board *board)
+Blackboard_IsOwner(const Blackboard *board)
 {
-    const View_Member *member = View_Find(Board_View(board),
+    const View_Member *member = View_Find(Blackboard_View(board),
                                           &board->config.self);
 
     return member != NULL && !member->leaving;
 }
 
 bool
-Board_IsGone(const Board *board, const lc_node *node, int64_t added_wall_ms)
+Blackboard_IsNodeGone(const Blackboard *board, const lc_node *node,
+                      int64_t added_wall_ms)
 {
-    const View_Removed *removed = View_FindRemoved(Board_View(board), node);
-    const Peer *peer = Board_FindPeer(board, node->address);
+    const View_Removed *removed = View_FindRemoved(Blackboard_View(board),
+                                                   node);
+    const Peer *peer = Blackboard_FindPeer(board, node->address);
 
     if (removed != NULL && removed->gone) {
         return true;
@@ -209,14 +212,15 @@
 }
 
 uint32_t
-Board_RetryMs(Board *board, int64_t base_ms)
+Blackboard_JitteredRetryMs(Blackboard *board, int64_t base_ms)
 {
     return (uint32_t)(base_ms +
-                      (int64_t)(Board_Random(board) % (uint64_t)base_ms) / 2);
+                      (int64_t)(Blackboard_Random(board) % (uint64_t)base_ms) /
+                          2);
 }
 
 void
-Board_Overflow(Board *board)
+Blackboard_RecordLedgerFull(Blackboard *board)
 {
     board->overflow_before_ms = board->now.wall_ms + board->config.skew_ms;
 }
--- a/core/board.h
+++ b/core/blackboard.h
@@ -1,5 +1,5 @@
 /**
- * @file board.h
+ * @file blackboard.h
  * @brief The blackboard of one entry: all state that its controllers read
  * and write. The controllers (members, ownership, admission, dispatch,
  * limits, edits, drain) share no other state.
@@ -7,14 +7,14 @@
  * Ownership: the blackboard owns all tables in it. Peers live as long as the
  * blackboard; jobs live until the ledger removes them.
  */
-#ifndef LC_CORE_BOARD_H
-#define LC_CORE_BOARD_H
+#ifndef LC_CORE_BLACKBOARD_H
+#define LC_CORE_BLACKBOARD_H
 
-#include "base/handle.h"
-#include "core/fold.h"
+#include "base/handle_table.h"
 #include "core/group.h"
 #include "core/job.h"
 #include "core/node.h"
+#include "core/replica.h"
 
 /** Placement policies; X(NAME, text, choose function, sends demand) */
 #define PLACEMENT_LIST(X)                                                     \
@@ -49,10 +49,10 @@
     size_t max_answer_bytes;
     Group_Order order;
     Placement_Policy placement;
-} Board_Config;
+} Entry_Config;
 
 /** Fills a configuration with defaults for @p self. */
-Board_Config Board_Defaults(lc_node self);
+Entry_Config Entry_Defaults(lc_node self);
 
 /** State of an address in the host list. */
 typedef enum { HOST_UNLISTED, HOST_LIVE, HOST_LEAVING, HOST_GONE } Host_State;
@@ -101,7 +101,7 @@
 typedef struct {
     uint64_t epoch;
     int64_t unsure_before_ms; /**< jobs of older keys may have run unseen */
-} Settled;
+} Completed_Settle;
 
 /** Progress of settling the key ranges of the current epoch. */
 typedef struct {
@@ -136,13 +136,13 @@
 
 /** The shared state of one entry's controllers. */
 typedef struct {
-    Board_Config config;
+    Entry_Config config;
     Node_Ports ports;
     void *context;
     Node_Time now;
     uint64_t random;
     Counters counters;
-    Fold *fold;
+    Replica *replica;
     GHashTable *peers; /**< Address -> Peer */
     GPtrArray *usable; /**< Peer: companions that may be sent tasks */
     bool usable_dirty;
@@ -153,7 +153,7 @@
     Groups *groups;
     GQueue *lost_starts; /**< Lost_Start: START calls to send again */
     Settle settle;
-    GArray *settles;            /**< Settled, oldest first */
+    GArray *settles;            /**< Completed_Settle, oldest first */
     GHashTable *discharged;     /**< set of lc_node that admit no more jobs */
     int64_t overflow_before_ms; /**< wall time; jobs of older keys may be
                                      missing, as the ledger was full */
@@ -177,9 +177,9 @@
     int64_t drain_ms;         /**< when draining began */
     int64_t drain_retry_ms;   /**< when to append the next step */
     double tasks_ended_per_s; /**< tasks ended per second, moving mean */
-    uint32_t tasks_ended;     /**< since `done_ms` */
-    int64_t done_ms;
-} Board;
+    uint32_t tasks_ended;     /**< since `tasks_ended_since_ms` */
+    int64_t tasks_ended_since_ms;
+} Blackboard;
 
 /** A task whose START call was lost; the call is sent again. */
 typedef struct {
@@ -187,51 +187,52 @@
     uint32_t index;
 } Lost_Start;
 
-Board *Board_New(const Board_Config *config, const Node_Ports *ports,
-                 void *context);
-void Board_Free(Board *board);
+Blackboard *Blackboard_New(const Entry_Config *config, const Node_Ports *ports,
+                           void *context);
+void Blackboard_Free(Blackboard *board);
 
 /** View and table folded from the log. Borrowed. */
-const View *Board_View(const Board *board);
-const Table *Board_Table(const Board *board);
+const View *Blackboard_View(const Blackboard *board);
+const GroupTable *Blackboard_GroupTable(const Blackboard *board);
 
 /** Peer at an address, created if needed. */
-Peer *Board_Peer(Board *board, Address address);
+Peer *Blackboard_GetPeer(Blackboard *board, Address address);
 
 /** Peer at an address, or NULL. */
-Peer *Board_FindPeer(const Board *board, Address address);
+Peer *Blackboard_FindPeer(const Blackboard *board, Address address);
 
 /** Sends a call and registers it; @p info is copied. Returns its id. */
-uint64_t Board_Call(Board *board, const Msg_Call *call, const Call *info);
+uint64_t Blackboard_SendCall(Blackboard *board, const Msg_Call *call,
+                             const Call *info);
 
 /** Next pseudo-random number of this node. */
-uint64_t Board_Random(Board *board);
+uint64_t Blackboard_Random(Blackboard *board);
 
 /** Reports an event with a formatted detail. */
-void Board_Event(Board *board, Event_Id id, const char *format, ...)
+void Blackboard_Event(Blackboard *board, Event_Id id, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 
 /** Whether this entry is a member of the view, leaving or not. */
-bool Board_IsMember(const Board *board);
+bool Blackboard_IsMember(const Blackboard *board);
 
 /** Whether this entry owns keys in the view: a member not leaving. */
-bool Board_IsOwner(const Board *board);
+bool Blackboard_IsOwner(const Blackboard *board);
 
 /**
  * Whether a process certainly no longer runs: the log says so, a later
  * incarnation answers at its address, or the host list lacks it and it was
  * added longer ago than the list may lag.
  */
-bool Board_IsGone(const Board *board, const lc_node *node,
-                  int64_t added_wall_ms);
+bool Blackboard_IsNodeGone(const Blackboard *board, const lc_node *node,
+                           int64_t added_wall_ms);
 
 /**
  * A job that a peer reported did not fit into the ledger: for keys minted up
  * to now it is unknown whether their jobs have run.
  */
-void Board_Overflow(Board *board);
+void Blackboard_RecordLedgerFull(Blackboard *board);
 
 /** Retry delay in ms: @p base_ms plus a random part of up to half of it. */
-uint32_t Board_RetryMs(Board *board, int64_t base_ms);
+uint32_t Blackboard_JitteredRetryMs(Blackboard *board, int64_t base_ms);
 
 #endif
--- a/core/companion.c
+++ b/core/companion.c
@@ -3,10 +3,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "core/arbiter.h"
-#include "core/fold.h"
 #include "core/inventory.h"
-#include "core/records.h"
+#include "core/replica.h"
+#include "core/slot_arbiter.h"
+#include "core/task_records.h"
 
 #define RELAY_RECORDS 256
 
@@ -28,9 +28,9 @@
     void *context;
     Node_Time now;
     Counters counters;
-    Fold *fold;
+    Replica *replica;
     TaskRecords *records;
-    Arbiter *arbiter;
+    SlotArbiter *arbiter;
     GHashTable *sequences; /* lc_node -> entry_sequence */
     Handle_Table *calls;   /* pending_call */
     int64_t down_until_ms;
@@ -68,11 +68,11 @@
     companion->ports = *ports;
     companion->context = context;
     companion->now = now;
-    companion->fold = Fold_New(config->window_ms + config->skew_ms);
+    companion->replica = Replica_New(config->window_ms + config->skew_ms);
     companion->records = TaskRecords_New(config->max_records,
                                          config->max_result_bytes);
-    companion->arbiter = Arbiter_New(config->slots, config->grant_ms,
-                                     config->seed);
+    companion->arbiter = SlotArbiter_New(config->slots, config->grant_ms,
+                                         config->seed);
     companion->sequences = g_hash_table_new_full(Node_Hash, Node_Equal, NULL,
                                                  g_free);
     companion->calls = Handle_NewTable();
@@ -87,21 +87,21 @@
     if (companion == NULL) {
         return;
     }
-    for (i = 0; i < Handle_Size(companion->calls); i++) {
-        g_free(Handle_At(companion->calls, i));
+    for (i = 0; i < Handle_RowCount(companion->calls); i++) {
+        g_free(Handle_ItemAt(companion->calls, i));
     }
     Handle_FreeTable(companion->calls);
     g_hash_table_unref(companion->sequences);
-    Arbiter_Free(companion->arbiter);
+    SlotArbiter_Free(companion->arbiter);
     TaskRecords_Free(companion->records);
-    Fold_Free(companion->fold);
+    Replica_Free(companion->replica);
     g_free(companion);
 }
 
 static const View *
 get_view(const Companion *companion)
 {
-    return Fold_View(companion->fold);
+    return Replica_View(companion->replica);
 }
 
 static bool
@@ -129,7 +129,7 @@
     if (companion->last_timed_out) {
         return 1;
     }
-    return Arbiter_FreeSlots(companion->arbiter);
+    return SlotArbiter_FreeSlots(companion->arbiter);
 }
 
 static Msg_Reply
@@ -140,7 +140,7 @@
     reply.u.start.status = status;
     reply.u.start.free = available_slots(companion);
     reply.u.start.grant_group = (char *)(uintptr_t) "";
-    reply.u.start.position = Fold_Position(companion->fold);
+    reply.u.start.position = Replica_Position(companion->replica);
     return reply;
 }
 
@@ -153,7 +153,7 @@
 }
 
 static void
-send_grant(Companion *companion, const Arbiter_Grant *grant)
+send_grant(Companion *companion, const SlotArbiter_Grant *grant)
 {
     Msg_Call call = {.kind = MSG_GRANT};
     pending_call *info = g_new0(pending_call, 1);
@@ -169,13 +169,14 @@
 static void
 offer_slots(Companion *companion)
 {
-    Arbiter_Grant grant;
+    SlotArbiter_Grant grant;
 
     if (companion->draining || is_down(companion) ||
         companion->last_timed_out) {
         return;
     }
-    while (Arbiter_Offer(companion->arbiter, companion->now.mono_ms, &grant)) {
+    while (SlotArbiter_GrantFreeSlot(companion->arbiter,
+                                     companion->now.mono_ms, &grant)) {
         send_grant(companion, &grant);
     }
 }
@@ -266,8 +267,8 @@
     if (View_Find(view, &args->owner) == NULL) {
         return fence_entry(companion, args);
     }
-    Arbiter_SetDemand(companion->arbiter, &args->owner,
-                      args->demand.demand_val, args->demand.demand_len);
+    SlotArbiter_SetDemand(companion->arbiter, &args->owner,
+                          args->demand.demand_val, args->demand.demand_len);
     if (companion->draining) {
         return LC_START_DRAINING;
     }
@@ -299,14 +300,14 @@
 {
     TaskRecord *record;
 
-    if (!Arbiter_Take(companion->arbiter, &args->owner, args->grant,
-                      args->group, Fold_Table(companion->fold))) {
+    if (!SlotArbiter_Acquire(companion->arbiter, &args->owner, args->grant,
+                             args->group, Replica_Table(companion->replica))) {
         return LC_START_BUSY;
     }
     record = TaskRecords_Add(companion->records, key, args->index);
     if (record == NULL) {
-        Arbiter_Return(companion->arbiter, args->group,
-                       Fold_Table(companion->fold));
+        SlotArbiter_CancelStart(companion->arbiter, args->group,
+                                Replica_Table(companion->replica));
         return LC_START_DOWN;
     }
     record->total = args->total;
@@ -321,7 +322,7 @@
 static void
 on_start(Companion *companion, uint64_t reply_id, const lc_start_args *args)
 {
-    Key key = Node_KeyOf(&args->key);
+    Key key = Node_KeyFromWire(&args->key);
     lc_start_status status;
     TaskRecord *record;
 
@@ -368,8 +369,8 @@
     }
     call.u.relay.from = companion->config.self;
     call.u.relay.records.records_val = records;
-    call.u.relay.records.records_len = Fold_Collect(
-        companion->fold, args->position.offset, records, RELAY_RECORDS,
+    call.u.relay.records.records_len = Replica_CollectRecords(
+        companion->replica, args->position.offset, records, RELAY_RECORDS,
         &state);
     if (call.u.relay.records.records_len > 0) {
         companion->ports.call(
@@ -386,11 +387,11 @@
 
     reply.u.ping.node = companion->config.self;
     reply.u.ping.role = LC_ROLE_COMPANION;
-    reply.u.ping.position = Fold_Position(companion->fold);
+    reply.u.ping.position = Replica_Position(companion->replica);
     reply.u.ping.knows_caller = View_Find(get_view(companion), &args->from) !=
                                 NULL;
     reply.u.ping.draining = companion->draining;
-    reply.u.ping.slots = Arbiter_Slots(companion->arbiter);
+    reply.u.ping.slots = SlotArbiter_Slots(companion->arbiter);
     reply.u.ping.free = available_slots(companion);
     companion->ports.reply(companion->context, reply_id, &reply);
     relay_state(companion, args);
@@ -401,20 +402,20 @@
 {
     Status status = {ERR_OK, ""};
 
-    switch (
-        Fold_Apply(companion->fold, record->offset, record->data, &status)) {
-    case FOLD_OLD:
-    case FOLD_GAP:
+    switch (Replica_Apply(companion->replica, record->offset, record->data,
+                          &status)) {
+    case REPLICA_ALREADY_APPLIED:
+    case REPLICA_GAP:
         return;
-    case FOLD_SKIPPED:
+    case REPLICA_SKIPPED:
         Counter_Add(&companion->counters, COUNTER_RECORDS_SKIPPED, 1);
         companion->ports.event(companion->context, EVENT_RECORD_SKIPPED,
                                status.message);
         return;
-    case FOLD_VIEW:
-    case FOLD_LOADED:
+    case REPLICA_VIEW:
+    case REPLICA_LOADED:
         Counter_Add(&companion->counters, COUNTER_VIEWS_APPLIED, 1);
-        Arbiter_OnView(companion->arbiter, get_view(companion));
+        SlotArbiter_OnView(companion->arbiter, get_view(companion));
         break;
     default:
         break;
@@ -431,7 +432,7 @@
     for (i = 0; i < args->records.records_len; i++) {
         apply_record(companion, &args->records.records_val[i]);
     }
-    reply.u.relay.position = Fold_Position(companion->fold);
+    reply.u.relay.position = Replica_Position(companion->replica);
     companion->ports.reply(companion->context, reply_id, &reply);
 }
 
@@ -441,10 +442,11 @@
 {
     Msg_Reply reply = {.kind = MSG_DECLINE};
 
-    Arbiter_Decline(companion->arbiter, args->grant);
+    SlotArbiter_OnDecline(companion->arbiter, args->grant);
     if (View_Find(get_view(companion), &args->from) != NULL) {
-        Arbiter_SetDemand(companion->arbiter, &args->from,
-                          args->demand.demand_val, args->demand.demand_len);
+        SlotArbiter_SetDemand(companion->arbiter, &args->from,
+                              args->demand.demand_val,
+                              args->demand.demand_len);
     }
     offer_slots(companion);
     reply.u.decline.free = available_slots(companion);
@@ -460,7 +462,7 @@
     Inventory_Page page;
 
     out->node = companion->config.self;
-    out->position = Fold_Position(companion->fold);
+    out->position = Replica_Position(companion->replica);
     if (out->position.epoch != args->epoch) {
         companion->ports.reply(companion->context, reply_id, &reply);
         return;
@@ -514,7 +516,7 @@
         return;
     }
     if (call->grant != 0 && (reply == NULL || !reply->u.grant.used)) {
-        Arbiter_Decline(companion->arbiter, call->grant);
+        SlotArbiter_OnDecline(companion->arbiter, call->grant);
         offer_slots(companion);
     }
     g_free(call);
@@ -523,7 +525,7 @@
 /* Replies to all waiting calls; a grant is put into the first reply only. */
 static void
 reply_to_waiters(Companion *companion, const TaskRecord *record,
-                 const Arbiter_Grant *grant)
+                 const SlotArbiter_Grant *grant)
 {
     Msg_Reply reply = start_reply(companion, ended_status(record));
     guint i;
@@ -544,11 +546,11 @@
 static void
 end_record(Companion *companion, TaskRecord *record)
 {
-    Arbiter_Grant grant;
+    SlotArbiter_Grant grant;
     bool granted = !companion->draining && !is_down(companion) &&
                    !companion->last_timed_out &&
-                   Arbiter_Offer(companion->arbiter, companion->now.mono_ms,
-                                 &grant);
+                   SlotArbiter_GrantFreeSlot(companion->arbiter,
+                                             companion->now.mono_ms, &grant);
     bool same = granted && record->waiters->len > 0 &&
                 Node_Same(&grant.entry, &record->starter);
 
@@ -586,8 +588,8 @@
     }
     companion->down_until_ms = companion->now.mono_ms +
                                companion->config.down_ms;
-    Arbiter_Return(companion->arbiter, record->group,
-                   Fold_Table(companion->fold));
+    SlotArbiter_CancelStart(companion->arbiter, record->group,
+                            Replica_Table(companion->replica));
     TaskRecords_Remove(companion->records, record);
     for (i = 0; i < waiters->len; i++) {
         answer_start(companion, g_array_index(waiters, uint64_t, i),
@@ -597,9 +599,9 @@
 }
 
 void
-Companion_OnRun(Companion *companion, Node_Time now, uint64_t run_id,
-                Companion_Run result, uint32_t code, const void *data,
-                uint32_t length)
+Companion_OnRunEnd(Companion *companion, Node_Time now, uint64_t run_id,
+                   Companion_RunResult result, uint32_t code, const void *data,
+                   uint32_t length)
 {
     TaskRecord *record = TaskRecords_Get(companion->records, run_id);
 
@@ -619,9 +621,9 @@
                 result == COMPANION_RUN_DONE ? COUNTER_TASKS_DONE
                                              : COUNTER_TASKS_FAILED,
                 1);
-    Arbiter_Release(companion->arbiter, record->group,
-                    now.mono_ms - record->started_ms,
-                    Fold_Table(companion->fold));
+    SlotArbiter_Release(companion->arbiter, record->group,
+                        now.mono_ms - record->started_ms,
+                        Replica_Table(companion->replica));
     TaskRecords_End(companion->records, record,
                     result == COMPANION_RUN_DONE ? LC_TASK_DONE
                                                  : LC_TASK_FAILED,
@@ -656,7 +658,7 @@
     uint32_t expired;
 
     companion->now = now;
-    expired = Arbiter_Lapse(companion->arbiter, now.mono_ms);
+    expired = SlotArbiter_ExpireGrants(companion->arbiter, now.mono_ms);
     Counter_Add(&companion->counters, COUNTER_WASTED_GRANT, expired);
     TaskRecords_Expire(companion->records, now.mono_ms -
                                                companion->config.window_ms -
@@ -679,10 +681,10 @@
     return companion->draining && companion->running == 0;
 }
 
-const Table *
+const GroupTable *
 Companion_Table(const Companion *companion)
 {
-    return Fold_Table(companion->fold);
+    return Replica_Table(companion->replica);
 }
 
 Counters *
@@ -703,13 +705,13 @@
         "s:o}",
         "role", "companion", "self", "address",
         Address_Text(companion->config.self.address), "incarnation", number,
-        "slots", (int)Arbiter_Slots(companion->arbiter), "free",
+        "slots", (int)SlotArbiter_Slots(companion->arbiter), "free",
         (int)available_slots(companion), "running", (int)companion->running,
         "draining", (int)companion->draining, "upstream_down",
         (int)is_down(companion), "records",
         (json_int_t)TaskRecords_Count(companion->records), "result_bytes",
         (json_int_t)TaskRecords_Bytes(companion->records), "next_offset",
-        (json_int_t)Fold_Next(companion->fold), "view",
+        (json_int_t)Replica_NextOffset(companion->replica), "view",
         View_ToJson(get_view(companion)), "table",
-        Table_ToJson(Fold_Table(companion->fold)));
+        GroupTable_ToJson(Replica_Table(companion->replica)));
 }
--- a/core/companion.h
+++ b/core/companion.h
@@ -10,9 +10,9 @@
 #ifndef LC_CORE_COMPANION_H
 #define LC_CORE_COMPANION_H
 
+#include "core/group_table.h"
+#include "core/membership_view.h"
 #include "core/node.h"
-#include "core/table.h"
-#include "core/view.h"
 
 /** Settings of one companion; all times in ms. */
 typedef struct {
@@ -34,7 +34,7 @@
     COMPANION_RUN_TIMEOUT,
     COMPANION_RUN_UNREACHED /**< the task certainly never reached the upstream
                              */
-} Companion_Run;
+} Companion_RunResult;
 
 typedef struct Companion Companion;
 
@@ -55,9 +55,9 @@
                        const Msg_Reply *reply);
 
 /** Handles the end of a task that was run through the port. */
-void Companion_OnRun(Companion *companion, Node_Time now, uint64_t run_id,
-                     Companion_Run result, uint32_t code, const void *data,
-                     uint32_t length);
+void Companion_OnRunEnd(Companion *companion, Node_Time now, uint64_t run_id,
+                        Companion_RunResult result, uint32_t code,
+                        const void *data, uint32_t length);
 
 /** Performs periodic work; call at least every 100 ms. */
 void Companion_Tick(Companion *companion, Node_Time now);
@@ -68,7 +68,7 @@
 /** Whether no task runs any more after Companion_Drain. */
 bool Companion_IsDrained(const Companion *companion);
 
-const Table *Companion_Table(const Companion *companion);
+const GroupTable *Companion_Table(const Companion *companion);
 Counters *Companion_Counters(Companion *companion);
 
 /** State dump for operators. Caller owns the result. */
--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -2,17 +2,18 @@
 
 #include <string.h>
 
-#include "core/demand.h"
-#include "core/limits.h"
-#include "core/members.h"
+#include "core/group_limits.h"
+#include "core/membership.h"
 #include "core/outcome.h"
 #include "core/placement.h"
+#include "core/slot_demand.h"
 
 #define RESEND_INTERVAL_MS 200
 #define REFUSAL_BACKOFF_MS 100
 
 static void
-call_start(Board *board, Job *job, uint32_t index, Peer *peer, uint64_t grant)
+call_start(Blackboard *board, Job *job, uint32_t index, Peer *peer,
+           uint64_t grant)
 {
     lc_demand demand[LC_MAX_DEMAND];
     Task *task = &job->tasks[index];
@@ -24,11 +25,11 @@
                  .index = index};
 
     args->owner = board->config.self;
-    args->epoch = Board_View(board)->epoch;
+    args->epoch = Blackboard_View(board)->epoch;
     args->sequence = ++peer->sequence;
     args->target = peer->node.incarnation;
     args->attach = task->adopted;
-    args->key = Node_WireKey(&job->key);
+    args->key = Node_KeyToWire(&job->key);
     args->index = index;
     args->total = job->total;
     args->timeout_ms = board->config.task_timeout_ms;
@@ -37,15 +38,15 @@
     args->payload.payload_len = task->length;
     args->payload.payload_val = (char *)task->payload;
     args->demand.demand_val = demand;
-    Demand_Fill(board, peer, demand, &args->demand.demand_len);
+    SlotDemand_Fill(board, peer, demand, &args->demand.demand_len);
     peer->running++;
     task->companion = peer->node;
-    Board_Call(board, &call, &info);
+    Blackboard_SendCall(board, &call, &info);
 }
 
 static void
-send_task(Board *board, Group *group, Job *job, uint32_t index, Peer *peer,
-          uint64_t grant)
+send_task(Blackboard *board, Group *group, Job *job, uint32_t index,
+          Peer *peer, uint64_t grant)
 {
     Task *task = &job->tasks[index];
 
@@ -57,7 +58,7 @@
     task->call_lost_ms = 0;
     job->progress_ms = board->now.mono_ms;
     Groups_TaskSent(board->groups, job);
-    Limits_Started(board, group);
+    GroupLimits_OnStarted(board, group);
     Counter_Add(&board->counters, COUNTER_TASKS_STARTED, 1);
     call_start(board, job, index, peer, grant);
 }
@@ -65,12 +66,12 @@
 static bool
 may_start(Group *group, void *context)
 {
-    return Limits_MayStart(context, group);
+    return GroupLimits_MayStart(context, group);
 }
 
 /* Sends one task of @p group to @p peer; false if none waits. */
 static bool
-send_next(Board *board, Group *group, Peer *peer, uint64_t grant)
+send_next(Blackboard *board, Group *group, Peer *peer, uint64_t grant)
 {
     Job *job = Groups_ChooseJob(board->groups, group, board->now.mono_ms);
     int64_t index;
@@ -87,7 +88,7 @@
 }
 
 void
-Dispatch_Run(Board *board)
+Dispatch_Run(Blackboard *board)
 {
     if (Groups_Waiting(board->groups) == 0 || board->deposed) {
         return;
@@ -107,7 +108,7 @@
 }
 
 static void
-decline_grant(Board *board, Peer *peer, uint64_t grant)
+decline_grant(Blackboard *board, Peer *peer, uint64_t grant)
 {
     lc_demand demand[LC_MAX_DEMAND];
     Msg_Call call = {.kind = MSG_DECLINE};
@@ -119,21 +120,21 @@
     call.u.decline.from = board->config.self;
     call.u.decline.grant = grant;
     call.u.decline.demand.demand_val = demand;
-    Demand_Fill(board, peer, demand, &call.u.decline.demand.demand_len);
-    Board_Call(board, &call, &info);
+    SlotDemand_Fill(board, peer, demand, &call.u.decline.demand.demand_len);
+    Blackboard_SendCall(board, &call, &info);
 }
 
 /* Uses a grant for its group, or else for the next group that may start. */
 static bool
-use_grant(Board *board, Peer *peer, uint64_t grant, const char *name)
+use_grant(Blackboard *board, Peer *peer, uint64_t grant, const char *name)
 {
     Group *group = Groups_Find(board->groups, name);
 
-    if (!Members_Usable(board, peer) || board->deposed) {
+    if (!Membership_IsUsable(board, peer) || board->deposed) {
         return false;
     }
     if (group == NULL || group->waiting == 0 ||
-        !Limits_MayStart(board, group)) {
+        !GroupLimits_MayStart(board, group)) {
         group = Groups_Choose(board->groups, may_start, board);
     }
     /* Each grant consumes demand at the companion: send the demand again. */
@@ -142,11 +143,11 @@
 }
 
 void
-Dispatch_AnswerGrant(Board *board, uint64_t reply_id,
+Dispatch_AnswerGrant(Blackboard *board, uint64_t reply_id,
                      const lc_grant_args *args)
 {
     Msg_Reply reply = {.kind = MSG_GRANT};
-    Peer *peer = Board_FindPeer(board, args->from.address);
+    Peer *peer = Blackboard_FindPeer(board, args->from.address);
 
     if (peer != NULL && Node_Same(&peer->node, &args->from)) {
         reply.u.grant.used = use_grant(board, peer, args->grant, args->group);
@@ -165,7 +166,8 @@
 }
 
 static void
-task_done(Board *board, Job *job, uint32_t index, const lc_start_res *reply)
+task_done(Blackboard *board, Job *job, uint32_t index,
+          const lc_start_res *reply)
 {
     Job_SetResult(job, index, reply->code, reply->result.result_val,
                   reply->result.result_len);
@@ -186,7 +188,8 @@
 };
 
 static void
-end_task(Board *board, Job *job, uint32_t index, const lc_start_res *reply)
+end_task(Blackboard *board, Job *job, uint32_t index,
+         const lc_start_res *reply)
 {
     Task *task = &job->tasks[index];
 
@@ -213,7 +216,7 @@
 };
 
 static void
-apply_refusal(Board *board, Peer *peer, const lc_start_res *reply)
+apply_refusal(Blackboard *board, Peer *peer, const lc_start_res *reply)
 {
     Counter_Add(&board->counters, refusal_counters[reply->status], 1);
     switch (reply->status) {
@@ -241,7 +244,7 @@
 
 /* The task was not started: it waits again, for any companion. */
 static void
-return_task(Board *board, Job *job, uint32_t index)
+return_task(Blackboard *board, Job *job, uint32_t index)
 {
     Task *task = &job->tasks[index];
 
@@ -255,7 +258,7 @@
 }
 
 static void
-add_lost_start(Board *board, Job *job, uint32_t index)
+add_lost_start(Blackboard *board, Job *job, uint32_t index)
 {
     Lost_Start *start = g_new(Lost_Start, 1);
 
@@ -265,7 +268,7 @@
 }
 
 void
-Dispatch_AdoptTask(Board *board, Job *job, uint32_t index)
+Dispatch_AdoptTask(Blackboard *board, Job *job, uint32_t index)
 {
     Task *task = &job->tasks[index];
 
@@ -279,7 +282,7 @@
 }
 
 static void
-mark_call_lost(Board *board, Job *job, uint32_t index)
+mark_call_lost(Blackboard *board, Job *job, uint32_t index)
 {
     Task *task = &job->tasks[index];
 
@@ -292,7 +295,7 @@
 
 /* Job of a START call that its task still waits for, or NULL. */
 static Job *
-job_of_call(Board *board, const Call *call)
+job_of_call(Blackboard *board, const Call *call)
 {
     Job *job = Ledger_Get(board->ledger, call->job);
 
@@ -306,7 +309,8 @@
 
 /* Reply for a task that no longer waits for it: updates the counts only. */
 static void
-account_late_reply(Board *board, const Call *call, const lc_start_res *reply)
+account_late_reply(Blackboard *board, const Call *call,
+                   const lc_start_res *reply)
 {
     Job *job = Ledger_Get(board->ledger, call->job);
 
@@ -323,10 +327,10 @@
 }
 
 static void
-update_companion(Board *board, Peer *peer, const lc_start_res *reply)
+update_companion(Blackboard *board, Peer *peer, const lc_start_res *reply)
 {
-    Members_Heard(board, peer, &reply->position);
-    Placement_HeardFree(peer, reply->free);
+    Membership_NotePosition(board, peer, &reply->position);
+    Placement_UpdateFreeSlots(peer, reply->free);
     if (reply->status == LC_START_BUSY) {
         Placement_MarkQueued(board, peer);
     }
@@ -337,9 +341,10 @@
 }
 
 void
-Dispatch_OnStart(Board *board, const Call *call, const lc_start_res *reply)
+Dispatch_OnStart(Blackboard *board, const Call *call,
+                 const lc_start_res *reply)
 {
-    Peer *peer = Board_Peer(board, call->to);
+    Peer *peer = Blackboard_GetPeer(board, call->to);
     bool same = peer->node.incarnation == call->incarnation;
     Job *job = job_of_call(board, call);
     bool call_was_lost = job != NULL &&
@@ -389,10 +394,10 @@
 }
 
 void
-Dispatch_CompanionLost(Board *board, const lc_node *node)
+Dispatch_CompanionLost(Blackboard *board, const lc_node *node)
 {
     GPtrArray *lost = g_ptr_array_new();
-    Peer *peer = Board_Peer(board, node->address);
+    Peer *peer = Blackboard_GetPeer(board, node->address);
     GHashTableIter iter;
     gpointer key;
     guint i;
@@ -404,8 +409,8 @@
         }
     }
     if (lost->len > 0 || peer->running > 0) {
-        Board_Event(board, EVENT_COMPANION_LOST, "%s, %u jobs",
-                    Address_Text(node->address), lost->len);
+        Blackboard_Event(board, EVENT_COMPANION_LOST, "%s, %u jobs",
+                         Address_Text(node->address), lost->len);
     }
     for (i = 0; i < lost->len; i++) {
         Outcome_Lost(board, g_ptr_array_index(lost, i));
@@ -416,7 +421,7 @@
 
 /* Sends a START again whose call was lost; false while it is not due. */
 static bool
-resend_lost_start(Board *board, const Lost_Start *start)
+resend_lost_start(Blackboard *board, const Lost_Start *start)
 {
     Job *job = Ledger_Get(board->ledger, start->job);
     Task *task;
@@ -431,9 +436,9 @@
     if (board->now.mono_ms < task->retry_ms) {
         return false;
     }
-    peer = Board_Peer(board, task->companion.address);
+    peer = Blackboard_GetPeer(board, task->companion.address);
     if (peer->node.incarnation > task->companion.incarnation ||
-        Board_IsGone(board, &task->companion, 0) ||
+        Blackboard_IsNodeGone(board, &task->companion, 0) ||
         board->now.mono_ms - task->call_lost_ms > board->config.patience_ms) {
         Outcome_Lost(board, job);
         return true;
@@ -447,7 +452,7 @@
 }
 
 static void
-resend_lost_starts(Board *board)
+resend_lost_starts(Blackboard *board)
 {
     guint left = g_queue_get_length(board->lost_starts);
 
@@ -463,7 +468,7 @@
 }
 
 void
-Dispatch_Tick(Board *board)
+Dispatch_Tick(Blackboard *board)
 {
     resend_lost_starts(board);
     Dispatch_Run(board);
--- a/core/dispatch.h
+++ b/core/dispatch.h
@@ -10,25 +10,25 @@
 #ifndef LC_CORE_DISPATCH_H
 #define LC_CORE_DISPATCH_H
 
-#include "core/board.h"
+#include "core/blackboard.h"
 
 /** Sends waiting tasks while limits and free slots allow. */
-void Dispatch_Run(Board *board);
+void Dispatch_Run(Blackboard *board);
 
 /** A START call ended; @p reply is NULL when it was lost. */
-void Dispatch_OnStart(Board *board, const Call *call,
+void Dispatch_OnStart(Blackboard *board, const Call *call,
                       const lc_start_res *reply);
 
 /** A companion reserved a slot for this entry: uses it, and replies. */
-void Dispatch_AnswerGrant(Board *board, uint64_t reply_id,
+void Dispatch_AnswerGrant(Blackboard *board, uint64_t reply_id,
                           const lc_grant_args *args);
 
 /** A companion's incarnation is gone: fails the jobs with tasks there. */
-void Dispatch_CompanionLost(Board *board, const lc_node *node);
+void Dispatch_CompanionLost(Blackboard *board, const lc_node *node);
 
 /** Adopts a task that another entry started: attaches to it by a START. */
-void Dispatch_AdoptTask(Board *board, Job *job, uint32_t index);
+void Dispatch_AdoptTask(Blackboard *board, Job *job, uint32_t index);
 
-void Dispatch_Tick(Board *board);
+void Dispatch_Tick(Blackboard *board);
 
 #endif
--- a/core/drain.c
+++ b/core/drain.c
@@ -1,34 +1,34 @@
 #include "core/drain.h"
 
-#include "core/members.h"
+#include "core/membership.h"
 
 /* How long a shutdown waits for an unreachable log after the last job. */
 #define LOG_DOWN_TIMEOUT_MS 5000
 #define RETRY_MS 500
 
 void
-Drain_Start(Board *board)
+Drain_Start(Blackboard *board)
 {
     if (board->draining) {
         return;
     }
     board->draining = true;
     board->drain_ms = board->now.mono_ms;
-    Board_Event(board, EVENT_STOPPING, "%u jobs active",
-                g_hash_table_size(board->active));
+    Blackboard_Event(board, EVENT_STOPPING, "%u jobs active",
+                     g_hash_table_size(board->active));
 }
 
 /* Whether a caller or a peer still waits for an answer of this entry. */
 static bool
-has_waiters(const Board *board)
+has_waiters(const Blackboard *board)
 {
     uint32_t i;
 
     if (g_hash_table_size(board->active) > 0 || board->edits->len > 0) {
         return true;
     }
-    for (i = 0; i < Handle_Size(board->calls); i++) {
-        const Call *call = Handle_At(board->calls, i);
+    for (i = 0; i < Handle_RowCount(board->calls); i++) {
+        const Call *call = Handle_ItemAt(board->calls, i);
         if (call != NULL && call->kind == MSG_SUBMIT) {
             return true;
         }
@@ -37,13 +37,13 @@
 }
 
 bool
-Drain_IsClosed(const Board *board)
+Drain_IsClosed(const Blackboard *board)
 {
-    return board->draining && !Board_IsMember(board);
+    return board->draining && !Blackboard_IsMember(board);
 }
 
 bool
-Drain_IsDone(const Board *board)
+Drain_IsDone(const Blackboard *board)
 {
     if (board->draining && board->deposed) {
         return true;
@@ -51,7 +51,7 @@
     if (!board->draining || has_waiters(board)) {
         return false;
     }
-    if (!Board_IsMember(board)) {
+    if (!Blackboard_IsMember(board)) {
         return true;
     }
     /* The log is down: the other entries learn of the stop from the host list
@@ -61,17 +61,17 @@
 }
 
 void
-Drain_Tick(Board *board)
+Drain_Tick(Blackboard *board)
 {
-    if (!board->draining || !Board_IsMember(board) ||
+    if (!board->draining || !Blackboard_IsMember(board) ||
         board->now.mono_ms < board->drain_retry_ms) {
         return;
     }
     board->drain_retry_ms = board->now.mono_ms + RETRY_MS;
-    if (Board_IsOwner(board)) {
-        Members_ProposeSelf(board, "leave");
+    if (Blackboard_IsOwner(board)) {
+        Membership_ProposeSelf(board, "leave");
     }
     else if (!has_waiters(board)) {
-        Members_ProposeSelf(board, "remove");
+        Membership_ProposeSelf(board, "remove");
     }
 }
--- a/core/drain.h
+++ b/core/drain.h
@@ -7,17 +7,17 @@
 #ifndef LC_CORE_DRAIN_H
 #define LC_CORE_DRAIN_H
 
-#include "core/board.h"
+#include "core/blackboard.h"
 
 /** Begins the graceful shutdown. */
-void Drain_Start(Board *board);
+void Drain_Start(Blackboard *board);
 
 /** Whether the entry drains and has left the view: no new requests. */
-bool Drain_IsClosed(const Board *board);
+bool Drain_IsClosed(const Blackboard *board);
 
 /** Whether the process may exit. */
-bool Drain_IsDone(const Board *board);
+bool Drain_IsDone(const Blackboard *board);
 
-void Drain_Tick(Board *board);
+void Drain_Tick(Blackboard *board);
 
 #endif
--- a/core/entry.c
+++ b/core/entry.c
@@ -1,36 +1,36 @@
 #include "core/entry.h"
 
-#include "core/apply.h"
 #include "core/dispatch.h"
 #include "core/drain.h"
-#include "core/edits.h"
-#include "core/limits.h"
+#include "core/group_limits.h"
+#include "core/job_timeouts.h"
+#include "core/log_apply.h"
 #include "core/outcome.h"
-#include "core/overdue.h"
 #include "core/ownership.h"
+#include "core/table_edits.h"
 
 /* Most active jobs whose keys a state dump lists. */
 #define MAX_DUMPED_JOBS 100
 
 struct Entry {
-    Board *board;
+    Blackboard *board;
 };
 
 /* Tick functions of the controllers, in the order in which they run. */
-static void (*const controllers[])(Board *board) = {
-    Members_Tick, Ownership_Tick, Limits_Tick,   Edits_Tick,
-    Drain_Tick,   Overdue_Tick,   Dispatch_Tick,
+static void (*const controllers[])(Blackboard *board) = {
+    Membership_Tick, Ownership_Tick,   GroupLimits_Tick, TableEdits_Tick,
+    Drain_Tick,      JobTimeouts_Tick, Dispatch_Tick,
 };
 
 Entry *
-Entry_New(const Board_Config *config, const Node_Ports *ports, void *context,
+Entry_New(const Entry_Config *config, const Node_Ports *ports, void *context,
           Node_Time now)
 {
     Entry *entry = g_new0(Entry, 1);
 
-    entry->board = Board_New(config, ports, context);
+    entry->board = Blackboard_New(config, ports, context);
     entry->board->now = now;
-    entry->board->done_ms = now.mono_ms;
+    entry->board->tasks_ended_since_ms = now.mono_ms;
     entry->board->snapshot_ms = now.mono_ms;
     return entry;
 }
@@ -41,7 +41,7 @@
     if (entry == NULL) {
         return;
     }
-    Board_Free(entry->board);
+    Blackboard_Free(entry->board);
     g_free(entry);
 }
 
@@ -62,25 +62,25 @@
 
 void
 Entry_Edit(Entry *entry, Node_Time now, uint64_t request, const char *group,
-           uint64_t base, const Table_Row *row)
+           uint64_t base, const GroupTable_Row *row)
 {
     entry->board->now = now;
-    Edits_Submit(entry->board, request, group, base, row);
+    TableEdits_Submit(entry->board, request, group, base, row);
 }
 
 bool
 Entry_OnCall(Entry *entry, Node_Time now, uint64_t reply_id,
              const Msg_Call *call)
 {
-    Board *board = entry->board;
+    Blackboard *board = entry->board;
 
     board->now = now;
     switch (call->kind) {
     case MSG_PING:
-        Members_AnswerPing(board, reply_id, &call->u.ping);
+        Membership_AnswerPing(board, reply_id, &call->u.ping);
         break;
     case MSG_RELAY:
-        Members_AnswerRelay(board, reply_id, &call->u.relay);
+        Membership_AnswerRelay(board, reply_id, &call->u.relay);
         break;
     case MSG_GRANT:
         Dispatch_AnswerGrant(board, reply_id, &call->u.grant);
@@ -92,27 +92,28 @@
         Admission_AnswerSubmit(board, reply_id, &call->u.submit);
         break;
     case MSG_BORROW:
-        Limits_AnswerBorrow(board, reply_id, &call->u.borrow);
+        GroupLimits_AnswerBorrow(board, reply_id, &call->u.borrow);
         break;
     default:
         /* Only companions serve it: the sender has a wrong address. */
         Counter_Add(&board->counters, COUNTER_RPC_BAD, 1);
-        Board_Event(board, EVENT_RPC_BAD, "%s sent to an entry",
-                    Msg_Name(call->kind));
+        Blackboard_Event(board, EVENT_RPC_BAD, "%s sent to an entry",
+                         Msg_Name(call->kind));
         return false;
     }
     return true;
 }
 
 static void
-dispatch_reply(Board *board, const Call *call, const Msg_Reply *reply)
+dispatch_reply(Blackboard *board, const Call *call, const Msg_Reply *reply)
 {
     switch (call->kind) {
     case MSG_PING:
-        Members_OnPing(board, call, reply == NULL ? NULL : &reply->u.ping);
+        Membership_OnPing(board, call, reply == NULL ? NULL : &reply->u.ping);
         break;
     case MSG_RELAY:
-        Members_OnRelay(board, call, reply == NULL ? NULL : &reply->u.relay);
+        Membership_OnRelay(board, call,
+                           reply == NULL ? NULL : &reply->u.relay);
         break;
     case MSG_START:
         Dispatch_OnStart(board, call, reply == NULL ? NULL : &reply->u.start);
@@ -130,7 +131,8 @@
                            reply == NULL ? NULL : &reply->u.submit);
         break;
     case MSG_BORROW:
-        Limits_OnBorrow(board, call, reply == NULL ? NULL : &reply->u.borrow);
+        GroupLimits_OnBorrow(board, call,
+                             reply == NULL ? NULL : &reply->u.borrow);
         break;
     case MSG_GRANT:
     case MSG_DECLINE:
@@ -143,7 +145,7 @@
 Entry_OnReply(Entry *entry, Node_Time now, uint64_t call_id,
               const Msg_Reply *reply)
 {
-    Board *board = entry->board;
+    Blackboard *board = entry->board;
     Call *call = Handle_Remove(board->calls, call_id);
 
     board->now = now;
@@ -156,20 +158,21 @@
 }
 
 static void
-set_log_up(Board *board, bool up)
+set_log_up(Blackboard *board, bool up)
 {
     if (board->log_up == up) {
         return;
     }
     board->log_up = up;
-    Board_Event(board, up ? EVENT_LOG_UP : EVENT_LOG_DOWN, "next offset %llu",
-                (unsigned long long)Fold_Next(board->fold));
+    Blackboard_Event(board, up ? EVENT_LOG_UP : EVENT_LOG_DOWN,
+                     "next offset %llu",
+                     (unsigned long long)Replica_NextOffset(board->replica));
 }
 
 void
 Entry_OnLog(Entry *entry, Node_Time now, const Entry_LogRead *read)
 {
-    Board *board = entry->board;
+    Blackboard *board = entry->board;
     uint32_t i;
 
     board->now = now;
@@ -177,21 +180,22 @@
     if (read == NULL) {
         return;
     }
-    if (read->first > Fold_Next(board->fold)) {
-        Board_Event(board, EVENT_LOG_GAP,
-                    "records from %llu up to %llu expired unread",
-                    (unsigned long long)Fold_Next(board->fold),
-                    (unsigned long long)read->first);
-        Fold_Expired(board->fold, read->first);
+    if (read->first > Replica_NextOffset(board->replica)) {
+        Blackboard_Event(
+            board, EVENT_LOG_GAP,
+            "records from %llu up to %llu expired unread",
+            (unsigned long long)Replica_NextOffset(board->replica),
+            (unsigned long long)read->first);
+        Replica_OnRecordsExpired(board->replica, read->first);
     }
     for (i = 0; i < read->count; i++) {
-        Apply_Record(board, read->records[i].offset, read->records[i].data);
+        LogApply_Record(board, read->records[i].offset, read->records[i].data);
     }
-    if (Fold_Next(board->fold) < read->next) {
+    if (Replica_NextOffset(board->replica) < read->next) {
         return;
     }
     board->log_tail_ms = read->asked_ms;
-    if (Fold_Synced(board->fold) && Board_IsMember(board) &&
+    if (Replica_IsSynced(board->replica) && Blackboard_IsMember(board) &&
         read->asked_ms + board->config.evidence_ms >
             board->evidence_until_ms) {
         board->evidence_until_ms = read->asked_ms + board->config.evidence_ms;
@@ -202,23 +206,23 @@
 Entry_OnAppend(Entry *entry, Node_Time now, uint64_t append_id, bool confirmed)
 {
     entry->board->now = now;
-    if (!Edits_OnAppend(entry->board, append_id, confirmed)) {
-        Members_OnAppend(entry->board, append_id, confirmed);
+    if (!TableEdits_OnAppend(entry->board, append_id, confirmed)) {
+        Membership_OnAppend(entry->board, append_id, confirmed);
     }
 }
 
 void
-Entry_OnHosts(Entry *entry, Node_Time now, const Members_Host *hosts,
+Entry_OnHosts(Entry *entry, Node_Time now, const Membership_Host *hosts,
               uint32_t count)
 {
     entry->board->now = now;
-    Members_OnHosts(entry->board, hosts, count);
+    Membership_OnHosts(entry->board, hosts, count);
 }
 
 void
 Entry_Tick(Entry *entry, Node_Time now)
 {
-    Board *board = entry->board;
+    Blackboard *board = entry->board;
     size_t i;
 
     board->now = now;
@@ -258,38 +262,38 @@
 }
 
 void
-Entry_Abandon(Entry *entry, Node_Time now)
+Entry_AbandonCallers(Entry *entry, Node_Time now)
 {
     entry->board->now = now;
     Outcome_AbandonAll(entry->board);
-    Edits_Abandon(entry->board);
+    TableEdits_Abandon(entry->board);
 }
 
 uint64_t
-Entry_LogNext(const Entry *entry)
+Entry_NextLogOffset(const Entry *entry)
 {
-    return Fold_Next(entry->board->fold);
+    return Replica_NextOffset(entry->board->replica);
 }
 
 bool
 Entry_IsSettled(const Entry *entry)
 {
-    const Board *board = entry->board;
+    const Blackboard *board = entry->board;
 
-    return Board_IsOwner(board) && !board->settle.active &&
-           board->settle.epoch == Board_View(board)->epoch;
+    return Blackboard_IsOwner(board) && !board->settle.active &&
+           board->settle.epoch == Blackboard_View(board)->epoch;
 }
 
-const Table *
+const GroupTable *
 Entry_Table(const Entry *entry)
 {
-    return Board_Table(entry->board);
+    return Blackboard_GroupTable(entry->board);
 }
 
 const View *
 Entry_View(const Entry *entry)
 {
-    return Board_View(entry->board);
+    return Blackboard_View(entry->board);
 }
 
 Counters *
@@ -299,7 +303,7 @@
 }
 
 static json_t *
-peer_to_json(const Board *board, const Peer *peer)
+peer_to_json(const Blackboard *board, const Peer *peer)
 {
     static const char *const host_states[] = {"unlisted", "live", "leaving",
                                               "gone"};
@@ -307,14 +311,15 @@
 
     g_snprintf(number, sizeof(number), "%llx",
                (unsigned long long)peer->node.incarnation);
-    return json_pack(
-        "{s:s, s:s, s:s, s:s, s:b, s:b, s:I, s:i, s:i, s:i}", "address",
-        Address_Text(peer->address), "role",
-        peer->role == LC_ROLE_ENTRY ? "entry" : "companion", "incarnation",
-        number, "host", host_states[peer->host], "usable",
-        (int)Members_Usable(board, peer), "silent", peer->silent_since_ms != 0,
-        "offset", (json_int_t)peer->position.offset, "slots", (int)peer->slots,
-        "running", (int)peer->running, "others", (int)peer->others);
+    return json_pack("{s:s, s:s, s:s, s:s, s:b, s:b, s:I, s:i, s:i, s:i}",
+                     "address", Address_Text(peer->address), "role",
+                     peer->role == LC_ROLE_ENTRY ? "entry" : "companion",
+                     "incarnation", number, "host", host_states[peer->host],
+                     "usable", (int)Membership_IsUsable(board, peer), "silent",
+                     peer->silent_since_ms != 0, "offset",
+                     (json_int_t)peer->position.offset, "slots",
+                     (int)peer->slots, "running", (int)peer->running, "others",
+                     (int)peer->others);
 }
 
 static void
@@ -330,7 +335,7 @@
 }
 
 static json_t *
-dump_peers(const Board *board)
+dump_peers(const Blackboard *board)
 {
     json_t *list = json_array();
     GHashTableIter iter;
@@ -344,7 +349,7 @@
 }
 
 static json_t *
-dump_self(const Board *board)
+dump_self(const Blackboard *board)
 {
     char number[20];
 
@@ -356,7 +361,7 @@
 }
 
 static json_t *
-dump_active(const Board *board)
+dump_active(const Blackboard *board)
 {
     json_t *list = json_array();
     char text[KEY_TEXT_LENGTH + 1];
@@ -375,24 +380,24 @@
 json_t *
 Entry_Dump(const Entry *entry)
 {
-    const Board *board = entry->board;
+    const Blackboard *board = entry->board;
     json_t *groups = json_array();
 
-    Groups_Each(board->groups, dump_group, groups);
+    Groups_ForEach(board->groups, dump_group, groups);
     return json_pack(
         "{s:s, s:o, s:o, s:o, s:o, s:o, s:o, s:b, s:b, s:b, s:b, s:b, s:I, "
         "s:I, "
         "s:I, s:I, s:I}",
         "role", "entry", "self", dump_self(board), "view",
-        View_ToJson(Board_View(board)), "table",
-        Table_ToJson(Board_Table(board)), "groups", groups, "peers",
-        dump_peers(board), "active", dump_active(board), "log_up",
+        View_ToJson(Blackboard_View(board)), "table",
+        GroupTable_ToJson(Blackboard_GroupTable(board)), "groups", groups,
+        "peers", dump_peers(board), "active", dump_active(board), "log_up",
         (int)board->log_up, "settled", (int)Entry_IsSettled(entry), "evidence",
         (int)Ownership_HasEvidence(board), "draining", (int)board->draining,
         "deposed", (int)board->deposed, "next_offset",
-        (json_int_t)Fold_Next(board->fold), "jobs_active",
+        (json_int_t)Replica_NextOffset(board->replica), "jobs_active",
         (json_int_t)g_hash_table_size(board->active), "jobs_known",
         (json_int_t)Ledger_Count(board->ledger), "answer_bytes",
         (json_int_t)Ledger_Bytes(board->ledger), "calls_pending",
-        (json_int_t)Handle_Count(board->calls));
+        (json_int_t)Handle_ItemCount(board->calls));
 }
--- a/core/entry.h
+++ b/core/entry.h
@@ -9,15 +9,15 @@
 #define LC_CORE_ENTRY_H
 
 #include "core/admission.h"
-#include "core/board.h"
-#include "core/members.h"
+#include "core/blackboard.h"
+#include "core/membership.h"
 
 typedef struct Entry Entry;
 
-Entry *Entry_New(const Board_Config *config, const Node_Ports *ports,
+Entry *Entry_New(const Entry_Config *config, const Node_Ports *ports,
                  void *context, Node_Time now);
 
-/** Frees the entry. Call Entry_Abandon first if callers still wait. */
+/** Frees the entry. Call Entry_AbandonCallers first if callers still wait. */
 void Entry_Free(Entry *entry);
 
 /** Submits a job or queries its state; answered once by the port `answer`. */
@@ -32,7 +32,7 @@
  * `edited`.
  */
 void Entry_Edit(Entry *entry, Node_Time now, uint64_t request,
-                const char *group, uint64_t base, const Table_Row *row);
+                const char *group, uint64_t base, const GroupTable_Row *row);
 
 /** Handles a call of a peer; false if entries do not serve its kind. */
 bool Entry_OnCall(Entry *entry, Node_Time now, uint64_t reply_id,
@@ -62,7 +62,7 @@
                     bool confirmed);
 
 /** Handles a new copy of the host list. */
-void Entry_OnHosts(Entry *entry, Node_Time now, const Members_Host *hosts,
+void Entry_OnHosts(Entry *entry, Node_Time now, const Membership_Host *hosts,
                    uint32_t count);
 
 /** Performs periodic work; call at least every 100 ms. */
@@ -82,20 +82,20 @@
 
 /**
  * Whether this incarnation was removed from the view. It does nothing more:
- * call Entry_Abandon, free it and start a new incarnation.
+ * call Entry_AbandonCallers, free it and start a new incarnation.
  */
 bool Entry_IsDeposed(const Entry *entry);
 
 /** Answers all waiting callers that the outcome is not known here. */
-void Entry_Abandon(Entry *entry, Node_Time now);
+void Entry_AbandonCallers(Entry *entry, Node_Time now);
 
 /** Next log offset to read from. */
-uint64_t Entry_LogNext(const Entry *entry);
+uint64_t Entry_NextLogOffset(const Entry *entry);
 
 /** Whether this entry has settled the current epoch, see ownership.h. */
 bool Entry_IsSettled(const Entry *entry);
 
-const Table *Entry_Table(const Entry *entry);
+const GroupTable *Entry_Table(const Entry *entry);
 const View *Entry_View(const Entry *entry);
 Counters *Entry_Counters(Entry *entry);
 
--- a/core/group.c
+++ b/core/group.c
@@ -274,8 +274,8 @@
 }
 
 void
-Groups_Each(const Groups *groups, void (*visit)(Group *group, void *context),
-            void *context)
+Groups_ForEach(const Groups *groups,
+               void (*visit)(Group *group, void *context), void *context)
 {
     GHashTableIter iter;
     gpointer value;
--- a/core/group.h
+++ b/core/group.h
@@ -15,8 +15,8 @@
 
 #include <glib.h>
 
+#include "core/group_table.h"
 #include "core/job.h"
-#include "core/table.h"
 #include "core/vtime.h"
 
 /** Orders of jobs within a group; X(NAME, text, score function) */
@@ -101,8 +101,8 @@
 uint32_t Groups_Waiting(const Groups *groups);
 
 /** Visits each group. */
-void Groups_Each(const Groups *groups,
-                 void (*visit)(Group *group, void *context), void *context);
+void Groups_ForEach(const Groups *groups,
+                    void (*visit)(Group *group, void *context), void *context);
 
 /** Order of that name, or GROUP_ORDER_COUNT. */
 Group_Order Group_OrderFromText(const char *text);
--- a/core/limits.c
+++ b/core/group_limits.c
@@ -1,4 +1,4 @@
-#include "core/limits.h"
+#include "core/group_limits.h"
 
 #include <string.h>
 #include <xxhash.h>
@@ -14,9 +14,9 @@
 
 /* Number of entries in the view, and this entry's rank by address. */
 static uint32_t
-count_entries(const Board *board, uint32_t *rank)
+count_entries(const Blackboard *board, uint32_t *rank)
 {
-    const View *view = Board_View(board);
+    const View *view = Blackboard_View(board);
     uint32_t count = 0;
     guint i;
 
@@ -37,13 +37,13 @@
 
 /* Share of a cap; a hash of the group's name picks who gets the remainder. */
 static uint32_t
-share_of(const Board *board, const char *group, int64_t cap)
+share_of(const Blackboard *board, const char *group, int64_t cap)
 {
     uint32_t rank;
     uint32_t count = count_entries(board, &rank);
     uint64_t hash = XXH3_64bits(group, strlen(group));
 
-    if (count == 0 || !Board_IsMember(board)) {
+    if (count == 0 || !Blackboard_IsMember(board)) {
         return 0;
     }
     return (uint32_t)(cap / count) +
@@ -52,15 +52,15 @@
 
 /* Whether no other entry exceeds its shares of this epoch. */
 static bool
-members_complied(const Board *board)
+members_complied(const Blackboard *board)
 {
-    const View *view = Board_View(board);
+    const View *view = Blackboard_View(board);
     guint i;
 
     for (i = 0; i < view->members->len; i++) {
         const View_Member *member = &g_array_index(view->members, View_Member,
                                                    i);
-        const Peer *peer = Board_FindPeer(board, member->node.address);
+        const Peer *peer = Blackboard_FindPeer(board, member->node.address);
         if (!member->is_entry ||
             Node_Same(&member->node, &board->config.self)) {
             continue;
@@ -74,9 +74,9 @@
 }
 
 static bool
-removed_since(const Board *board, uint64_t epoch)
+removed_since(const Blackboard *board, uint64_t epoch)
 {
-    const View *view = Board_View(board);
+    const View *view = Blackboard_View(board);
     guint i;
 
     for (i = 0; i < view->removed->len; i++) {
@@ -90,21 +90,21 @@
 }
 
 void
-Limits_OnView(Board *board)
+GroupLimits_OnView(Blackboard *board)
 {
-    if (board->shares_epoch != Board_View(board)->epoch) {
+    if (board->shares_epoch != Blackboard_View(board)->epoch) {
         board->all_complied_ms = 0;
     }
 }
 
 /* Switches to the shares of the epoch once no entry can exceed them. */
 static void
-update_epoch(Board *board)
+update_epoch(Blackboard *board)
 {
-    uint64_t epoch = Board_View(board)->epoch;
+    uint64_t epoch = Blackboard_View(board)->epoch;
     int64_t wait_ms = 0;
 
-    if (board->shares_epoch == epoch || !Board_IsMember(board)) {
+    if (board->shares_epoch == epoch || !Blackboard_IsMember(board)) {
         return;
     }
     if (board->complied < epoch || !members_complied(board)) {
@@ -132,9 +132,9 @@
  * borrowed and lent still count. A new epoch starts with its share.
  */
 static void
-update_units(Board *board, Group *group, int64_t cap)
+update_units(Blackboard *board, Group *group, int64_t cap)
 {
-    uint64_t epoch = Board_View(board)->epoch;
+    uint64_t epoch = Blackboard_View(board)->epoch;
     int64_t share = share_of(board, group->name, cap);
 
     if (board->shares_epoch != epoch) {
@@ -157,7 +157,7 @@
 }
 
 static void
-update_tokens(Board *board, Group *group, int64_t rate)
+update_tokens(Blackboard *board, Group *group, int64_t rate)
 {
     uint32_t rank;
     uint32_t count = count_entries(board, &rank);
@@ -174,16 +174,17 @@
 
 /* Units usable now: one may be set aside for an entry that waits longer. */
 static int64_t
-usable_units(const Board *board, const Group *group)
+usable_units(const Blackboard *board, const Group *group)
 {
     return group->units -
            (board->now.mono_ms < group->reserved_until_ms ? 1 : 0);
 }
 
 bool
-Limits_MayStart(Board *board, Group *group)
+GroupLimits_MayStart(Blackboard *board, Group *group)
 {
-    const Table_Row *row = Table_Find(Board_Table(board), group->name);
+    const GroupTable_Row *row = GroupTable_Find(Blackboard_GroupTable(board),
+                                                group->name);
 
     if (row == NULL) {
         /* A deleted group: its queued jobs still run to their end. */
@@ -205,9 +206,10 @@
 }
 
 void
-Limits_Started(Board *board, Group *group)
+GroupLimits_OnStarted(Blackboard *board, Group *group)
 {
-    const Table_Row *row = Table_Find(Board_Table(board), group->name);
+    const GroupTable_Row *row = GroupTable_Find(Blackboard_GroupTable(board),
+                                                group->name);
 
     if (row != NULL && row->starts_per_s > 0) {
         group->tokens -= 1.0;
@@ -215,9 +217,10 @@
 }
 
 uint32_t
-Limits_MaxQueued(const Board *board, const char *group)
+GroupLimits_MaxQueued(const Blackboard *board, const char *group)
 {
-    const Table_Row *row = Table_Find(Board_Table(board), group);
+    const GroupTable_Row *row = GroupTable_Find(Blackboard_GroupTable(board),
+                                                group);
 
     if (row == NULL || row->max_queued == 0) {
         return UINT32_MAX;
@@ -226,14 +229,14 @@
 }
 
 uint64_t
-Limits_Complied(const Board *board)
+GroupLimits_CompliedEpoch(const Blackboard *board)
 {
     return board->complied;
 }
 
 /* How long the group's oldest queued job has waited; -1 if none waits. */
 static int64_t
-oldest_wait_ms(const Board *board, const Group *group)
+oldest_wait_ms(const Blackboard *board, const Group *group)
 {
     int64_t oldest_ms = -1;
     guint i;
@@ -271,14 +274,15 @@
 }
 
 static bool
-lend(Board *board, Group *group, const lc_borrow_args *args)
+lend(Blackboard *board, Group *group, const lc_borrow_args *args)
 {
-    const Table_Row *row = Table_Find(Board_Table(board), group->name);
+    const GroupTable_Row *row = GroupTable_Find(Blackboard_GroupTable(board),
+                                                group->name);
     bool older = args->waiting_ms > oldest_wait_ms(board, group);
 
     if (row == NULL || row->max_running == 0 ||
         args->epoch != board->shares_epoch ||
-        args->epoch != Board_View(board)->epoch) {
+        args->epoch != Blackboard_View(board)->epoch) {
         return false;
     }
     if (was_granted(group, args)) {
@@ -298,22 +302,22 @@
 }
 
 void
-Limits_AnswerBorrow(Board *board, uint64_t reply_id,
-                    const lc_borrow_args *args)
+GroupLimits_AnswerBorrow(Blackboard *board, uint64_t reply_id,
+                         const lc_borrow_args *args)
 {
     Msg_Reply reply = {.kind = MSG_BORROW};
     Group *group = Groups_Get(board->groups, args->group);
 
     reply.u.borrow.granted = lend(board, group, args);
-    reply.u.borrow.epoch = Board_View(board)->epoch;
+    reply.u.borrow.epoch = Blackboard_View(board)->epoch;
     board->ports.reply(board->context, reply_id, &reply);
 }
 
 /* The next entry by address after the one asked last, wrapping around. */
 static const View_Member *
-next_lender(const Board *board, Address after)
+next_lender(const Blackboard *board, Address after)
 {
-    const View *view = Board_View(board);
+    const View *view = Blackboard_View(board);
     const View_Member *next = NULL;
     const View_Member *first = NULL;
     guint i;
@@ -337,12 +341,12 @@
 }
 
 static void
-send_borrow(Board *board, Group *group)
+send_borrow(Blackboard *board, Group *group)
 {
     Msg_Call call = {.kind = MSG_BORROW};
     Call info = {.to = group->lender.address,
                  .incarnation = group->lender.incarnation,
-                 .epoch = Board_View(board)->epoch,
+                 .epoch = Blackboard_View(board)->epoch,
                  .index = 0};
 
     call.u.borrow.from = board->config.self;
@@ -350,11 +354,11 @@
     call.u.borrow.id = group->borrow_id;
     call.u.borrow.waiting_ms = oldest_wait_ms(board, group);
     call.u.borrow.group = group->name;
-    group->borrow_call = Board_Call(board, &call, &info);
+    group->borrow_call = Blackboard_SendCall(board, &call, &info);
 }
 
 static void
-ask_lender(Board *board, Group *group)
+ask_lender(Blackboard *board, Group *group)
 {
     const View_Member *lender;
 
@@ -372,17 +376,18 @@
 static void
 borrow_if_due(Group *group, void *context)
 {
-    Board *board = context;
-    const Table_Row *row = Table_Find(Board_Table(board), group->name);
+    Blackboard *board = context;
+    const GroupTable_Row *row = GroupTable_Find(Blackboard_GroupTable(board),
+                                                group->name);
 
     if (group->borrow_id != 0 &&
-        View_Find(Board_View(board), &group->lender) == NULL) {
+        View_Find(Blackboard_View(board), &group->lender) == NULL) {
         group->borrow_id = 0;
     }
     if (row == NULL || row->max_running == 0 ||
         Handle_Get(board->calls, group->borrow_call) != NULL ||
         board->now.mono_ms < group->borrow_ms ||
-        board->shares_epoch != Board_View(board)->epoch) {
+        board->shares_epoch != Blackboard_View(board)->epoch) {
         return;
     }
     update_units(board, group, row->max_running);
@@ -408,12 +413,13 @@
 }
 
 void
-Limits_OnBorrow(Board *board, const Call *call, const lc_borrow_res *reply)
+GroupLimits_OnBorrow(Blackboard *board, const Call *call,
+                     const lc_borrow_res *reply)
 {
     borrow_search search = {call, NULL};
     Group *group;
 
-    Groups_Each(board->groups, match_borrow_call, &search);
+    Groups_ForEach(board->groups, match_borrow_call, &search);
     group = search.group;
     if (group == NULL) {
         return;
@@ -427,7 +433,7 @@
     }
     group->borrow_id = 0;
     if (reply->granted && call->epoch == board->shares_epoch &&
-        call->epoch == Board_View(board)->epoch) {
+        call->epoch == Blackboard_View(board)->epoch) {
         group->units++;
         group->borrow_ms = board->now.mono_ms;
         Dispatch_Run(board);
@@ -435,7 +441,7 @@
 }
 
 typedef struct {
-    Board *board;
+    Blackboard *board;
     bool within_shares;
 } comply_search;
 
@@ -443,7 +449,8 @@
 check_share(Group *group, void *context)
 {
     comply_search *search = context;
-    const Table_Row *row = Table_Find(Board_Table(search->board), group->name);
+    const GroupTable_Row *row = GroupTable_Find(
+        Blackboard_GroupTable(search->board), group->name);
 
     if (row != NULL && row->max_running > 0 &&
         group->running >
@@ -454,23 +461,23 @@
 
 /* Reports to peers, with the next ping, that no share is exceeded here. */
 static void
-update_complied(Board *board)
+update_complied(Blackboard *board)
 {
     comply_search search = {board, true};
 
-    if (board->complied == Board_View(board)->epoch) {
+    if (board->complied == Blackboard_View(board)->epoch) {
         return;
     }
-    Groups_Each(board->groups, check_share, &search);
+    Groups_ForEach(board->groups, check_share, &search);
     if (search.within_shares) {
-        board->complied = Board_View(board)->epoch;
+        board->complied = Blackboard_View(board)->epoch;
     }
 }
 
 void
-Limits_Tick(Board *board)
+GroupLimits_Tick(Blackboard *board)
 {
     update_complied(board);
     update_epoch(board);
-    Groups_Each(board->groups, borrow_if_due, board);
+    Groups_ForEach(board->groups, borrow_if_due, board);
 }
--- a/core/limits.h
+++ b/core/group_limits.h
@@ -1,5 +1,5 @@
 /**
- * @file limits.h
+ * @file group_limits.h
  * @brief Controller of the groups' limits: which part of a group's caps and
  * rates this entry may use without asking the other entries.
  *
@@ -9,34 +9,34 @@
  * a new epoch adds to a share are used only when no member exceeds its new
  * share and the tasks of removed entries have had time to end.
  */
-#ifndef LC_CORE_LIMITS_H
-#define LC_CORE_LIMITS_H
+#ifndef LC_CORE_GROUP_LIMITS_H
+#define LC_CORE_GROUP_LIMITS_H
 
-#include "core/board.h"
+#include "core/blackboard.h"
 
 /** Whether one more task of the group may start now. */
-bool Limits_MayStart(Board *board, Group *group);
+bool GroupLimits_MayStart(Blackboard *board, Group *group);
 
 /** A task of the group was started. */
-void Limits_Started(Board *board, Group *group);
+void GroupLimits_OnStarted(Blackboard *board, Group *group);
 
 /** Jobs this entry may queue for the group; UINT32_MAX: no limit. */
-uint32_t Limits_MaxQueued(const Board *board, const char *group);
+uint32_t GroupLimits_MaxQueued(const Blackboard *board, const char *group);
 
 /** Latest epoch whose shares this entry does not exceed; sent to peers. */
-uint64_t Limits_Complied(const Board *board);
+uint64_t GroupLimits_CompliedEpoch(const Blackboard *board);
 
 /** The view changed. */
-void Limits_OnView(Board *board);
+void GroupLimits_OnView(Blackboard *board);
 
 /** Another entry asks to borrow a unit: lends one if it may, and replies. */
-void Limits_AnswerBorrow(Board *board, uint64_t reply_id,
-                         const lc_borrow_args *args);
+void GroupLimits_AnswerBorrow(Blackboard *board, uint64_t reply_id,
+                              const lc_borrow_args *args);
 
 /** A BORROW call ended; @p reply is NULL when it was lost. */
-void Limits_OnBorrow(Board *board, const Call *call,
-                     const lc_borrow_res *reply);
+void GroupLimits_OnBorrow(Blackboard *board, const Call *call,
+                          const lc_borrow_res *reply);
 
-void Limits_Tick(Board *board);
+void GroupLimits_Tick(Blackboard *board);
 
 #endif
--- a/core/table.c
+++ b/core/group_table.c
@@ -1,11 +1,11 @@
-#include "core/table.h"
+#include "core/group_table.h"
 
 #include <ctype.h>
 #include <stddef.h>
 #include <string.h>
 
-struct Table {
-    GHashTable *rows; /* name -> Table_Row */
+struct GroupTable {
+    GHashTable *rows; /* name -> GroupTable_Row */
 };
 
 typedef struct {
@@ -18,28 +18,28 @@
 
 static const column columns[GROUP_TABLE_COLUMN_COUNT] = {
 #define X(field, name, min, max, initial)                                     \
-    {name, min, max, initial, offsetof(Table_Row, field)},
-    TABLE_COLUMNS(X)
+    {name, min, max, initial, offsetof(GroupTable_Row, field)},
+    GROUP_TABLE_COLUMNS(X)
 #undef X
 };
 
 static int64_t *
-cell(Table_Row *row, const column *col)
+cell(GroupTable_Row *row, const column *col)
 {
     return (int64_t *)(void *)((char *)row + col->offset);
 }
 
-Table *
-Table_New(void)
+GroupTable *
+GroupTable_New(void)
 {
-    Table *table = g_new0(Table, 1);
+    GroupTable *table = g_new0(GroupTable, 1);
 
     table->rows = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     return table;
 }
 
 void
-Table_Free(Table *table)
+GroupTable_Free(GroupTable *table)
 {
     if (table == NULL) {
         return;
@@ -48,24 +48,24 @@
     g_free(table);
 }
 
-const Table_Row *
-Table_Find(const Table *table, const char *group)
+const GroupTable_Row *
+GroupTable_Find(const GroupTable *table, const char *group)
 {
-    const Table_Row *row = g_hash_table_lookup(table->rows, group);
+    const GroupTable_Row *row = g_hash_table_lookup(table->rows, group);
 
     return row != NULL && row->present ? row : NULL;
 }
 
 uint64_t
-Table_Version(const Table *table, const char *group)
+GroupTable_Version(const GroupTable *table, const char *group)
 {
-    const Table_Row *row = g_hash_table_lookup(table->rows, group);
+    const GroupTable_Row *row = g_hash_table_lookup(table->rows, group);
 
     return row == NULL ? 0 : row->version;
 }
 
 bool
-Table_ValidName(const char *group)
+GroupTable_IsValidName(const char *group)
 {
     size_t length = strlen(group);
     size_t i;
@@ -96,7 +96,7 @@
 }
 
 static void
-parse_cell(const char *name, const json_t *value, Table_Row *row,
+parse_cell(const char *name, const json_t *value, GroupTable_Row *row,
            GString *errors)
 {
     const column *col = find_column(name);
@@ -119,8 +119,8 @@
 }
 
 Err_Kind
-Table_RowFromJson(const char *group, const json_t *value, Table_Row *row,
-                  Status *status)
+GroupTable_RowFromJson(const char *group, const json_t *value,
+                       GroupTable_Row *row, Status *status)
 {
     GString *errors = g_string_new(NULL);
     Err_Kind kind = ERR_OK;
@@ -133,7 +133,7 @@
     for (i = 0; i < GROUP_TABLE_COLUMN_COUNT; i++) {
         *cell(row, &columns[i]) = columns[i].initial;
     }
-    if (!Table_ValidName(group)) {
+    if (!GroupTable_IsValidName(group)) {
         g_string_append(errors, "; group: expected 1 to 64 of [A-Za-z0-9._-]");
     }
     else {
@@ -154,10 +154,10 @@
 }
 
 json_t *
-Table_RowToJson(const Table_Row *row)
+GroupTable_RowToJson(const GroupTable_Row *row)
 {
     json_t *value = json_object();
-    Table_Row copy = *row;
+    GroupTable_Row copy = *row;
     int i;
 
     json_object_set_new(value, "group", json_string(row->group));
@@ -169,9 +169,9 @@
 }
 
 void
-Table_Put(Table *table, const Table_Row *row)
+GroupTable_Put(GroupTable *table, const GroupTable_Row *row)
 {
-    Table_Row *copy = g_new(Table_Row, 1);
+    GroupTable_Row *copy = g_new(GroupTable_Row, 1);
 
     *copy = *row;
     g_hash_table_replace(table->rows, copy->group, copy);
@@ -180,14 +180,14 @@
 static gint
 compare_rows(gconstpointer a, gconstpointer b)
 {
-    const Table_Row *const *left = a;
-    const Table_Row *const *right = b;
+    const GroupTable_Row *const *left = a;
+    const GroupTable_Row *const *right = b;
 
     return strcmp((*left)->group, (*right)->group);
 }
 
 GPtrArray *
-Table_Sorted(const Table *table, bool tombstones)
+GroupTable_SortedRows(const GroupTable *table, bool tombstones)
 {
     GPtrArray *sorted = g_ptr_array_new();
     GHashTableIter iter;
@@ -195,7 +195,7 @@
 
     g_hash_table_iter_init(&iter, table->rows);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        if (tombstones || ((Table_Row *)value)->present) {
+        if (tombstones || ((GroupTable_Row *)value)->present) {
             g_ptr_array_add(sorted, value);
         }
     }
@@ -204,15 +204,15 @@
 }
 
 json_t *
-Table_ToJson(const Table *table)
+GroupTable_ToJson(const GroupTable *table)
 {
-    GPtrArray *sorted = Table_Sorted(table, true);
+    GPtrArray *sorted = GroupTable_SortedRows(table, true);
     json_t *list = json_array();
     guint i;
 
     for (i = 0; i < sorted->len; i++) {
-        const Table_Row *row = g_ptr_array_index(sorted, i);
-        json_t *item = Table_RowToJson(row);
+        const GroupTable_Row *row = g_ptr_array_index(sorted, i);
+        json_t *item = GroupTable_RowToJson(row);
         json_object_set_new(item, "version",
                             json_integer((json_int_t)row->version));
         json_object_set_new(item, "present", json_boolean(row->present));
@@ -223,11 +223,11 @@
 }
 
 static bool
-load_row(Table *table, const json_t *item)
+load_row(GroupTable *table, const json_t *item)
 {
     const char *group = json_string_value(json_object_get(item, "group"));
     json_t *cells;
-    Table_Row row;
+    GroupTable_Row row;
     bool loaded;
 
     if (group == NULL) {
@@ -236,32 +236,32 @@
     cells = json_copy((json_t *)(uintptr_t)item);
     json_object_del(cells, "version");
     json_object_del(cells, "present");
-    loaded = Table_RowFromJson(group, cells, &row, NULL) == ERR_OK;
+    loaded = GroupTable_RowFromJson(group, cells, &row, NULL) == ERR_OK;
     json_decref(cells);
     if (loaded) {
         row.version = (uint64_t)json_integer_value(
             json_object_get(item, "version"));
         row.present = json_is_true(json_object_get(item, "present"));
-        Table_Put(table, &row);
+        GroupTable_Put(table, &row);
     }
     return loaded;
 }
 
-Table *
-Table_FromJson(const json_t *value)
+GroupTable *
+GroupTable_FromJson(const json_t *value)
 {
-    Table *table = Table_New();
+    GroupTable *table = GroupTable_New();
     const json_t *item;
     size_t i;
 
     if (!json_is_array(value)) {
-        Table_Free(table);
+        GroupTable_Free(table);
         return NULL;
     }
     json_array_foreach(value, i, item)
     {
         if (!load_row(table, item)) {
-            Table_Free(table);
+            GroupTable_Free(table);
             return NULL;
         }
     }
--- a/core/inventory.c
+++ b/core/inventory.c
@@ -71,7 +71,7 @@
         return true;
     }
     memset(&started, 0, sizeof(started));
-    started.key = Node_WireKey(&record->key);
+    started.key = Node_KeyToWire(&record->key);
     started.index = record->index;
     started.total = record->total;
     started.state = record->state;
--- a/core/inventory.h
+++ b/core/inventory.h
@@ -6,8 +6,8 @@
 #ifndef LC_CORE_INVENTORY_H
 #define LC_CORE_INVENTORY_H
 
-#include "core/records.h"
-#include "core/view.h"
+#include "core/membership_view.h"
+#include "core/task_records.h"
 
 /** One page of starts. */
 typedef struct {
--- a/core/job.c
+++ b/core/job.c
@@ -73,7 +73,7 @@
 }
 
 void
-Job_DropTasks(Job *job)
+Job_FreeTasks(Job *job)
 {
     uint32_t i;
 
@@ -126,7 +126,7 @@
         }
         bytes += task->result_length;
     }
-    Job_DropTasks(job);
+    Job_FreeTasks(job);
     job->total = total;
     job->done = total;
     job->packed = headers;
@@ -153,7 +153,7 @@
 {
     Job *job = item;
 
-    Job_DropTasks(job);
+    Job_FreeTasks(job);
     if (job->waiters != NULL) {
         g_array_unref(job->waiters);
     }
@@ -245,20 +245,20 @@
     Job *job = g_queue_pop_head(&ledger->with_answers);
 
     ledger->bytes -= job->result_bytes;
-    Job_DropTasks(job);
+    Job_FreeTasks(job);
     job->state = JOB_FAILED;
     job->kind = ERR_ANSWER_EVICTED;
     job->message = "the job is done, but its answer was evicted";
 }
 
 void
-Ledger_End(Ledger *ledger, Job *job, int64_t mono_ms)
+Ledger_MarkEnded(Ledger *ledger, Job *job, int64_t mono_ms)
 {
     job->ended_ms = mono_ms;
     g_queue_push_tail(&ledger->ended, job);
     job->ended_link = ledger->ended.tail;
     if (job->state == JOB_FAILED) {
-        Job_DropTasks(job);
+        Job_FreeTasks(job);
     }
     else if (job->state == JOB_DONE) {
         pack_results(job);
@@ -304,8 +304,8 @@
 }
 
 void
-Ledger_Each(const Ledger *ledger, void (*visit)(Job *job, void *context),
-            void *context)
+Ledger_ForEach(const Ledger *ledger, void (*visit)(Job *job, void *context),
+               void *context)
 {
     GHashTableIter iter;
     gpointer value;
--- a/core/job.h
+++ b/core/job.h
@@ -15,7 +15,7 @@
 
 #include <glib.h>
 
-#include "base/handle.h"
+#include "base/handle_table.h"
 #include "core/node.h"
 
 /** States of a task; X(NAME, text) */
@@ -119,7 +119,7 @@
 void Job_Results(const Job *job, lc_result *results);
 
 /** Frees all tasks and results. */
-void Job_DropTasks(Job *job);
+void Job_FreeTasks(Job *job);
 
 /** Opaque ledger. */
 typedef struct Ledger Ledger;
@@ -137,7 +137,7 @@
 void Ledger_Remove(Ledger *ledger, Job *job);
 
 /** Marks a job ended at @p mono_ms and evicts answers over the budget. */
-void Ledger_End(Ledger *ledger, Job *job, int64_t mono_ms);
+void Ledger_MarkEnded(Ledger *ledger, Job *job, int64_t mono_ms);
 
 /** Removes a job from the list of ended ones, to run it again. */
 void Ledger_Reopen(Ledger *ledger, Job *job);
@@ -149,7 +149,7 @@
 size_t Ledger_Bytes(const Ledger *ledger);
 
 /** Visits all jobs; the visitor must not remove any. */
-void Ledger_Each(const Ledger *ledger, void (*visit)(Job *job, void *context),
-                 void *context);
+void Ledger_ForEach(const Ledger *ledger,
+                    void (*visit)(Job *job, void *context), void *context);
 
 #endif
--- a/core/overdue.c
+++ b/core/job_timeouts.c
@@ -1,4 +1,4 @@
-#include "core/overdue.h"
+#include "core/job_timeouts.h"
 
 #include "core/outcome.h"
 
@@ -7,15 +7,16 @@
 #define RATE_EWMA_WEIGHT 0.3
 
 static int64_t
-max_wait_ms(const Board *board, const Job *job)
+max_wait_ms(const Blackboard *board, const Job *job)
 {
-    const Table_Row *row = Table_Find(Board_Table(board), job->group);
+    const GroupTable_Row *row = GroupTable_Find(Blackboard_GroupTable(board),
+                                                job->group);
 
     return row == NULL ? 0 : row->max_wait_ms;
 }
 
 static void
-end_overdue(Board *board, Job *job)
+end_overdue(Blackboard *board, Job *job)
 {
     int64_t limit_ms = max_wait_ms(board, job);
     int64_t hung_after_ms = board->config.task_timeout_ms +
@@ -46,7 +47,7 @@
 }
 
 static void
-end_all_overdue(Board *board)
+end_all_overdue(Blackboard *board)
 {
     GPtrArray *jobs = g_ptr_array_new();
     GHashTableIter iter;
@@ -64,9 +65,9 @@
 }
 
 static void
-measure_rate(Board *board)
+measure_rate(Blackboard *board)
 {
-    int64_t passed_ms = board->now.mono_ms - board->done_ms;
+    int64_t passed_ms = board->now.mono_ms - board->tasks_ended_since_ms;
     double rate;
 
     if (passed_ms < RATE_INTERVAL_MS) {
@@ -76,11 +77,11 @@
     board->tasks_ended_per_s += RATE_EWMA_WEIGHT *
                                 (rate - board->tasks_ended_per_s);
     board->tasks_ended = 0;
-    board->done_ms = board->now.mono_ms;
+    board->tasks_ended_since_ms = board->now.mono_ms;
 }
 
 void
-Overdue_Tick(Board *board)
+JobTimeouts_Tick(Blackboard *board)
 {
     end_all_overdue(board);
     measure_rate(board);
--- a/core/members.c
+++ b/core/membership.c
@@ -1,10 +1,10 @@
-#include "core/members.h"
+#include "core/membership.h"
 
 #include <string.h>
 
-#include "core/apply.h"
 #include "core/dispatch.h"
-#include "core/limits.h"
+#include "core/group_limits.h"
+#include "core/log_apply.h"
 #include "core/placement.h"
 
 #define RELAY_RECORDS 256
@@ -19,7 +19,7 @@
 }
 
 static bool
-is_suspect(const Board *board, const Peer *peer)
+is_suspect(const Blackboard *board, const Peer *peer)
 {
     return peer->silent_since_ms != 0 &&
            board->now.mono_ms - peer->silent_since_ms >=
@@ -27,16 +27,16 @@
 }
 
 bool
-Members_Usable(const Board *board, const Peer *peer)
+Membership_IsUsable(const Blackboard *board, const Peer *peer)
 {
     return peer->role == LC_ROLE_COMPANION && !peer->draining &&
            peer->host != HOST_LEAVING && peer->host != HOST_GONE &&
            peer->silent_since_ms == 0 &&
-           View_Find(Board_View(board), &peer->node) != NULL;
+           View_Find(Blackboard_View(board), &peer->node) != NULL;
 }
 
 const GPtrArray *
-Members_AllUsable(Board *board)
+Membership_UsableCompanions(Blackboard *board)
 {
     GHashTableIter iter;
     gpointer value;
@@ -48,7 +48,7 @@
     g_ptr_array_set_size(board->usable, 0);
     g_hash_table_iter_init(&iter, board->peers);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        if (Members_Usable(board, value)) {
+        if (Membership_IsUsable(board, value)) {
             g_ptr_array_add(board->usable, value);
         }
     }
@@ -56,7 +56,8 @@
 }
 
 void
-Members_OnHosts(Board *board, const Members_Host *hosts, uint32_t count)
+Membership_OnHosts(Blackboard *board, const Membership_Host *hosts,
+                   uint32_t count)
 {
     GHashTableIter iter;
     gpointer value;
@@ -71,7 +72,7 @@
         if (hosts[i].address == board->config.self.address) {
             continue;
         }
-        peer = Board_Peer(board, hosts[i].address);
+        peer = Blackboard_GetPeer(board, hosts[i].address);
         if (peer->node.incarnation == 0) {
             peer->role = hosts[i].role;
         }
@@ -81,21 +82,21 @@
 }
 
 static void
-ping(Board *board, Peer *peer)
+ping(Blackboard *board, Peer *peer)
 {
     Msg_Call call = {.kind = MSG_PING};
     Call info = {.to = peer->address};
 
     call.u.ping.from = board->config.self;
-    call.u.ping.position = Fold_Position(board->fold);
-    peer->ping_call = Board_Call(board, &call, &info);
+    call.u.ping.position = Replica_Position(board->replica);
+    peer->ping_call = Blackboard_SendCall(board, &call, &info);
 }
 
 static int64_t
-ping_interval(const Board *board, const Peer *peer)
+ping_interval(const Blackboard *board, const Peer *peer)
 {
     bool known = peer->node.incarnation != 0 &&
-                 View_Find(Board_View(board), &peer->node) != NULL;
+                 View_Find(Blackboard_View(board), &peer->node) != NULL;
 
     if (!known || peer->silent_since_ms != 0) {
         return board->config.ping_entry_ms / 2;
@@ -105,14 +106,14 @@
 }
 
 static bool
-should_ping(const Board *board, const Peer *peer)
+should_ping(const Blackboard *board, const Peer *peer)
 {
     return peer->host == HOST_LIVE || peer->host == HOST_LEAVING ||
-           View_FindAddress(Board_View(board), peer->address) != NULL;
+           View_FindAddress(Blackboard_View(board), peer->address) != NULL;
 }
 
 static void
-ping_if_due(Board *board, Peer *peer)
+ping_if_due(Blackboard *board, Peer *peer)
 {
     const Call *pending = Handle_Get(board->calls, peer->ping_call);
 
@@ -133,12 +134,13 @@
 }
 
 void
-Members_Heard(Board *board, Peer *peer, const lc_position *position)
+Membership_NotePosition(Blackboard *board, Peer *peer,
+                        const lc_position *position)
 {
     if (position->offset > peer->position.offset || position->offset == 0) {
         peer->position = *position;
     }
-    if (peer->position.offset >= Fold_Next(board->fold)) {
+    if (peer->position.offset >= Replica_NextOffset(board->replica)) {
         peer->behind_since_ms = 0;
         peer->wants_relay = false;
     }
@@ -149,7 +151,7 @@
  * view gave for the address: those may describe an older process.
  */
 static void
-update_identity(Board *board, Peer *peer, const lc_ping_res *reply)
+update_identity(Blackboard *board, Peer *peer, const lc_ping_res *reply)
 {
     lc_node before = peer->node;
 
@@ -170,13 +172,13 @@
 }
 
 static void
-extend_evidence(Board *board, const Call *call, const Peer *peer,
+extend_evidence(Blackboard *board, const Call *call, const Peer *peer,
                 const lc_ping_res *reply)
 {
     int64_t until = call->sent_ms + board->config.evidence_ms;
 
     if (!is_entry(peer) || !reply->knows_caller ||
-        View_Find(Board_View(board), &reply->node) == NULL) {
+        View_Find(Blackboard_View(board), &reply->node) == NULL) {
         return;
     }
     if (until > board->evidence_until_ms) {
@@ -185,9 +187,10 @@
 }
 
 void
-Members_OnPing(Board *board, const Call *call, const lc_ping_res *reply)
+Membership_OnPing(Blackboard *board, const Call *call,
+                  const lc_ping_res *reply)
 {
-    Peer *peer = Board_Peer(board, call->to);
+    Peer *peer = Blackboard_GetPeer(board, call->to);
 
     peer->ping_call = 0;
     if (reply == NULL) {
@@ -205,38 +208,40 @@
     peer->draining = reply->draining;
     peer->complied = reply->complied;
     peer->slots = reply->slots;
-    Members_Heard(board, peer, &reply->position);
+    Membership_NotePosition(board, peer, &reply->position);
     if (is_entry(peer)) {
         extend_evidence(board, call, peer, reply);
     }
     else {
-        Placement_HeardFree(peer, reply->free);
+        Placement_UpdateFreeSlots(peer, reply->free);
     }
 }
 
 void
-Members_AnswerPing(Board *board, uint64_t reply_id, const lc_ping_args *args)
+Membership_AnswerPing(Blackboard *board, uint64_t reply_id,
+                      const lc_ping_args *args)
 {
     Msg_Reply reply = {.kind = MSG_PING};
-    Peer *peer = Board_Peer(board, args->from.address);
+    Peer *peer = Blackboard_GetPeer(board, args->from.address);
 
     peer->role = LC_ROLE_ENTRY;
     if (Node_Same(&peer->node, &args->from)) {
-        Members_Heard(board, peer, &args->position);
+        Membership_NotePosition(board, peer, &args->position);
     }
     reply.u.ping.node = board->config.self;
     reply.u.ping.role = LC_ROLE_ENTRY;
-    reply.u.ping.position = Fold_Position(board->fold);
-    reply.u.ping.knows_caller = !board->deposed && Board_IsMember(board) &&
-                                View_Find(Board_View(board), &args->from) !=
-                                    NULL;
+    reply.u.ping.position = Replica_Position(board->replica);
+    reply.u.ping.knows_caller = !board->deposed &&
+                                Blackboard_IsMember(board) &&
+                                View_Find(Blackboard_View(board),
+                                          &args->from) != NULL;
     reply.u.ping.draining = board->draining;
-    reply.u.ping.complied = Limits_Complied(board);
+    reply.u.ping.complied = GroupLimits_CompliedEpoch(board);
     board->ports.reply(board->context, reply_id, &reply);
 }
 
 static void
-relay(Board *board, Peer *peer)
+relay(Blackboard *board, Peer *peer)
 {
     lc_record records[RELAY_RECORDS];
     Msg_Call call = {.kind = MSG_RELAY};
@@ -245,24 +250,24 @@
 
     call.u.relay.from = board->config.self;
     call.u.relay.records.records_val = records;
-    call.u.relay.records.records_len = Fold_Collect(
-        board->fold, peer->position.offset, records, RELAY_RECORDS, &state);
+    call.u.relay.records.records_len = Replica_CollectRecords(
+        board->replica, peer->position.offset, records, RELAY_RECORDS, &state);
     if (call.u.relay.records.records_len > 0) {
         peer->relaying = true;
-        Board_Call(board, &call, &info);
+        Blackboard_SendCall(board, &call, &info);
     }
     free(state);
 }
 
 static void
-relay_if_due(Board *board, Peer *peer)
+relay_if_due(Blackboard *board, Peer *peer)
 {
     lc_node relayer;
     bool overdue;
 
     if (peer->node.incarnation == 0 || peer->relaying ||
         peer->silent_since_ms != 0 ||
-        peer->position.offset >= Fold_Next(board->fold)) {
+        peer->position.offset >= Replica_NextOffset(board->replica)) {
         return;
     }
     if (peer->behind_since_ms == 0) {
@@ -270,7 +275,7 @@
     }
     overdue = board->now.mono_ms - peer->behind_since_ms >=
               RELAY_BACKUP_DELAY_MS;
-    relayer = View_Feeder(Board_View(board), peer->address);
+    relayer = View_RelayEntry(Blackboard_View(board), peer->address);
     if (peer->wants_relay || overdue ||
         (!is_entry(peer) && Node_Same(&relayer, &board->config.self))) {
         relay(board, peer);
@@ -278,28 +283,30 @@
 }
 
 void
-Members_OnRelay(Board *board, const Call *call, const lc_relay_res *reply)
+Membership_OnRelay(Blackboard *board, const Call *call,
+                   const lc_relay_res *reply)
 {
-    Peer *peer = Board_Peer(board, call->to);
+    Peer *peer = Blackboard_GetPeer(board, call->to);
 
     peer->relaying = false;
     if (reply == NULL || peer->node.incarnation != call->incarnation) {
         return;
     }
-    Members_Heard(board, peer, &reply->position);
+    Membership_NotePosition(board, peer, &reply->position);
 }
 
 void
-Members_AnswerRelay(Board *board, uint64_t reply_id, const lc_relay_args *args)
+Membership_AnswerRelay(Blackboard *board, uint64_t reply_id,
+                       const lc_relay_args *args)
 {
     Msg_Reply reply = {.kind = MSG_RELAY};
     u_int i;
 
     for (i = 0; i < args->records.records_len; i++) {
         const lc_record *record = &args->records.records_val[i];
-        Apply_Record(board, record->offset, record->data);
+        LogApply_Record(board, record->offset, record->data);
     }
-    reply.u.relay.position = Fold_Position(board->fold);
+    reply.u.relay.position = Replica_Position(board->replica);
     board->ports.reply(board->context, reply_id, &reply);
 }
 
@@ -315,22 +322,22 @@
 }
 
 static void
-add_join(Board *board, const Peer *peer, GArray *changes)
+add_join(Blackboard *board, const Peer *peer, GArray *changes)
 {
     bool joinable = peer->silent_since_ms == 0 && !peer->draining &&
                     peer->host == HOST_LIVE;
 
     if (joinable && peer->node.incarnation != 0 &&
-        View_Find(Board_View(board), &peer->node) == NULL &&
-        View_FindRemoved(Board_View(board), &peer->node) == NULL) {
+        View_Find(Blackboard_View(board), &peer->node) == NULL &&
+        View_FindRemoved(Blackboard_View(board), &peer->node) == NULL) {
         add_change(changes, "add", &peer->node, false, false);
     }
 }
 
 static uint32_t
-reachable_entries(const Board *board, uint32_t *total, Address *lowest)
+reachable_entries(const Blackboard *board, uint32_t *total, Address *lowest)
 {
-    const View *view = Board_View(board);
+    const View *view = Blackboard_View(board);
     uint32_t reachable = 0;
     guint i;
 
@@ -339,7 +346,7 @@
     for (i = 0; i < view->members->len; i++) {
         const View_Member *member = &g_array_index(view->members, View_Member,
                                                    i);
-        const Peer *peer = Board_FindPeer(board, member->node.address);
+        const Peer *peer = Blackboard_FindPeer(board, member->node.address);
         if (!member->is_entry) {
             continue;
         }
@@ -361,12 +368,12 @@
  * entry with the lowest address.
  */
 static bool
-has_majority(const Board *board)
+has_majority(const Blackboard *board)
 {
     uint32_t total;
     Address lowest;
     uint32_t reachable = reachable_entries(board, &total, &lowest);
-    const Peer *first = Board_FindPeer(board, lowest);
+    const Peer *first = Blackboard_FindPeer(board, lowest);
 
     if (reachable * 2 != total) {
         return reachable * 2 > total;
@@ -376,26 +383,26 @@
 }
 
 static void
-add_removals(Board *board, GArray *changes)
+add_removals(Blackboard *board, GArray *changes)
 {
-    const View *view = Board_View(board);
+    const View *view = Blackboard_View(board);
     bool majority = has_majority(board);
     guint i;
 
     for (i = 0; i < view->members->len; i++) {
         const View_Member *member = &g_array_index(view->members, View_Member,
                                                    i);
-        const Peer *peer = Board_FindPeer(board, member->node.address);
+        const Peer *peer = Blackboard_FindPeer(board, member->node.address);
         if (Node_Same(&member->node, &board->config.self) || peer == NULL) {
             continue;
         }
-        if (Board_IsGone(board, &member->node, member->added_ms)) {
+        if (Blackboard_IsNodeGone(board, &member->node, member->added_ms)) {
             add_change(changes, "remove", &member->node, member->is_entry,
                        true);
         }
         else if (member->is_entry && majority && is_suspect(board, peer)) {
-            Board_Event(board, EVENT_SUSPECT, "%s",
-                        Address_Text(peer->address));
+            Blackboard_Event(board, EVENT_SUSPECT, "%s",
+                             Address_Text(peer->address));
             add_change(changes, "remove", &member->node, true, false);
         }
     }
@@ -403,16 +410,16 @@
 
 /* Number of answering owner entries with a lower address than this one. */
 static uint32_t
-own_rank(const Board *board)
+own_rank(const Blackboard *board)
 {
-    const View *view = Board_View(board);
+    const View *view = Blackboard_View(board);
     uint32_t rank = 0;
     guint i;
 
     for (i = 0; i < view->members->len; i++) {
         const View_Member *member = &g_array_index(view->members, View_Member,
                                                    i);
-        const Peer *peer = Board_FindPeer(board, member->node.address);
+        const Peer *peer = Blackboard_FindPeer(board, member->node.address);
         if (member->is_entry && !member->leaving && peer != NULL &&
             peer->silent_since_ms == 0 &&
             member->node.address < board->config.self.address) {
@@ -423,16 +430,16 @@
 }
 
 static bool
-may_append(const Board *board)
+may_append(const Blackboard *board)
 {
     /* The result of the last append must have been read from the log. */
     return board->log_up && board->append_pending == 0 &&
            board->log_tail_ms > board->append_end_ms &&
-           Fold_Synced(board->fold);
+           Replica_IsSynced(board->replica);
 }
 
 static void
-append(Board *board, const char *record)
+append(Blackboard *board, const char *record)
 {
     board->append_pending = ++board->next_append;
     board->append_ms = board->now.mono_ms;
@@ -441,19 +448,20 @@
 }
 
 static void
-append_changes(Board *board, const GArray *changes)
+append_changes(Blackboard *board, const GArray *changes)
 {
-    char *record = View_Record(Board_View(board), board->now.wall_ms, changes);
+    char *record = View_EncodeRecord(Blackboard_View(board),
+                                     board->now.wall_ms, changes);
 
-    Board_Event(board, EVENT_VIEW_PROPOSED,
-                "%u changes to the view at offset %llu", changes->len,
-                (unsigned long long)Board_View(board)->seq);
+    Blackboard_Event(board, EVENT_VIEW_PROPOSED,
+                     "%u changes to the view at offset %llu", changes->len,
+                     (unsigned long long)Blackboard_View(board)->seq);
     append(board, record);
     free(record);
 }
 
 void
-Members_OnAppend(Board *board, uint64_t append_id, bool confirmed)
+Membership_OnAppend(Blackboard *board, uint64_t append_id, bool confirmed)
 {
     (void)confirmed;
     if (append_id == board->append_pending) {
@@ -465,7 +473,7 @@
 }
 
 void
-Members_ProposeSelf(Board *board, const char *op)
+Membership_ProposeSelf(Blackboard *board, const char *op)
 {
     GArray *changes = g_array_new(FALSE, FALSE, sizeof(View_Change));
 
@@ -478,7 +486,7 @@
 }
 
 static void
-propose(Board *board)
+propose(Blackboard *board)
 {
     GArray *changes;
     GHashTableIter iter;
@@ -487,9 +495,9 @@
     if (!may_append(board) || board->deposed) {
         return;
     }
-    if (!Board_IsMember(board)) {
+    if (!Blackboard_IsMember(board)) {
         if (!board->draining) {
-            Members_ProposeSelf(board, "add");
+            Membership_ProposeSelf(board, "add");
         }
         return;
     }
@@ -516,26 +524,26 @@
 }
 
 static void
-snapshot_if_due(Board *board)
+snapshot_if_due(Blackboard *board)
 {
-    bool many = Fold_SinceSnapshot(board->fold) >=
+    bool many = Replica_RecordsSinceSnapshot(board->replica) >=
                 board->config.snapshot_records;
     bool old = board->now.mono_ms - board->snapshot_ms >=
                board->config.snapshot_ms +
                    (int64_t)own_rank(board) * RANK_DELAY_MS * 2;
     char *record;
 
-    if (!may_append(board) || !Board_IsOwner(board) || !(many || old) ||
+    if (!may_append(board) || !Blackboard_IsOwner(board) || !(many || old) ||
         (many && !old && own_rank(board) > 0)) {
         return;
     }
-    record = Fold_SnapshotRecord(board->fold);
+    record = Replica_EncodeSnapshot(board->replica);
     append(board, record);
     free(record);
 }
 
 void
-Members_Tick(Board *board)
+Membership_Tick(Blackboard *board)
 {
     GHashTableIter iter;
     gpointer value;
--- a/core/view.c
+++ b/core/membership_view.c
@@ -1,4 +1,4 @@
-#include "core/view.h"
+#include "core/membership_view.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -147,7 +147,7 @@
 }
 
 lc_node
-View_Feeder(const View *view, Address address)
+View_RelayEntry(const View *view, Address address)
 {
     const View_Epoch *epoch = current_epoch(view);
     lc_node none = {0, 0};
@@ -400,7 +400,7 @@
 }
 
 char *
-View_Record(const View *view, int64_t wall_ms, const GArray *changes)
+View_EncodeRecord(const View *view, int64_t wall_ms, const GArray *changes)
 {
     json_t *list = json_array();
     json_t *record;
--- a/core/view.h
+++ b/core/membership_view.h
@@ -1,5 +1,5 @@
 /**
- * @file view.h
+ * @file membership_view.h
  * @brief Membership view: which incarnations of entries and companions
  * belong to the cluster, built by applying view records in log order.
  *
@@ -11,8 +11,8 @@
  * Memory: a View owns its arrays; accessors return borrowed pointers that
  * the next change of the view invalidates.
  */
-#ifndef LC_CORE_VIEW_H
-#define LC_CORE_VIEW_H
+#ifndef LC_CORE_MEMBERSHIP_VIEW_H
+#define LC_CORE_MEMBERSHIP_VIEW_H
 
 #include <glib.h>
 
@@ -79,7 +79,7 @@
  * The current owner that relays log records to the companion at @p address;
  * address 0 if there is none.
  */
-lc_node View_Feeder(const View *view, Address address);
+lc_node View_RelayEntry(const View *view, Address address);
 
 /**
  * Applies a view record. Errors: BAD_RECORD (malformed or not a successor;
@@ -99,7 +99,8 @@
 /**
  * Encodes a view record whose predecessor is @p view; release with free().
  */
-char *View_Record(const View *view, int64_t wall_ms, const GArray *changes);
+char *View_EncodeRecord(const View *view, int64_t wall_ms,
+                        const GArray *changes);
 
 /** Encodes the view for a snapshot or a state dump. Caller owns the result. */
 json_t *View_ToJson(const View *view);
--- a/core/node.h
+++ b/core/node.h
@@ -19,7 +19,7 @@
 #include "base/counter.h"
 #include "base/err.h"
 #include "base/event.h"
-#include "base/key.h"
+#include "base/idempotency_key.h"
 #include "wire/msg.h"
 
 /** Longest name of a group, in bytes. */
@@ -100,7 +100,7 @@
 
 /** Converts a key to its wire form. */
 static inline lc_key
-Node_WireKey(const Key *key)
+Node_KeyToWire(const Key *key)
 {
     lc_key wire;
 
@@ -112,7 +112,7 @@
 
 /** Converts a key from its wire form. */
 static inline Key
-Node_KeyOf(const lc_key *wire)
+Node_KeyFromWire(const lc_key *wire)
 {
     Key key;
 
--- a/core/outcome.c
+++ b/core/outcome.c
@@ -5,7 +5,7 @@
 #define RUNNING_RETRY_MS 500
 
 static void
-count_answer(Board *board, Err_Kind kind)
+count_answer(Blackboard *board, Err_Kind kind)
 {
     static const Counter_Id by_outcome[] = {
         [OUTCOME_DONE] = COUNTER_JOBS_DONE,
@@ -19,7 +19,7 @@
 }
 
 static void
-send_to_caller(Board *board, uint64_t request, const Key *key,
+send_to_caller(Blackboard *board, uint64_t request, const Key *key,
                const lc_answer *answer)
 {
     Node_Answer out;
@@ -40,18 +40,18 @@
 }
 
 static void
-send_to_peer(Board *board, uint64_t reply_id, const lc_answer *answer)
+send_to_peer(Blackboard *board, uint64_t reply_id, const lc_answer *answer)
 {
     Msg_Reply reply = {.kind = MSG_SUBMIT};
 
     reply.u.submit.accepted = TRUE;
-    reply.u.submit.position = Fold_Position(board->fold);
+    reply.u.submit.position = Replica_Position(board->replica);
     reply.u.submit.answer = *answer;
     board->ports.reply(board->context, reply_id, &reply);
 }
 
 static void
-send_answer(Board *board, const Job_Waiter *waiter, const Key *key,
+send_answer(Blackboard *board, const Job_Waiter *waiter, const Key *key,
             const lc_answer *answer)
 {
     if (waiter->is_peer) {
@@ -94,7 +94,7 @@
 }
 
 static void
-answer_waiters(Board *board, Job *job, const lc_answer *answer)
+answer_waiters(Blackboard *board, Job *job, const lc_answer *answer)
 {
     GArray *waiters = job->waiters;
     guint i;
@@ -111,27 +111,27 @@
 }
 
 static void
-end_job(Board *board, Job *job)
+end_job(Blackboard *board, Job *job)
 {
     lc_result *results;
     lc_answer answer;
 
     g_hash_table_remove(board->active, job);
-    Ledger_End(board->ledger, job, board->now.mono_ms);
+    Ledger_MarkEnded(board->ledger, job, board->now.mono_ms);
     answer = job_answer(job, &results);
     answer_waiters(board, job, &answer);
     g_free(results);
 }
 
 void
-Outcome_Done(Board *board, Job *job)
+Outcome_Done(Blackboard *board, Job *job)
 {
     job->state = JOB_DONE;
     end_job(board, job);
 }
 
 void
-Outcome_Fail(Board *board, Job *job, Err_Kind kind, const char *message)
+Outcome_Fail(Blackboard *board, Job *job, Err_Kind kind, const char *message)
 {
     char text[KEY_TEXT_LENGTH + 1];
 
@@ -143,24 +143,24 @@
     job->kind = kind;
     job->message = message;
     Key_Format(&job->key, text);
-    Board_Event(board, EVENT_JOB_FAILED, "%s: %s: %s", text, Err_Text(kind),
-                message);
+    Blackboard_Event(board, EVENT_JOB_FAILED, "%s: %s: %s", text,
+                     Err_Text(kind), message);
     end_job(board, job);
 }
 
 void
-Outcome_Lost(Board *board, Job *job)
+Outcome_Lost(Blackboard *board, Job *job)
 {
     Outcome_Fail(board, job, ERR_LOST,
                  "a companion was lost with a started task");
 }
 
 void
-Outcome_NotRun(Board *board, Job *job, Err_Kind kind, const char *message,
+Outcome_NotRun(Blackboard *board, Job *job, Err_Kind kind, const char *message,
                int64_t retry_ms)
 {
-    lc_answer answer = make_answer(kind, message,
-                                   Board_RetryMs(board, retry_ms));
+    lc_answer answer = make_answer(
+        kind, message, Blackboard_JitteredRetryMs(board, retry_ms));
 
     Groups_Dequeue(board->groups, job);
     answer_waiters(board, job, &answer);
@@ -169,7 +169,7 @@
 }
 
 void
-Outcome_Attach(Board *board, Job *job, const Job_Waiter *waiter)
+Outcome_Attach(Blackboard *board, Job *job, const Job_Waiter *waiter)
 {
     lc_result *results;
     lc_answer answer;
@@ -184,49 +184,50 @@
 }
 
 void
-Outcome_Refuse(Board *board, const Job_Waiter *waiter, const Key *key,
+Outcome_Refuse(Blackboard *board, const Job_Waiter *waiter, const Key *key,
                Err_Kind kind, const char *message, int64_t retry_ms)
 {
     lc_answer answer = make_answer(
-        kind, message, retry_ms > 0 ? Board_RetryMs(board, retry_ms) : 0);
+        kind, message,
+        retry_ms > 0 ? Blackboard_JitteredRetryMs(board, retry_ms) : 0);
 
     send_answer(board, waiter, key, &answer);
 }
 
 void
-Outcome_Forward(Board *board, const Job_Waiter *waiter, const Key *key,
+Outcome_Forward(Blackboard *board, const Job_Waiter *waiter, const Key *key,
                 const lc_answer *answer)
 {
     send_answer(board, waiter, key, answer);
 }
 
 void
-Outcome_Running(Board *board, const Job_Waiter *waiter, const Key *key)
+Outcome_Running(Blackboard *board, const Job_Waiter *waiter, const Key *key)
 {
-    lc_answer answer = make_answer(ERR_OK, "",
-                                   Board_RetryMs(board, RUNNING_RETRY_MS));
+    lc_answer answer = make_answer(
+        ERR_OK, "", Blackboard_JitteredRetryMs(board, RUNNING_RETRY_MS));
 
     answer.running = TRUE;
     send_answer(board, waiter, key, &answer);
 }
 
 void
-Outcome_NotOwner(Board *board, uint64_t reply_id)
+Outcome_NotOwner(Blackboard *board, uint64_t reply_id)
 {
     Msg_Reply reply = {.kind = MSG_SUBMIT};
 
     reply.u.submit.accepted = FALSE;
-    reply.u.submit.position = Fold_Position(board->fold);
+    reply.u.submit.position = Replica_Position(board->replica);
     reply.u.submit.answer = make_answer(ERR_UNSETTLED, "not the owner", 0);
     board->ports.reply(board->context, reply_id, &reply);
 }
 
 void
-Outcome_AbandonAll(Board *board)
+Outcome_AbandonAll(Blackboard *board)
 {
     lc_answer answer = make_answer(
         ERR_OWNER_LOST, "this entry left the view; retry the request",
-        Board_RetryMs(board, board->config.evidence_ms));
+        Blackboard_JitteredRetryMs(board, board->config.evidence_ms));
     GHashTableIter iter;
     gpointer key;
     uint32_t i;
@@ -235,8 +236,8 @@
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
         answer_waiters(board, key, &answer);
     }
-    for (i = 0; i < Handle_Size(board->calls); i++) {
-        const Call *call = Handle_At(board->calls, i);
+    for (i = 0; i < Handle_RowCount(board->calls); i++) {
+        const Call *call = Handle_ItemAt(board->calls, i);
         if (call != NULL && call->kind == MSG_SUBMIT) {
             send_answer(board, &call->waiter, &call->key, &answer);
             g_free(Handle_Remove(board->calls, call->id));
--- a/core/ownership.c
+++ b/core/ownership.c
@@ -2,16 +2,16 @@
 
 #include <string.h>
 
-#include "core/members.h"
+#include "core/membership.h"
 #include "core/recovery.h"
 
 /* Number of retries within the wait for an inventory. */
 #define INVENTORY_RETRIES 10
 
 bool
-Ownership_HasEvidence(const Board *board)
+Ownership_HasEvidence(const Blackboard *board)
 {
-    return !board->deposed && Board_IsMember(board) &&
+    return !board->deposed && Blackboard_IsMember(board) &&
            board->now.mono_ms < board->evidence_until_ms;
 }
 
@@ -19,13 +19,14 @@
  * The first completed settle of `epoch` or later. It established whether the
  * keys owned since then had been started.
  */
-static const Settled *
-settled_since(const Board *board, uint64_t epoch)
+static const Completed_Settle *
+settled_since(const Blackboard *board, uint64_t epoch)
 {
     guint i;
 
     for (i = 0; i < board->settles->len; i++) {
-        const Settled *settled = &g_array_index(board->settles, Settled, i);
+        const Completed_Settle *settled = &g_array_index(board->settles,
+                                                         Completed_Settle, i);
         if (settled->epoch >= epoch) {
             return settled;
         }
@@ -60,19 +61,19 @@
     return false;
 }
 
-Own_Verdict
-Ownership_Judge(const Board *board, const Key *key, lc_node *owner)
+Ownership_Verdict
+Ownership_Check(const Blackboard *board, const Key *key, lc_node *owner)
 {
-    const View *view = Board_View(board);
+    const View *view = Blackboard_View(board);
     const lc_node *self = &board->config.self;
-    int64_t created_ms = Key_Time(key);
-    const Settled *settled;
+    int64_t created_ms = Key_CreatedMs(key);
+    const Completed_Settle *settled;
     const View_Epoch *oldest;
     guint first = view->epochs->len;
 
     *owner = View_Owner(view, key);
     if (owner->address == 0) {
-        return OWN_NOBODY;
+        return OWN_NO_OWNER;
     }
     if (!Node_Same(owner, self)) {
         return OWN_OTHER;
@@ -96,13 +97,13 @@
         had_departed_owner(view, first, key)) {
         return OWN_UNSURE;
     }
-    return OWN_CLEAN;
+    return OWN_NEVER_STARTED;
 }
 
 static void
-add_settle_peers(Board *board)
+add_settle_peers(Blackboard *board)
 {
-    const View *view = Board_View(board);
+    const View *view = Blackboard_View(board);
     guint i;
 
     for (i = 0; i < view->members->len; i++) {
@@ -134,7 +135,7 @@
 }
 
 typedef struct {
-    const Board *board;
+    const Blackboard *board;
     bool found;
 } holder_search;
 
@@ -144,7 +145,7 @@
     holder_search *search = context;
 
     if (job->state == JOB_HELD &&
-        View_Find(Board_View(search->board), &job->holder) == NULL) {
+        View_Find(Blackboard_View(search->board), &job->holder) == NULL) {
         search->found = true;
     }
 }
@@ -155,26 +156,26 @@
  * had the authoritative state, so it must be queried again.
  */
 static bool
-has_departed_holder(const Board *board)
+has_departed_holder(const Blackboard *board)
 {
     holder_search search = {board, false};
 
-    Ledger_Each(board->ledger, find_departed_holder, &search);
+    Ledger_ForEach(board->ledger, find_departed_holder, &search);
     return search.found;
 }
 
 void
-Ownership_OnView(Board *board)
+Ownership_OnView(Blackboard *board)
 {
     Settle *settle = &board->settle;
-    const View *view = Board_View(board);
+    const View *view = Blackboard_View(board);
 
     if (settle->epoch == view->epoch) {
         return;
     }
     settle->epoch = view->epoch;
-    settle->active = Board_IsOwner(board);
-    if (Recovery_DropForeign(board) > 0 || has_departed_holder(board)) {
+    settle->active = Blackboard_IsOwner(board);
+    if (Recovery_RemoveForeign(board) > 0 || has_departed_holder(board)) {
         settle->full = true;
     }
     settle->started_ms = board->now.mono_ms;
@@ -194,7 +195,7 @@
 }
 
 typedef struct {
-    const Board *board;
+    const Blackboard *board;
     lc_node caller;
     GArray *keys;
 } held_search;
@@ -203,8 +204,8 @@
 collect_held(Job *job, void *context)
 {
     held_search *search = context;
-    lc_node owner = View_Owner(Board_View(search->board), &job->key);
-    lc_key key = Node_WireKey(&job->key);
+    lc_node owner = View_Owner(Blackboard_View(search->board), &job->key);
+    lc_key key = Node_KeyToWire(&job->key);
 
     if (job->state != JOB_HELD && job->state != JOB_RECOVERED &&
         Node_Same(&owner, &search->caller)) {
@@ -213,7 +214,7 @@
 }
 
 static GArray *
-discharged_list(const Board *board)
+discharged_list(const Blackboard *board)
 {
     GArray *list = g_array_new(FALSE, FALSE, sizeof(lc_node));
     GHashTableIter iter;
@@ -228,7 +229,7 @@
 }
 
 void
-Ownership_AnswerSettle(Board *board, uint64_t reply_id,
+Ownership_AnswerSettle(Blackboard *board, uint64_t reply_id,
                        const lc_settle_args *args)
 {
     Msg_Reply reply = {.kind = MSG_SETTLE};
@@ -237,9 +238,9 @@
     GArray *discharged = discharged_list(board);
 
     reply.u.settle.node = board->config.self;
-    reply.u.settle.position = Fold_Position(board->fold);
+    reply.u.settle.position = Replica_Position(board->replica);
     if (reply.u.settle.position.epoch == args->epoch) {
-        Ledger_Each(board->ledger, collect_held, &search);
+        Ledger_ForEach(board->ledger, collect_held, &search);
     }
     reply.u.settle.keys.keys_len = search.keys->len;
     reply.u.settle.keys.keys_val = (lc_key *)(void *)search.keys->data;
@@ -252,7 +253,7 @@
 }
 
 static void
-discharge(Board *board, const lc_node *node)
+discharge(Blackboard *board, const lc_node *node)
 {
     g_hash_table_add(board->discharged, g_memdup2(node, sizeof(*node)));
 }
@@ -263,7 +264,7 @@
  * that was called.
  */
 static Settle_Peer *
-match_reply(Board *board, GHashTable *peers, const Call *call,
+match_reply(Blackboard *board, GHashTable *peers, const Call *call,
             const lc_node *node)
 {
     Settle_Peer *peer = g_hash_table_lookup(peers, &call->to);
@@ -276,7 +277,7 @@
     peer->call = 0;
     peer->retry_ms = board->now.mono_ms +
                      board->config.inventory_ms / INVENTORY_RETRIES;
-    member = View_FindAddress(Board_View(board), call->to);
+    member = View_FindAddress(Blackboard_View(board), call->to);
     if (node == NULL || member == NULL || !Node_Same(&member->node, node)) {
         return NULL;
     }
@@ -288,9 +289,9 @@
  * marked for a relay of the records that it lacks.
  */
 static bool
-is_at_epoch(Board *board, Address address, const lc_position *position)
+is_at_epoch(Blackboard *board, Address address, const lc_position *position)
 {
-    Peer *peer = Board_Peer(board, address);
+    Peer *peer = Blackboard_GetPeer(board, address);
 
     if (position->epoch < board->settle.epoch) {
         peer->position = *position;
@@ -300,14 +301,14 @@
 }
 
 static void
-record_held(Board *board, const Key *key, const lc_node *holder)
+record_held(Blackboard *board, const Key *key, const lc_node *holder)
 {
     Job *job = Ledger_Find(board->ledger, key);
 
     if (job == NULL) {
         job = Ledger_Add(board->ledger, key);
         if (job == NULL) {
-            Board_Overflow(board);
+            Blackboard_RecordLedgerFull(board);
             return;
         }
     }
@@ -316,15 +317,16 @@
     }
     else {
         Ledger_Reopen(board->ledger, job);
-        Job_DropTasks(job);
+        Job_FreeTasks(job);
     }
     job->state = JOB_HELD;
     job->holder = *holder;
-    Ledger_End(board->ledger, job, board->now.mono_ms);
+    Ledger_MarkEnded(board->ledger, job, board->now.mono_ms);
 }
 
 void
-Ownership_OnSettle(Board *board, const Call *call, const lc_settle_res *reply)
+Ownership_OnSettle(Blackboard *board, const Call *call,
+                   const lc_settle_res *reply)
 {
     Settle_Peer *peer = match_reply(board, board->settle.entries, call,
                                     reply == NULL ? NULL : &reply->node);
@@ -334,7 +336,7 @@
         return;
     }
     for (i = 0; i < reply->keys.keys_len; i++) {
-        Key key = Node_KeyOf(&reply->keys.keys_val[i]);
+        Key key = Node_KeyFromWire(&reply->keys.keys_val[i]);
         record_held(board, &key, &reply->node);
     }
     for (i = 0; i < reply->discharged.discharged_len; i++) {
@@ -344,7 +346,7 @@
 }
 
 void
-Ownership_OnInventory(Board *board, const Call *call,
+Ownership_OnInventory(Blackboard *board, const Call *call,
                       const lc_inventory_res *reply)
 {
     Settle_Peer *peer = match_reply(board, board->settle.companions, call,
@@ -365,28 +367,29 @@
 }
 
 static uint64_t
-last_settled(const Board *board)
+last_settled(const Blackboard *board)
 {
     if (board->settles->len == 0) {
         return 0;
     }
-    return g_array_index(board->settles, Settled, board->settles->len - 1)
+    return g_array_index(board->settles, Completed_Settle,
+                         board->settles->len - 1)
         .epoch;
 }
 
 static void
-call_settle(Board *board, Settle_Peer *peer)
+call_settle(Blackboard *board, Settle_Peer *peer)
 {
     Msg_Call call = {.kind = MSG_SETTLE};
     Call info = {.to = peer->address, .epoch = board->settle.epoch};
 
     call.u.settle.from = board->config.self;
     call.u.settle.epoch = board->settle.epoch;
-    peer->call = Board_Call(board, &call, &info);
+    peer->call = Blackboard_SendCall(board, &call, &info);
 }
 
 static void
-call_inventory(Board *board, Settle_Peer *peer)
+call_inventory(Blackboard *board, Settle_Peer *peer)
 {
     Msg_Call call = {.kind = MSG_INVENTORY};
     Call info = {.to = peer->address, .epoch = board->settle.epoch};
@@ -395,13 +398,13 @@
     call.u.inventory.epoch = board->settle.epoch;
     call.u.inventory.settled = board->settle.full ? 0 : last_settled(board);
     call.u.inventory.cursor = peer->cursor;
-    peer->call = Board_Call(board, &call, &info);
+    peer->call = Blackboard_SendCall(board, &call, &info);
 }
 
 /* Calls every peer whose call is due; returns the number not done. */
 static uint32_t
-call_pending(Board *board, GHashTable *peers,
-             void (*call)(Board *board, Settle_Peer *peer))
+call_pending(Blackboard *board, GHashTable *peers,
+             void (*call)(Blackboard *board, Settle_Peer *peer))
 {
     GHashTableIter iter;
     gpointer value;
@@ -431,9 +434,9 @@
  * known to be gone, for instance by the host list.
  */
 static bool
-all_discharged(Board *board)
+all_discharged(Blackboard *board)
 {
-    const View *view = Board_View(board);
+    const View *view = Blackboard_View(board);
     const View_Removed *undischarged = NULL;
     int64_t wait_ms = board->config.evidence_ms * 11 / 10;
     guint i;
@@ -443,7 +446,7 @@
                                                      View_Removed, i);
         if (!removed->is_entry ||
             g_hash_table_contains(board->discharged, &removed->node) ||
-            Board_IsGone(board, &removed->node, removed->added_ms)) {
+            Blackboard_IsNodeGone(board, &removed->node, removed->added_ms)) {
             continue;
         }
         if (undischarged != NULL) {
@@ -466,9 +469,9 @@
  * at any reachable companion; 0 if there is none.
  */
 static int64_t
-unsure_before_wall_ms(const Board *board, uint32_t silent_companions)
+unsure_before_wall_ms(const Blackboard *board, uint32_t silent_companions)
 {
-    const View *view = Board_View(board);
+    const View *view = Blackboard_View(board);
     int64_t before_ms = 0;
     guint i;
 
@@ -489,41 +492,42 @@
 }
 
 static void
-drop_old_settles(Board *board)
+drop_old_settles(Blackboard *board)
 {
-    const View *view = Board_View(board);
+    const View *view = Blackboard_View(board);
     uint64_t oldest = g_array_index(view->epochs, View_Epoch, 0).offset;
 
     while (board->settles->len > 1 &&
-           g_array_index(board->settles, Settled, 0).epoch < oldest) {
+           g_array_index(board->settles, Completed_Settle, 0).epoch < oldest) {
         g_array_remove_index(board->settles, 0);
     }
 }
 
 static void
-complete_settle(Board *board, uint32_t silent_companions)
+complete_settle(Blackboard *board, uint32_t silent_companions)
 {
-    Settled settled = {board->settle.epoch,
-                       unsure_before_wall_ms(board, silent_companions)};
+    Completed_Settle settled = {
+        board->settle.epoch, unsure_before_wall_ms(board, silent_companions)};
 
     board->settle.active = false;
     board->settle.full = false;
-    Board_Event(board, EVENT_INVENTORY,
-                "%u task starts recovered from companions",
-                board->settle.found->len);
+    Blackboard_Event(board, EVENT_INVENTORY,
+                     "%u task starts recovered from companions",
+                     board->settle.found->len);
     Recovery_Merge(board, board->settle.found, settled.unsure_before_ms);
     g_ptr_array_set_size(board->settle.found, 0);
     g_array_append_val(board->settles, settled);
     drop_old_settles(board);
-    Board_Event(board, EVENT_SETTLED,
-                "epoch %llu settled in %lld ms, %u companions did not answer",
-                (unsigned long long)settled.epoch,
-                (long long)(board->now.mono_ms - board->settle.started_ms),
-                silent_companions);
+    Blackboard_Event(
+        board, EVENT_SETTLED,
+        "epoch %llu settled in %lld ms, %u companions did not answer",
+        (unsigned long long)settled.epoch,
+        (long long)(board->now.mono_ms - board->settle.started_ms),
+        silent_companions);
 }
 
 void
-Ownership_Tick(Board *board)
+Ownership_Tick(Blackboard *board)
 {
     Settle *settle = &board->settle;
     uint32_t entries;
--- a/core/placement.c
+++ b/core/placement.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#include "core/members.h"
+#include "core/membership.h"
 
 #define OTHERS_EWMA_WEIGHT 0.5
 #define PROBE_INTERVAL_MS 50
@@ -10,7 +10,7 @@
 #define CANDIDATES 2
 #define MAX_DRAWS 8
 
-typedef Peer *(*choose_function)(Board *board, const GPtrArray *usable);
+typedef Peer *(*choose_function)(Blackboard *board, const GPtrArray *usable);
 
 static uint32_t
 estimated_free(const Peer *peer)
@@ -21,22 +21,22 @@
 }
 
 static bool
-has_free_slot(const Board *board, const Peer *peer)
+has_free_slot(const Blackboard *board, const Peer *peer)
 {
     return board->now.mono_ms >= peer->not_before_ms &&
            board->now.mono_ms >= peer->queued_until_ms &&
-           estimated_free(peer) > 0 && Members_Usable(board, peer);
+           estimated_free(peer) > 0 && Membership_IsUsable(board, peer);
 }
 
 static Peer *
-random_peer(Board *board, const GPtrArray *usable)
+random_peer(Blackboard *board, const GPtrArray *usable)
 {
-    return g_ptr_array_index(usable, Board_Random(board) % usable->len);
+    return g_ptr_array_index(usable, Blackboard_Random(board) % usable->len);
 }
 
 /* Any companion that did not refuse a start lately, full or not. */
 static Peer *
-choose_random(Board *board, const GPtrArray *usable)
+choose_random(Blackboard *board, const GPtrArray *usable)
 {
     int i;
 
@@ -54,7 +54,7 @@
  * all choose the same companion.
  */
 static Peer *
-choose_of_two(Board *board, const GPtrArray *usable)
+choose_of_two(Blackboard *board, const GPtrArray *usable)
 {
     Peer *best = NULL;
     int found = 0;
@@ -79,7 +79,7 @@
  * the task runs, or the companion refuses it and registers the demand.
  */
 static bool
-may_probe(const Board *board, const Peer *peer)
+may_probe(const Blackboard *board, const Peer *peer)
 {
     return peer->running < peer->slots &&
            board->now.mono_ms >= peer->queued_until_ms &&
@@ -92,10 +92,10 @@
  * free slot from a random start, then the first that may be probed.
  */
 static Peer *
-choose_granted(Board *board, const GPtrArray *usable)
+choose_granted(Blackboard *board, const GPtrArray *usable)
 {
     Peer *best = choose_of_two(board, usable);
-    guint start = (guint)(Board_Random(board) % usable->len);
+    guint start = (guint)(Blackboard_Random(board) % usable->len);
     guint i;
 
     for (i = 0; best == NULL && i < usable->len; i++) {
@@ -139,9 +139,9 @@
 }
 
 Peer *
-Placement_Choose(Board *board)
+Placement_Choose(Blackboard *board)
 {
-    const GPtrArray *usable = Members_AllUsable(board);
+    const GPtrArray *usable = Membership_UsableCompanions(board);
 
     if (usable->len == 0) {
         return NULL;
@@ -150,9 +150,9 @@
 }
 
 uint32_t
-Placement_FreeSlots(Board *board)
+Placement_FreeSlots(Blackboard *board)
 {
-    const GPtrArray *usable = Members_AllUsable(board);
+    const GPtrArray *usable = Membership_UsableCompanions(board);
     uint32_t free_slots = 0;
     guint i;
 
@@ -166,13 +166,13 @@
 }
 
 bool
-Placement_SendsDemand(const Board *board)
+Placement_SendsDemand(const Blackboard *board)
 {
     return policies[board->config.placement].sends_demand;
 }
 
 void
-Placement_HeardFree(Peer *peer, uint32_t free)
+Placement_UpdateFreeSlots(Peer *peer, uint32_t free)
 {
     uint32_t busy = peer->slots > free ? peer->slots - free : 0;
     double others = busy > peer->running ? busy - peer->running : 0;
@@ -184,7 +184,7 @@
 }
 
 void
-Placement_MarkQueued(const Board *board, Peer *peer)
+Placement_MarkQueued(const Blackboard *board, Peer *peer)
 {
     peer->queued_until_ms = board->now.mono_ms + QUEUED_TIMEOUT_MS;
 }
--- a/core/placement.h
+++ b/core/placement.h
@@ -7,25 +7,25 @@
 #ifndef LC_CORE_PLACEMENT_H
 #define LC_CORE_PLACEMENT_H
 
-#include "core/board.h"
+#include "core/blackboard.h"
 
 /** Companion for the next task; NULL if no companion has room. */
-Peer *Placement_Choose(Board *board);
+Peer *Placement_Choose(Blackboard *board);
 
 /** Estimated free slots of all companions that may be sent tasks. */
-uint32_t Placement_FreeSlots(Board *board);
+uint32_t Placement_FreeSlots(Blackboard *board);
 
 /** Whether the policy sends demand to companions, so that they grant slots. */
-bool Placement_SendsDemand(const Board *board);
+bool Placement_SendsDemand(const Blackboard *board);
 
 /** A companion reported @p free slots: updates the estimate. */
-void Placement_HeardFree(Peer *peer, uint32_t free);
+void Placement_UpdateFreeSlots(Peer *peer, uint32_t free);
 
 /**
  * A companion was full, or granted a slot: it has our demand and will send a
  * grant when a slot is free, so no start is sent to it until then.
  */
-void Placement_MarkQueued(const Board *board, Peer *peer);
+void Placement_MarkQueued(const Blackboard *board, Peer *peer);
 
 /** Policy of that name, or PLACEMENT_COUNT. */
 Placement_Policy Placement_FromText(const char *text);
--- a/core/recovery.c
+++ b/core/recovery.c
@@ -9,7 +9,7 @@
 {
     Recovery_Started *copy = g_new0(Recovery_Started, 1);
 
-    copy->key = Node_KeyOf(&started->key);
+    copy->key = Node_KeyFromWire(&started->key);
     copy->index = started->index;
     copy->total = started->total;
     copy->state = started->state;
@@ -32,10 +32,10 @@
 }
 
 static bool
-is_live_holder(const Board *board, const Job *job)
+is_live_holder(const Blackboard *board, const Job *job)
 {
     return job->state == JOB_HELD &&
-           View_Find(Board_View(board), &job->holder) != NULL;
+           View_Find(Blackboard_View(board), &job->holder) != NULL;
 }
 
 /*
@@ -43,14 +43,14 @@
  * live holder has the authoritative state of the job.
  */
 static Job *
-recovered_job(Board *board, const Recovery_Started *started)
+recovered_job(Blackboard *board, const Recovery_Started *started)
 {
     Job *job = Ledger_Find(board->ledger, &started->key);
 
     if (job == NULL) {
         job = Ledger_Add(board->ledger, &started->key);
         if (job == NULL) {
-            Board_Overflow(board);
+            Blackboard_RecordLedgerFull(board);
             return NULL;
         }
     }
@@ -104,7 +104,7 @@
 }
 
 typedef struct {
-    Board *board;
+    Blackboard *board;
     int64_t unsure_before_ms;
     GPtrArray *jobs;
 } unresolved_search;
@@ -136,7 +136,7 @@
 static void
 resolve_job(unresolved_search *search, Job *job)
 {
-    bool unsure = Key_Time(&job->key) < search->unsure_before_ms;
+    bool unsure = Key_CreatedMs(&job->key) < search->unsure_before_ms;
     /* Unreported tasks may have run on companions that are lost. */
     bool incomplete = job->state == JOB_HELD || job->waiting > 0;
     bool failed = has_failed_task(job);
@@ -162,12 +162,14 @@
         Outcome_Done(search->board, job);
     }
     else {
-        Ledger_End(search->board->ledger, job, search->board->now.mono_ms);
+        Ledger_MarkEnded(search->board->ledger, job,
+                         search->board->now.mono_ms);
     }
 }
 
 void
-Recovery_Merge(Board *board, const GPtrArray *found, int64_t unsure_before_ms)
+Recovery_Merge(Blackboard *board, const GPtrArray *found,
+               int64_t unsure_before_ms)
 {
     unresolved_search search = {board, unsure_before_ms, g_ptr_array_new()};
     guint i;
@@ -179,7 +181,7 @@
             apply_started(job, started);
         }
     }
-    Ledger_Each(board->ledger, collect_unresolved, &search);
+    Ledger_ForEach(board->ledger, collect_unresolved, &search);
     for (i = 0; i < search.jobs->len; i++) {
         resolve_job(&search, g_ptr_array_index(search.jobs, i));
     }
@@ -187,7 +189,7 @@
 }
 
 typedef struct {
-    const Board *board;
+    const Blackboard *board;
     GPtrArray *jobs;
 } foreign_search;
 
@@ -195,7 +197,7 @@
 collect_foreign(Job *job, void *context)
 {
     foreign_search *search = context;
-    lc_node owner = View_Owner(Board_View(search->board), &job->key);
+    lc_node owner = View_Owner(Blackboard_View(search->board), &job->key);
 
     if (job->state == JOB_RECOVERED &&
         !Node_Same(&owner, &search->board->config.self)) {
@@ -204,13 +206,13 @@
 }
 
 uint32_t
-Recovery_DropForeign(Board *board)
+Recovery_RemoveForeign(Blackboard *board)
 {
     foreign_search search = {board, g_ptr_array_new()};
     uint32_t count;
     guint i;
 
-    Ledger_Each(board->ledger, collect_foreign, &search);
+    Ledger_ForEach(board->ledger, collect_foreign, &search);
     count = search.jobs->len;
     for (i = 0; i < count; i++) {
         Ledger_Remove(board->ledger, g_ptr_array_index(search.jobs, i));
--- a/core/recovery.h
+++ b/core/recovery.h
@@ -6,7 +6,7 @@
 #ifndef LC_CORE_RECOVERY_H
 #define LC_CORE_RECOVERY_H
 
-#include "core/board.h"
+#include "core/blackboard.h"
 
 /** A task start that a companion reported. */
 typedef struct {
@@ -30,7 +30,7 @@
  * Removes recovered jobs whose keys this entry no longer owns: their new
  * owner may continue them. Returns the number of jobs removed.
  */
-uint32_t Recovery_DropForeign(Board *board);
+uint32_t Recovery_RemoveForeign(Blackboard *board);
 
 /**
  * Merges the starts of @p found (Recovery_Started) into the ledger and
@@ -38,7 +38,7 @@
  * reports of companions, never started, or, if their key was created before
  * @p unsure_before_ms (wall clock), possibly lost.
  */
-void Recovery_Merge(Board *board, const GPtrArray *found,
+void Recovery_Merge(Blackboard *board, const GPtrArray *found,
                     int64_t unsure_before_ms);
 
 #endif
--- a/core/arbiter.c
+++ b/core/slot_arbiter.c
@@ -1,4 +1,4 @@
-#include "core/arbiter.h"
+#include "core/slot_arbiter.h"
 
 #include <string.h>
 
@@ -18,27 +18,27 @@
     uint32_t busy;
 } group_row;
 
-struct Arbiter {
+struct SlotArbiter {
     uint32_t slots;
     uint32_t busy;
     int64_t grant_ms;
     uint64_t random;
     uint64_t last_grant;
     double vtime_ms; /* of the group served last */
-    GArray *grants;  /* Arbiter_Grant */
+    GArray *grants;  /* SlotArbiter_Grant */
     GArray *demand;  /* demand_row */
     GHashTable *groups;
 };
 
-Arbiter *
-Arbiter_New(uint32_t slots, int64_t grant_ms, uint64_t seed)
+SlotArbiter *
+SlotArbiter_New(uint32_t slots, int64_t grant_ms, uint64_t seed)
 {
-    Arbiter *arbiter = g_new0(Arbiter, 1);
+    SlotArbiter *arbiter = g_new0(SlotArbiter, 1);
 
     arbiter->slots = slots;
     arbiter->grant_ms = grant_ms;
     arbiter->random = Random_Seed(seed);
-    arbiter->grants = g_array_new(FALSE, FALSE, sizeof(Arbiter_Grant));
+    arbiter->grants = g_array_new(FALSE, FALSE, sizeof(SlotArbiter_Grant));
     arbiter->demand = g_array_new(FALSE, FALSE, sizeof(demand_row));
     arbiter->groups = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
                                             g_free);
@@ -46,7 +46,7 @@
 }
 
 void
-Arbiter_Free(Arbiter *arbiter)
+SlotArbiter_Free(SlotArbiter *arbiter)
 {
     if (arbiter == NULL) {
         return;
@@ -58,7 +58,7 @@
 }
 
 uint32_t
-Arbiter_FreeSlots(const Arbiter *arbiter)
+SlotArbiter_FreeSlots(const SlotArbiter *arbiter)
 {
     uint32_t taken = arbiter->busy + arbiter->grants->len;
 
@@ -66,13 +66,13 @@
 }
 
 uint32_t
-Arbiter_Slots(const Arbiter *arbiter)
+SlotArbiter_Slots(const SlotArbiter *arbiter)
 {
     return arbiter->slots;
 }
 
 static group_row *
-get_group(Arbiter *arbiter, const char *name)
+get_group(SlotArbiter *arbiter, const char *name)
 {
     group_row *group = g_hash_table_lookup(arbiter->groups, name);
 
@@ -86,21 +86,21 @@
 }
 
 static uint32_t
-weight_of(const Table *table, const char *group)
+weight_of(const GroupTable *table, const char *group)
 {
-    const Table_Row *row = Table_Find(table, group);
+    const GroupTable_Row *row = GroupTable_Find(table, group);
 
     return row == NULL ? 1 : (uint32_t)row->weight;
 }
 
 static demand_row *
-demand_at(const Arbiter *arbiter, guint index)
+demand_at(const SlotArbiter *arbiter, guint index)
 {
     return &g_array_index(arbiter->demand, demand_row, index);
 }
 
 static void
-remove_demand(Arbiter *arbiter, const lc_node *entry)
+remove_demand(SlotArbiter *arbiter, const lc_node *entry)
 {
     guint i;
 
@@ -112,7 +112,7 @@
 }
 
 static bool
-has_demand(const Arbiter *arbiter, const char *group)
+has_demand(const SlotArbiter *arbiter, const char *group)
 {
     guint i;
 
@@ -125,8 +125,8 @@
 }
 
 void
-Arbiter_SetDemand(Arbiter *arbiter, const lc_node *entry,
-                  const lc_demand *rows, uint32_t count)
+SlotArbiter_SetDemand(SlotArbiter *arbiter, const lc_node *entry,
+                      const lc_demand *rows, uint32_t count)
 {
     uint32_t i;
 
@@ -152,7 +152,7 @@
 }
 
 void
-Arbiter_OnView(Arbiter *arbiter, const View *view)
+SlotArbiter_OnView(SlotArbiter *arbiter, const View *view)
 {
     guint i;
 
@@ -162,8 +162,10 @@
         }
     }
     for (i = arbiter->grants->len; i-- > 0;) {
-        if (View_Find(view, &g_array_index(arbiter->grants, Arbiter_Grant, i)
-                                 .entry) == NULL) {
+        if (View_Find(
+                view,
+                &g_array_index(arbiter->grants, SlotArbiter_Grant, i).entry) ==
+            NULL) {
             g_array_remove_index_fast(arbiter->grants, i);
         }
     }
@@ -171,13 +173,13 @@
 
 /* Removes a grant of an entry; false if it has expired. */
 static bool
-consume_grant(Arbiter *arbiter, const lc_node *entry, uint64_t id)
+consume_grant(SlotArbiter *arbiter, const lc_node *entry, uint64_t id)
 {
     guint i;
 
     for (i = 0; i < arbiter->grants->len; i++) {
-        const Arbiter_Grant *grant = &g_array_index(arbiter->grants,
-                                                    Arbiter_Grant, i);
+        const SlotArbiter_Grant *grant = &g_array_index(arbiter->grants,
+                                                        SlotArbiter_Grant, i);
         if (grant->id == id && Node_Same(&grant->entry, entry)) {
             g_array_remove_index_fast(arbiter->grants, i);
             return true;
@@ -187,13 +189,13 @@
 }
 
 bool
-Arbiter_Take(Arbiter *arbiter, const lc_node *entry, uint64_t grant,
-             const char *group, const Table *table)
+SlotArbiter_Acquire(SlotArbiter *arbiter, const lc_node *entry, uint64_t grant,
+                    const char *group, const GroupTable *table)
 {
     group_row *row;
 
     if ((grant == 0 || !consume_grant(arbiter, entry, grant)) &&
-        Arbiter_FreeSlots(arbiter) == 0) {
+        SlotArbiter_FreeSlots(arbiter) == 0) {
         return false;
     }
     row = get_group(arbiter, group);
@@ -208,8 +210,8 @@
 }
 
 void
-Arbiter_Release(Arbiter *arbiter, const char *group, int64_t slot_ms,
-                const Table *table)
+SlotArbiter_Release(SlotArbiter *arbiter, const char *group, int64_t slot_ms,
+                    const GroupTable *table)
 {
     group_row *row = get_group(arbiter, group);
 
@@ -219,7 +221,8 @@
 }
 
 void
-Arbiter_Return(Arbiter *arbiter, const char *group, const Table *table)
+SlotArbiter_CancelStart(SlotArbiter *arbiter, const char *group,
+                        const GroupTable *table)
 {
     group_row *row = get_group(arbiter, group);
 
@@ -229,7 +232,7 @@
 }
 
 static group_row *
-choose_group(Arbiter *arbiter)
+choose_group(SlotArbiter *arbiter)
 {
     group_row *best = NULL;
     guint i;
@@ -245,7 +248,7 @@
 
 /* Index of a demand row, drawn by lottery: one ticket per waiting task. */
 static guint
-draw_demand(Arbiter *arbiter, const char *group)
+draw_demand(SlotArbiter *arbiter, const char *group)
 {
     uint64_t total = 0;
     uint64_t ticket;
@@ -273,13 +276,14 @@
 }
 
 bool
-Arbiter_Offer(Arbiter *arbiter, int64_t mono_ms, Arbiter_Grant *grant)
+SlotArbiter_GrantFreeSlot(SlotArbiter *arbiter, int64_t mono_ms,
+                          SlotArbiter_Grant *grant)
 {
     const group_row *group;
     demand_row *row;
     guint index;
 
-    if (arbiter->demand->len == 0 || Arbiter_FreeSlots(arbiter) == 0) {
+    if (arbiter->demand->len == 0 || SlotArbiter_FreeSlots(arbiter) == 0) {
         return false;
     }
     group = choose_group(arbiter);
@@ -300,21 +304,22 @@
 
 /* Removes an unused grant and its entry's demand: nothing waits there. */
 static void
-remove_unused_grant(Arbiter *arbiter, guint index)
+remove_unused_grant(SlotArbiter *arbiter, guint index)
 {
-    lc_node entry = g_array_index(arbiter->grants, Arbiter_Grant, index).entry;
+    lc_node entry =
+        g_array_index(arbiter->grants, SlotArbiter_Grant, index).entry;
 
     g_array_remove_index_fast(arbiter->grants, index);
     remove_demand(arbiter, &entry);
 }
 
 void
-Arbiter_Decline(Arbiter *arbiter, uint64_t id)
+SlotArbiter_OnDecline(SlotArbiter *arbiter, uint64_t id)
 {
     guint i;
 
     for (i = 0; i < arbiter->grants->len; i++) {
-        if (g_array_index(arbiter->grants, Arbiter_Grant, i).id == id) {
+        if (g_array_index(arbiter->grants, SlotArbiter_Grant, i).id == id) {
             remove_unused_grant(arbiter, i);
             return;
         }
@@ -322,13 +327,13 @@
 }
 
 uint32_t
-Arbiter_Lapse(Arbiter *arbiter, int64_t mono_ms)
+SlotArbiter_ExpireGrants(SlotArbiter *arbiter, int64_t mono_ms)
 {
     uint32_t expired = 0;
     guint i;
 
     for (i = arbiter->grants->len; i-- > 0;) {
-        if (g_array_index(arbiter->grants, Arbiter_Grant, i).expires_ms <=
+        if (g_array_index(arbiter->grants, SlotArbiter_Grant, i).expires_ms <=
             mono_ms) {
             remove_unused_grant(arbiter, i);
             expired++;
--- a/core/demand.c
+++ b/core/slot_demand.c
@@ -1,14 +1,14 @@
-#include "core/demand.h"
+#include "core/slot_demand.h"
 
-#include "core/limits.h"
-#include "core/members.h"
+#include "core/group_limits.h"
+#include "core/membership.h"
 #include "core/placement.h"
 
 /* Group name that denotes an empty demand; no rows at all mean no change. */
 #define EMPTY_DEMAND_GROUP ""
 
 typedef struct {
-    Board *board;
+    Blackboard *board;
     lc_demand *rows;
     uint32_t count;
     uint64_t signature; /* changes when a group's demand begins, ends
@@ -25,7 +25,7 @@
     lc_demand *row;
 
     if (group->waiting == 0 || builder->count >= LC_MAX_DEMAND ||
-        !Limits_MayStart(builder->board, group)) {
+        !GroupLimits_MayStart(builder->board, group)) {
         return;
     }
     /*
@@ -42,20 +42,20 @@
 }
 
 void
-Demand_Fill(Board *board, Peer *peer, lc_demand *rows, u_int *count)
+SlotDemand_Fill(Blackboard *board, Peer *peer, lc_demand *rows, u_int *count)
 {
     uint32_t waiting = Groups_Waiting(board->groups);
     uint32_t unmet = waiting > board->free_slots ? waiting - board->free_slots
                                                  : 0;
-    demand_builder builder = {board, rows,  0,
-                              1,     unmet, Members_AllUsable(board)->len + 1};
+    demand_builder builder = {
+        board, rows, 0, 1, unmet, Membership_UsableCompanions(board)->len + 1};
 
     *count = 0;
     if (!Placement_SendsDemand(board)) {
         return;
     }
     if (unmet > 0) {
-        Groups_Each(board->groups, add_group, &builder);
+        Groups_ForEach(board->groups, add_group, &builder);
     }
     if (builder.signature == peer->demand_sent) {
         return;
--- a/core/edits.c
+++ b/core/table_edits.c
@@ -1,9 +1,10 @@
-#include "core/edits.h"
+#include "core/table_edits.h"
 
 #define CONFIRM_TIMEOUT_MS 5000
 
 static void
-end_edit(Board *board, guint index, const Status *status, uint64_t version)
+end_edit(Blackboard *board, guint index, const Status *status,
+         uint64_t version)
 {
     Table_Edit *edit = g_ptr_array_index(board->edits, index);
     uint64_t request = edit->request;
@@ -13,7 +14,7 @@
 }
 
 static void
-send_edit(Board *board, Table_Edit *edit)
+send_edit(Blackboard *board, Table_Edit *edit)
 {
     edit->append = ++board->next_append;
     edit->failed_ms = 0;
@@ -22,11 +23,11 @@
 }
 
 void
-Edits_Submit(Board *board, uint64_t request, const char *group, uint64_t base,
-             const Table_Row *row)
+TableEdits_Submit(Blackboard *board, uint64_t request, const char *group,
+                  uint64_t base, const GroupTable_Row *row)
 {
     Status status = {ERR_OK, ""};
-    uint64_t version = Table_Version(Board_Table(board), group);
+    uint64_t version = GroupTable_Version(Blackboard_GroupTable(board), group);
     Table_Edit *edit;
 
     if (base < version) {
@@ -47,21 +48,22 @@
     edit->request = request;
     edit->sent_ms = board->now.mono_ms;
     g_snprintf(edit->id, sizeof(edit->id), "%016llx%016llx",
-               (unsigned long long)Board_Random(board),
-               (unsigned long long)Board_Random(board));
-    edit->record = Fold_EditRecord(edit->id, group, base, row);
+               (unsigned long long)Blackboard_Random(board),
+               (unsigned long long)Blackboard_Random(board));
+    edit->record = Replica_EncodeEdit(edit->id, group, base, row);
     g_ptr_array_add(board->edits, edit);
     send_edit(board, edit);
 }
 
 void
-Edits_OnRecord(Board *board)
+TableEdits_OnRecord(Blackboard *board)
 {
     guint i;
 
     for (i = board->edits->len; i-- > 0;) {
         const Table_Edit *edit = g_ptr_array_index(board->edits, i);
-        const Fold_Edit *read_back = Fold_FindEdit(board->fold, edit->id);
+        const Replica_Edit *read_back = Replica_FindEdit(board->replica,
+                                                         edit->id);
         Status status = {ERR_OK, ""};
         if (read_back == NULL) {
             continue;
@@ -75,7 +77,7 @@
 }
 
 bool
-Edits_OnAppend(Board *board, uint64_t append_id, bool confirmed)
+TableEdits_OnAppend(Blackboard *board, uint64_t append_id, bool confirmed)
 {
     guint i;
 
@@ -90,7 +92,7 @@
 }
 
 void
-Edits_Abandon(Board *board)
+TableEdits_Abandon(Blackboard *board)
 {
     Status status = {ERR_OK, ""};
 
@@ -103,7 +105,7 @@
 }
 
 void
-Edits_Tick(Board *board)
+TableEdits_Tick(Blackboard *board)
 {
     Status status = {ERR_OK, ""};
     guint i;
--- a/core/edits.h
+++ b/core/table_edits.h
@@ -1,5 +1,5 @@
 /**
- * @file edits.h
+ * @file table_edits.h
  * @brief Controller of edits of the group table: an edit is accepted only
  * after its record was read back from the log and applied.
  *
@@ -8,24 +8,25 @@
  * every reader refuses the second one, because it is based on a version of
  * the row that the first one replaced.
  */
-#ifndef LC_CORE_EDITS_H
-#define LC_CORE_EDITS_H
+#ifndef LC_CORE_TABLE_EDITS_H
+#define LC_CORE_TABLE_EDITS_H
 
-#include "core/board.h"
+#include "core/blackboard.h"
 
 /** Sets a row, or deletes it if @p row is NULL, if its version is @p base. */
-void Edits_Submit(Board *board, uint64_t request, const char *group,
-                  uint64_t base, const Table_Row *row);
+void TableEdits_Submit(Blackboard *board, uint64_t request, const char *group,
+                       uint64_t base, const GroupTable_Row *row);
 
 /** An edit record was applied or refused: ends the edits it decides. */
-void Edits_OnRecord(Board *board);
+void TableEdits_OnRecord(Blackboard *board);
 
 /** An append ended; false if it belongs to another controller. */
-bool Edits_OnAppend(Board *board, uint64_t append_id, bool confirmed);
+bool TableEdits_OnAppend(Blackboard *board, uint64_t append_id,
+                         bool confirmed);
 
 /** Ends all pending edits with an unknown result. */
-void Edits_Abandon(Board *board);
+void TableEdits_Abandon(Blackboard *board);
 
-void Edits_Tick(Board *board);
+void TableEdits_Tick(Blackboard *board);
 
 #endif
--- a/core/records.c
+++ b/core/task_records.c
@@ -1,4 +1,4 @@
-#include "core/records.h"
+#include "core/task_records.h"
 
 #include <string.h>
 
--- a/core/records.h
+++ b/core/task_records.h
@@ -1,5 +1,5 @@
 /**
- * @file records.h
+ * @file task_records.h
  * @brief Records of the tasks that a companion has started. They make a
  * repeated START idempotent, and new owners of keys recover jobs from them.
  *
@@ -10,12 +10,12 @@
  * Memory: the table owns its records; a TaskRecord is valid until it is
  * removed or expires.
  */
-#ifndef LC_CORE_RECORDS_H
-#define LC_CORE_RECORDS_H
+#ifndef LC_CORE_TASK_RECORDS_H
+#define LC_CORE_TASK_RECORDS_H
 
 #include <glib.h>
 
-#include "base/handle.h"
+#include "base/handle_table.h"
 #include "core/node.h"
 
 /** One started task. */
--- a/daemon/http_server.c
+++ b/daemon/http_server.c
@@ -9,7 +9,7 @@
 #include <h2o.h>
 
 #include "base/event.h"
-#include "base/handle.h"
+#include "base/handle_table.h"
 
 #define LISTEN_BACKLOG 1024
 #define MS_PER_S 1000
@@ -369,7 +369,7 @@
         json_object_set_new(body, "retry_after_ms", json_integer(retry_ms));
     }
     text = json_dumps(body, JSON_COMPACT);
-    Http_RespondJson(server, id, Err_Http(kind), retry_ms, text);
+    Http_RespondJson(server, id, Err_HttpStatus(kind), retry_ms, text);
     free(text);
     json_decref(body);
 }
@@ -398,7 +398,7 @@
 uint32_t
 Http_UnansweredCount(const Http_Server *server)
 {
-    return Handle_Count(server->open);
+    return Handle_ItemCount(server->open);
 }
 
 static void
--- a/daemon/leased_companion.c
+++ b/daemon/leased_companion.c
@@ -4,19 +4,19 @@
 #include <string.h>
 
 #include "base/clock.h"
-#include "daemon/leased_registry.h"
 #include "daemon/process.h"
+#include "daemon/registry_sync.h"
 #include "daemon/seeds.h"
 #include "lease/partial_view.h"
 #include "lease/peers.h"
 #include "lease/runner.h"
-#include "platform/store.h"
-#include "platform/upstreams.h"
+#include "platform/store_follower.h"
+#include "platform/upstream_api.h"
 
 /* Timeout of a request to the upstream, beyond the time for which the request
  * itself lets the answer wait. The runner sends the request again long before:
  * a late answer still counts and leaves the connection usable. Longer than the
- * longest timeout of AnswerTime. */
+ * longest timeout of RtoEstimator. */
 #define ANSWER_TIMEOUT_MS 250
 /* Connections to the upstream that are kept open between requests. */
 #define MAX_CONNECTIONS 16
@@ -63,7 +63,7 @@
     int64_t view_chosen_ms;      /* when the entries were last chosen */
     int64_t report_all_until_ms; /* until then all entries get reports */
     int64_t stop_requested_ms; /* when the planned stop was requested, or 0 */
-    Clock_Suspension suspension;
+    Clock_SuspendTracker suspension;
 } leased_companion;
 
 /* A request to the upstream that has not been answered. */
@@ -78,7 +78,7 @@
 now_ms(leased_companion *self)
 {
     Clock_Reading reading = Clock_Read();
-    int64_t suspended_ms = Clock_Suspended(&self->suspension, reading);
+    int64_t suspended_ms = Clock_TakeSuspendedMs(&self->suspension, reading);
 
     if (suspended_ms > 0) {
         Event_Log(EVENT_SUSPENDED, "for %d ms", (int)suspended_ms);
@@ -111,14 +111,14 @@
     leased_companion *self = timer->data;
 
     self->overdue_check_ms = INT64_MAX;
-    Runner_Wake(self->runner, now_ms(self));
+    Runner_CheckOverdue(self->runner, now_ms(self));
     after_input(self);
 }
 
 /* ---- orders ---- */
 
 static void
-send_order(leased_companion *self, uint64_t id, Upstreams_Order *order,
+send_order(leased_companion *self, uint64_t id, UpstreamApi_Order *order,
            uint32_t timeout_ms, Http_ClientDone done)
 {
     request_context *context = g_new0(request_context, 1);
@@ -133,7 +133,7 @@
     context->owner = self;
     context->id = id;
     Http_Send(self->http, &request, done, context);
-    Upstreams_ClearOrder(order);
+    UpstreamApi_ClearOrder(order);
 }
 
 static void
@@ -142,7 +142,7 @@
     request_context *context = item;
     leased_companion *self = context->owner;
     int64_t clock_ms;
-    Runner_OrderEnd end = Upstreams_OrderEnd(answer, &clock_ms);
+    Runner_OrderResult end = UpstreamApi_OrderResult(answer, &clock_ms);
 
     Runner_OnStarted(self->runner, now_ms(self), context->id, end, clock_ms);
     g_free(context);
@@ -155,7 +155,7 @@
     request_context *context = item;
     leased_companion *self = context->owner;
     int64_t clock_ms;
-    Runner_OrderEnd end = Upstreams_OrderEnd(answer, &clock_ms);
+    Runner_OrderResult end = UpstreamApi_OrderResult(answer, &clock_ms);
 
     Runner_OnStopped(self->runner, now_ms(self), context->id, end, clock_ms);
     g_free(context);
@@ -167,11 +167,12 @@
 {
     request_context *context = item;
     leased_companion *self = context->owner;
-    Upstreams_Listing listing;
+    UpstreamApi_Listing listing;
 
-    Upstreams_ReadListing(answer, &listing);
-    Runner_OnLook(self->runner, now_ms(self), context->id, &listing.listing);
-    Upstreams_FreeListing(&listing);
+    UpstreamApi_ParseListing(answer, &listing);
+    Runner_OnPollAnswer(self->runner, now_ms(self), context->id,
+                        &listing.listing);
+    UpstreamApi_FreeListing(&listing);
     g_free(context);
     after_input(self);
 }
@@ -179,9 +180,9 @@
 static void
 port_start(void *context, uint64_t id, const Runner_Start *start)
 {
-    Upstreams_Order order;
+    UpstreamApi_Order order;
 
-    Upstreams_StartOrder(start, &order);
+    UpstreamApi_StartOrder(start, &order);
     send_order(context, id, &order, ANSWER_TIMEOUT_MS, on_start_answer);
 }
 
@@ -189,18 +190,18 @@
 port_stop(void *context, uint64_t id, const lc_run_id *run,
           const char *instance, int64_t token)
 {
-    Upstreams_Order order;
+    UpstreamApi_Order order;
 
-    Upstreams_StopOrder(run, instance, token, &order);
+    UpstreamApi_StopOrder(run, instance, token, &order);
     send_order(context, id, &order, ANSWER_TIMEOUT_MS, on_stop_answer);
 }
 
 static void
-port_poll(void *context, uint64_t id, const Runner_Look *look)
+port_poll(void *context, uint64_t id, const Runner_Poll *look)
 {
-    Upstreams_Order order;
+    UpstreamApi_Order order;
 
-    Upstreams_LookOrder(look, &order);
+    UpstreamApi_PollOrder(look, &order);
     send_order(context, id, &order, look->wait_ms + ANSWER_TIMEOUT_MS,
                on_poll_answer);
 }
@@ -208,7 +209,7 @@
 static const Runner_Ports runner_ports = {
     .start = port_start,
     .stop = port_stop,
-    .look = port_poll,
+    .poll = port_poll,
     .reply = Process_PortReply,
     .event = Process_PortEventFields,
 };
@@ -219,8 +220,8 @@
 static int64_t
 idle_interval_ms(const leased_companion *self)
 {
-    return Peers_SpacedMs(&self->peers, REPORT_IDLE_PER_ENTRY_MS,
-                          REPORT_IDLE_MIN_MS, REPORT_IDLE_MAX_MS);
+    return Peers_CallIntervalMs(&self->peers, REPORT_IDLE_PER_ENTRY_MS,
+                                REPORT_IDLE_MIN_MS, REPORT_IDLE_MAX_MS);
 }
 
 static void
@@ -236,7 +237,7 @@
     call.u.report.known = self->peers.list_digest;
     peer->call_id = ++self->last_call_id;
     peer->asked_ms = now;
-    peer->telling = Runner_Version(self->runner);
+    peer->version_in_flight = Runner_Version(self->runner);
     peer->connected = true;
     Rpc_Call(self->process.rpc, peer->address, peer->call_id, &call);
 }
@@ -271,7 +272,7 @@
         return -1;
     }
     if (!Peers_IsLive(peer, now)) {
-        return since >= Peers_PatienceMs(peer, now) ? 0 : -1;
+        return since >= Peers_CallTimeoutMs(peer, now) ? 0 : -1;
     }
     if (peer->told == Runner_Version(self->runner)) {
         return since >= idle_interval_ms(self) ? 0 : -1;
@@ -290,7 +291,7 @@
         Peers_Row *peer = g_ptr_array_index(self->peers.rows, i);
         if (!peer->chosen && peer->connected && peer->call_id == 0) {
             peer->connected = false;
-            Rpc_Reset(self->process.rpc, peer->address);
+            Rpc_Disconnect(self->process.rpc, peer->address);
         }
     }
 }
@@ -346,8 +347,8 @@
     for (i = 0; i < self->peers.rows->len; i++) {
         const Peers_Row *peer = g_ptr_array_index(self->peers.rows, i);
         if (peer->call_id != 0 &&
-            now - peer->asked_ms >= Peers_PatienceMs(peer, now)) {
-            Rpc_Reset(self->process.rpc, peer->address);
+            now - peer->asked_ms >= Peers_CallTimeoutMs(peer, now)) {
+            Rpc_Disconnect(self->process.rpc, peer->address);
         }
     }
 }
@@ -359,11 +360,11 @@
     int64_t now = now_ms(self);
     bool all = now < self->report_all_until_ms;
 
-    Runner_TakeClosures(self->runner, now, peer->asked_ms, &result->closures,
-                        Address_Text(peer->address));
-    peer->told = peer->telling;
+    Runner_MergeClosures(self->runner, now, peer->asked_ms, &result->closures,
+                         Address_Text(peer->address));
+    peer->told = peer->version_in_flight;
     peer->gap_ms = result->gap_ms;
-    if (Peers_Hear(&self->peers, peer->address, now)) {
+    if (Peers_MarkAlive(&self->peers, peer->address, now)) {
         Event_Log(EVENT_PEER_FOUND, "%s", Address_Text(peer->address));
     }
     Peers_SetHall(&self->peers, peer->address, result->hall);
@@ -371,8 +372,8 @@
         Peers_ConfirmList(&self->peers, now);
     }
     else {
-        Peers_TakeList(&self->peers, result->entries.entries_val,
-                       result->entries.entries_len, now);
+        Peers_ReplaceList(&self->peers, result->entries.entries_val,
+                          result->entries.entries_len, now);
     }
     if (result->all) {
         self->report_all_until_ms = now + REPORT_ALL_MS;
@@ -389,11 +390,11 @@
 {
     leased_companion *self = context;
 
-    Runner_TakeClosures(self->runner, now_ms(self), asked_ms, received,
-                        "the store");
+    Runner_MergeClosures(self->runner, now_ms(self), asked_ms, received,
+                         "the store");
 }
 
-static const Store_Ports halls_ports = {.closures = on_closures};
+static const StoreFollower_Ports halls_ports = {.closures = on_closures};
 
 /* Reads the closed halls from the store once they are stale. Entries normally
  * send them with their answers to reports; if all entries that this companion
@@ -402,8 +403,8 @@
 static void
 confirm_closures(leased_companion *self, int64_t now)
 {
-    const Closures *closures = Runner_Closures(self->runner);
-    int64_t age = Closures_AgeMs(closures, now);
+    const Hall_Closures *closures = Runner_Closures(self->runner);
+    int64_t age = HallClosures_AgeMs(closures, now);
     lc_closures known;
 
     if (self->halls_follower == NULL || age < self->process.options->close_ms *
@@ -411,8 +412,8 @@
                                                   PERCENT) {
         return;
     }
-    Closures_Tell(closures, now, &known);
-    if (Store_Ask(self->halls_follower, &known)) {
+    HallClosures_FillMessage(closures, now, &known);
+    if (StoreFollower_ReadOnce(self->halls_follower, &known)) {
         Event_Log(EVENT_HALLS_UNSURE,
                   "not confirmed for %lld ms; reading them from the store",
                   (long long)age);
@@ -425,20 +426,20 @@
 handle_heartbeat(leased_companion *self, const Http_Request *request,
                  const char *instance)
 {
-    Upstreams_Beat beat;
+    UpstreamApi_Heartbeat beat;
     Status status = {ERR_OK, ""};
 
-    if (Upstreams_ReadBeat(instance, request->body, request->length, &beat,
-                           &status) != ERR_OK) {
+    if (UpstreamApi_ParseHeartbeat(instance, request->body, request->length,
+                                   &beat, &status) != ERR_OK) {
         Counter_Add(role_counters(&self->process), COUNTER_HEARTBEATS_BAD, 1);
         Http_RespondError(self->heartbeats, request->id, status.kind,
                           status.message, 0);
     }
     else {
-        Runner_OnUpstream(self->runner, now_ms(self), &beat.upstream);
+        Runner_OnHeartbeat(self->runner, now_ms(self), &beat.upstream);
         Http_RespondJson(self->heartbeats, request->id, STATUS_OK, 0, "{}");
     }
-    Upstreams_FreeBeat(&beat);
+    UpstreamApi_FreeHeartbeat(&beat);
     after_input(self);
 }
 
@@ -448,14 +449,14 @@
     leased_companion *self = context;
     char *instance;
 
-    switch (Upstreams_ParseCall(request->method, request->path, &instance)) {
-    case UPSTREAMS_BEAT:
+    switch (UpstreamApi_ParseCall(request->method, request->path, &instance)) {
+    case UPSTREAM_API_HEARTBEAT:
         handle_heartbeat(self, request, instance);
         break;
-    case UPSTREAMS_LEAVES:
+    case UPSTREAM_API_DEREGISTER:
         Runner_OnUpstreamGone(
             self->runner, now_ms(self), instance,
-            Upstreams_ReadBorn(request->body, request->length));
+            UpstreamApi_ParseStartTime(request->body, request->length));
         Http_RespondJson(self->heartbeats, request->id, STATUS_OK, 0, "{}");
         after_input(self);
         break;
@@ -484,7 +485,7 @@
     RegistrySync_Tick(&self->registry, now);
     confirm_closures(self, now);
     Runner_Tick(self->runner, now);
-    Peers_Forget(&self->peers, now);
+    Peers_Expire(&self->peers, now);
     if (now - self->view_chosen_ms >= VIEW_REFRESH_MS) {
         choose_view(self, now);
     }
@@ -553,7 +554,7 @@
 role_reply(Process *process, uint64_t call_id, const Msg_Reply *reply)
 {
     leased_companion *self = (leased_companion *)process;
-    Peers_Row *peer = Peers_OfCall(&self->peers, call_id);
+    Peers_Row *peer = Peers_FindByCall(&self->peers, call_id);
 
     if (peer == NULL) {
         return;
@@ -574,18 +575,18 @@
 new_runner(leased_companion *self, const Options *options)
 {
     Clock_Reading reading = Clock_Read();
-    Term_Bounds bounds = {options->resubmit_ms, options->hold_max_ms,
-                          options->stop_ms, PROCESS_TICK_MS};
+    LeaseTiming_Bounds bounds = {options->resubmit_ms, options->hold_max_ms,
+                                 options->stop_ms, PROCESS_TICK_MS};
     Runner_Config config = {.node = Process_NewNode(options),
                             .hall = options->hall,
                             .first_token = Process_Now().wall_ms,
                             .beat_ms = options->beat_ms,
                             .late_ms = options->late_ms};
 
-    if (!Term_Plan(&bounds, &config.term)) {
+    if (!LeaseTiming_Derive(&bounds, &config.term)) {
         return NULL;
     }
-    Clock_Follow(&self->suspension, reading);
+    Clock_InitTracker(&self->suspension, reading);
     return Runner_New(&config, &runner_ports, self, reading.now_ms);
 }
 
@@ -595,7 +596,7 @@
     leased_companion *self = g_new0(leased_companion, 1);
     uv_loop_t *loop = uv_default_loop();
     Status status = {ERR_OK, ""};
-    int code = Err_Exit(ERR_IO);
+    int code = Err_ExitCode(ERR_IO);
 
     self->http = Http_NewClient(loop);
     /* A request without an answer is sent again over another connection long
@@ -608,7 +609,7 @@
     if (self->runner == NULL) {
         Event_Log(EVENT_BAD_SETTINGS, "times.resubmit_ms is too short for any "
                                       "lease");
-        code = Err_Exit(ERR_BAD_SETTINGS);
+        code = Err_ExitCode(ERR_BAD_SETTINGS);
         goto done;
     }
     Seeds_Init(&self->seeds, options);
@@ -625,11 +626,11 @@
         Event_Log(EVENT_LISTEN_FAILED, "%s", status.message);
         goto done;
     }
-    Rpc_KeepAlive(self->process.rpc, PROCESS_IDLE_TIMEOUT_MS);
+    Rpc_EnableKeepAlive(self->process.rpc, PROCESS_IDLE_TIMEOUT_MS);
     RegistrySync_Open(&self->registry, loop, 0, options->store, options->hall,
                       &self->peers);
     if (options->store != 0) {
-        self->halls_follower = Store_FollowHalls(
+        self->halls_follower = StoreFollower_OpenHalls(
             loop, Http_NewClient(loop), options->store, &halls_ports, self);
     }
     self->registry.on_entries = on_entries_read;
--- a/daemon/leased_kept.c
+++ b/daemon/leased_durable.c
@@ -3,7 +3,7 @@
 #include <inttypes.h>
 #include <string.h>
 
-#include "platform/callers.h"
+#include "platform/caller_api.h"
 
 #define TOPIC "levercove.jobs"
 /* A body of this size and what is written with it fit one record of the store.
@@ -16,10 +16,11 @@
 on_record(void *context, const Keyed_Record *read)
 {
     Leased_Entry *self = context;
-    Kept_Record record = {read->offset, read->key, read->key_length,
-                          read->value, read->length};
+    DurableLog_Record record = {read->offset, read->key, read->key_length,
+                                read->value, read->length};
 
-    Keeper_OnRecord(self->durable_jobs, LeasedEntry_OnInput(self), &record);
+    DurableJobs_OnRecord(self->durable_jobs, LeasedEntry_OnInput(self),
+                         &record);
 }
 
 static void
@@ -28,7 +29,8 @@
     Leased_Entry *self = context;
 
     (void)end;
-    Keeper_OnRead(self->durable_jobs, LeasedEntry_OnInput(self), asked_ms);
+    DurableJobs_OnLogRead(self->durable_jobs, LeasedEntry_OnInput(self),
+                          asked_ms);
 }
 
 static void
@@ -36,7 +38,8 @@
 {
     Leased_Entry *self = context;
 
-    Keeper_OnWritten(self->durable_jobs, LeasedEntry_OnInput(self), number);
+    DurableJobs_OnWritten(self->durable_jobs, LeasedEntry_OnInput(self),
+                          number);
 }
 
 static void
@@ -74,19 +77,19 @@
                           answer->message, answer->retry_ms);
         return;
     }
-    body = Callers_Body(answer);
-    Http_RespondJson(self->callers, request, Callers_Status(answer),
+    body = CallerApi_AnswerBody(answer);
+    Http_RespondJson(self->callers, request, CallerApi_AnswerStatus(answer),
                      answer->retry_ms, body);
     g_free(body);
 }
 
 static void
-port_state(void *context, uint64_t request, Keeper_State state)
+port_state(void *context, uint64_t request, DurableJobs_State state)
 {
     Leased_Entry *self = context;
-    char *body = Callers_KeptBody(state);
+    char *body = CallerApi_DurableBody(state);
 
-    Http_RespondJson(self->callers, request, Callers_KeptStatus(state), 0,
+    Http_RespondJson(self->callers, request, CallerApi_DurableStatus(state), 0,
                      body);
     g_free(body);
 }
@@ -118,10 +121,10 @@
 port_parse(void *context, uint64_t id, const char *body, LeasedJob *job,
            Status *status)
 {
-    Callers_Raw raw = {.body = body, .length = strlen(body)};
+    CallerApi_RawRequest raw = {.body = body, .length = strlen(body)};
 
     (void)context;
-    return Callers_ParseJob(&raw, id, job, status);
+    return CallerApi_ParseJob(&raw, id, job, status);
 }
 
 static void
@@ -131,7 +134,7 @@
     Event_Log(id, "%s", detail);
 }
 
-static const Keeper_Ports durable_ports = {
+static const DurableJobs_Ports durable_ports = {
     port_put,   port_answer, port_state, port_call,
     port_route, port_parse,  port_event,
 };
@@ -139,14 +142,14 @@
 void
 LeasedDurable_Open(Leased_Entry *self, const Options *options)
 {
-    Keeper_Config config = {.node = Dispatcher_Node(self->dispatcher),
-                            .max_jobs = (uint32_t)options->max_jobs,
-                            .resubmit_ms = options->resubmit_ms,
-                            .keep_ms = options->keep_ms};
+    DurableJobs_Config config = {.node = Dispatcher_Node(self->dispatcher),
+                                 .max_jobs = (uint32_t)options->max_jobs,
+                                 .resubmit_ms = options->resubmit_ms,
+                                 .keep_ms = options->keep_ms};
     char writer[64];
 
-    self->durable_jobs = Keeper_New(&config, &durable_ports, self,
-                                    self->dispatcher, self->last_input_ms);
+    self->durable_jobs = DurableJobs_New(
+        &config, &durable_ports, self, self->dispatcher, self->last_input_ms);
     g_snprintf(writer, sizeof(writer), "%" PRIx64 "-%" PRIx64,
                (uint64_t)config.node.address,
                (uint64_t)config.node.incarnation);
@@ -160,7 +163,7 @@
 {
     Leased_Entry *self = context;
 
-    Keeper_OnRunEnd(self->durable_jobs, id, task, host, done);
+    DurableJobs_OnRunEnd(self->durable_jobs, id, task, host, done);
 }
 
 void
@@ -169,7 +172,7 @@
 {
     Leased_Entry *self = context;
 
-    Keeper_OnCrash(self->durable_jobs, id, task);
+    DurableJobs_OnUpstreamCrash(self->durable_jobs, id, task);
 }
 
 void
@@ -177,7 +180,7 @@
 {
     Leased_Entry *self = context;
 
-    Keeper_OnJobOver(self->durable_jobs, job, outcome);
+    DurableJobs_OnJobEnd(self->durable_jobs, job, outcome);
 }
 
 /* ---- callers ---- */
@@ -187,9 +190,9 @@
                      const Http_Request *request,
                      const Dispatcher_Submit *submit)
 {
-    Keeper_Submit durable = {.request_id = request->id,
-                             .route = submit->route,
-                             .job = &submit->job};
+    DurableJobs_Submit durable = {.request_id = request->id,
+                                  .route = submit->route,
+                                  .job = &submit->job};
     char *body;
 
     if (request->length > MAX_BODY_BYTES) {
@@ -200,6 +203,6 @@
     }
     body = g_strndup(request->body, request->length);
     durable.body = body;
-    Keeper_OnSubmit(self->durable_jobs, now, &durable);
+    DurableJobs_OnSubmit(self->durable_jobs, now, &durable);
     g_free(body);
 }
