--- a/daemon/leased_entry.c
+++ b/daemon/leased_entry.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 #include "daemon/leased_entry_state.h"
-#include "lease/store_wait.h"
-#include "platform/callers.h"
+#include "lease/store_poll.h"
+#include "platform/caller_api.h"
 
 /* The loop wakes up every PROCESS_TICK_MS. A gap longer than this means that
  * the process was stalled; the input that waited meanwhile is then read before
@@ -67,8 +67,8 @@
     uint64_t others = all > starts ? all - starts : 0;
 
     if (others > self->non_start_bytes) {
-        Dispatcher_NoteSent(self->dispatcher,
-                            (int64_t)(others - self->non_start_bytes));
+        Dispatcher_AddSentBytes(self->dispatcher,
+                                (int64_t)(others - self->non_start_bytes));
         self->non_start_bytes = others;
     }
 }
@@ -83,7 +83,7 @@
 static void
 arm_link_timer(Leased_Entry *self)
 {
-    int64_t due_ms = Dispatcher_DueMs(self->dispatcher);
+    int64_t due_ms = Dispatcher_NextDispatchMs(self->dispatcher);
 
     if (due_ms < INT64_MAX) {
         int64_t wait_ms = MAX(due_ms - self->last_input_ms, 1);
@@ -97,9 +97,9 @@
 {
     Leased_Entry *self = check->data;
 
-    Dispatcher_Settle(self->dispatcher, LeasedEntry_OnInput(self));
+    Dispatcher_DispatchWaiting(self->dispatcher, LeasedEntry_OnInput(self));
     arm_link_timer(self);
-    Keeper_Settle(self->durable_jobs, self->last_input_ms);
+    DurableJobs_Flush(self->durable_jobs, self->last_input_ms);
 }
 
 /* ---- ports of the dispatcher ---- */
@@ -108,9 +108,9 @@
 port_answer(void *context, uint64_t request, const Dispatcher_Answer *answer)
 {
     Leased_Entry *self = context;
-    char *body = Callers_Body(answer);
+    char *body = CallerApi_AnswerBody(answer);
 
-    Http_RespondJson(self->callers, request, Callers_Status(answer),
+    Http_RespondJson(self->callers, request, CallerApi_AnswerStatus(answer),
                      answer->retry_ms, body);
     g_free(body);
 }
@@ -131,9 +131,9 @@
     .reset = Process_PortReset,
     .answer = port_answer,
     .event = port_event,
-    .kept_end = LeasedDurable_OnRunEnd,
-    .kept_crash = LeasedDurable_OnUpstreamCrash,
-    .kept_over = LeasedDurable_OnJobEnd,
+    .on_durable_run_end = LeasedDurable_OnRunEnd,
+    .on_durable_run_crash = LeasedDurable_OnUpstreamCrash,
+    .on_durable_job_end = LeasedDurable_OnJobEnd,
     .runs = Process_PortRuns,
     .reply = Process_PortReply,
 };
@@ -155,8 +155,8 @@
 
     return self->stop_requested_ms == 0 && self->routes != NULL &&
            !self->stalled &&
-           (starting ||
-            Dispatcher_WellHosts(self->dispatcher, self->last_input_ms) > 0);
+           (starting || Dispatcher_HealthyHosts(self->dispatcher,
+                                                self->last_input_ms) > 0);
 }
 
 static void
@@ -187,7 +187,7 @@
     QueueCounts *counts = QueueCounts_New();
 
     Dispatcher_AddWaiting(self->dispatcher, counts);
-    Keeper_AddWaiting(self->durable_jobs, counts);
+    DurableJobs_CountWaiting(self->durable_jobs, counts);
     return counts;
 }
 
@@ -206,7 +206,7 @@
 
     Dispatcher_OnReport(self->dispatcher, now, args);
     if (incarnation_of(self, args->host.node.address) != before) {
-        Keeper_OnHost(self->durable_jobs, now);
+        DurableJobs_OnHost(self->durable_jobs, now);
     }
 }
 
@@ -218,15 +218,15 @@
     GArray *live = LeasedGossip_LiveEntries(self);
 
     reply.u.report.entry = Dispatcher_Node(self->dispatcher);
-    reply.u.report.gap_ms = Dispatcher_ReportGapMs(self->dispatcher);
+    reply.u.report.gap_ms = Dispatcher_ReportIntervalMs(self->dispatcher);
     reply.u.report.hall = (char *)(uintptr_t)self->process.options->hall;
-    reply.u.report.all = Keeper_NeedsAll(self->durable_jobs);
+    reply.u.report.all = DurableJobs_NeedsAllReports(self->durable_jobs);
     if (args->known != Peers_Digest(live)) {
         reply.u.report.entries.entries_len = live->len;
         reply.u.report.entries.entries_val = (u_quad_t *)(void *)live->data;
     }
-    Closures_Tell(Dispatcher_Closures(self->dispatcher), now,
-                  &reply.u.report.closures);
+    HallClosures_FillMessage(Dispatcher_Closures(self->dispatcher), now,
+                             &reply.u.report.closures);
     Process_PortReply(&self->process, reply_id, &reply);
     g_array_unref(live);
     apply_report(self, now, args);
@@ -241,10 +241,10 @@
 
     if (ready != self->logged_ready) {
         self->logged_ready = ready;
-        Event_Log(
-            EVENT_READY, "%s: routes version %lld, %u companions",
-            ready ? "yes" : "no", (long long)LeasedRoutes_Version(self),
-            Dispatcher_ReadyHosts(self->dispatcher, self->last_input_ms));
+        Event_Log(EVENT_READY, "%s: routes version %lld, %u companions",
+                  ready ? "yes" : "no", (long long)LeasedRoutes_Version(self),
+                  Dispatcher_SchedulableHosts(self->dispatcher,
+                                              self->last_input_ms));
     }
 }
 
@@ -255,7 +255,7 @@
 
     Dispatcher_SetRoutesVersion(self->dispatcher, LeasedRoutes_Version(self));
     if (Dispatcher_WantsDelegates(self->dispatcher, now)) {
-        live = Peers_Live(&self->peers, now, 0);
+        live = Peers_ListLive(&self->peers, now, 0);
         Dispatcher_OfferDelegates(
             self->dispatcher, (const Address *)(void *)live->data, live->len);
         g_array_unref(live);
@@ -270,16 +270,17 @@
 
     Seeds_Refresh(&self->seeds, &self->peers, now);
     RegistrySync_Tick(&self->registry, now);
-    Peers_Forget(&self->peers, now);
+    Peers_Expire(&self->peers, now);
     LeasedGossip_Tick(self, now);
     LeasedRoutes_Tick(self, now);
     LeasedStore_Tick(self, now);
-    Keeper_Tick(self->durable_jobs, now);
-    KeyedLog_SetQuiet(self->durable_log, Keeper_IsQuiet(self->durable_jobs),
-                      StoreWait_Quiet(Peers_CountLive(&self->peers, now)));
+    DurableJobs_Tick(self->durable_jobs, now);
+    KeyedLog_SetIdle(
+        self->durable_log, DurableJobs_IsLogUnused(self->durable_jobs),
+        StorePoll_IdleLogWaitMs(Peers_CountLive(&self->peers, now)));
     report_sent_bytes(self);
     set_delegate_candidates(self, now);
-    Dispatcher_SetWall(self->dispatcher, Process_Now().wall_ms - now);
+    Dispatcher_SetWallOffset(self->dispatcher, Process_Now().wall_ms - now);
     Dispatcher_Tick(self->dispatcher, now);
     log_readiness(self);
 }
@@ -293,10 +294,10 @@
     self->stop_requested_ms = LeasedEntry_OnInput(self);
     process->stop_deadline_ms = self->stop_requested_ms +
                                 process->options->grace_ms - STOP_MARGIN_MS;
-    Dispatcher_EndBy(self->dispatcher,
-                     process->stop_deadline_ms - FINAL_ANSWERS_MS);
+    Dispatcher_SetShutdownTime(self->dispatcher,
+                               process->stop_deadline_ms - FINAL_ANSWERS_MS);
     Http_CloseAfterResponses(self->callers);
-    Keeper_Leave(self->durable_jobs, self->stop_requested_ms);
+    DurableJobs_HandOver(self->durable_jobs, self->stop_requested_ms);
 }
 
 static bool
@@ -309,7 +310,7 @@
         return false;
     }
     return Http_UnansweredCount(self->callers) == 0 &&
-           Keeper_IsIdle(self->durable_jobs) &&
+           DurableJobs_IsIdle(self->durable_jobs) &&
            Dispatcher_IsIdle(self->dispatcher);
 }
 
@@ -320,7 +321,8 @@
     json_t *state = Dispatcher_Dump(self->dispatcher, Process_Now().mono_ms);
 
     json_object_set_new(
-        state, "kept", Keeper_Dump(self->durable_jobs, Process_Now().mono_ms));
+        state, "kept",
+        DurableJobs_Dump(self->durable_jobs, Process_Now().mono_ms));
     json_object_set_new(state, "routes_version",
                         json_integer(LeasedRoutes_Version(self)));
     json_object_set_new(state, "ready", json_boolean(is_ready(self)));
@@ -340,7 +342,7 @@
     int64_t now = Process_Now().mono_ms;
 
     Dispatcher_Metrics(self->dispatcher, now, out);
-    Keeper_Metrics(self->durable_jobs, now, out);
+    DurableJobs_Metrics(self->durable_jobs, now, out);
     g_string_append_printf(out,
                            "levercove_ready %d\n"
                            "levercove_routes_version %lld\n"
@@ -377,7 +379,7 @@
             self->dispatcher, now, reply_id, &call->u.forward,
             self->routes == NULL
                 ? NULL
-                : Route_Named(self->routes, call->u.forward.queue));
+                : Route_FindByName(self->routes, call->u.forward.queue));
         return true;
     case MSG_EXTEND:
         Dispatcher_OnExtend(self->dispatcher, now, reply_id, &call->u.extend);
@@ -398,8 +400,8 @@
     Peers_Row *peer;
 
     if ((call_id & LEASED_DURABLE_CALL_FLAG) != 0) {
-        Keeper_OnReply(self->durable_jobs, now,
-                       call_id & ~LEASED_DURABLE_CALL_FLAG, reply);
+        DurableJobs_OnReply(self->durable_jobs, now,
+                            call_id & ~LEASED_DURABLE_CALL_FLAG, reply);
         return;
     }
     if ((call_id & LEASED_ENTRY_CALL_FLAG) == 0) {
@@ -410,7 +412,7 @@
         LeasedRoutes_OnReply(self, now, call_id, reply)) {
         return;
     }
-    peer = Peers_OfCall(&self->peers, call_id);
+    peer = Peers_FindByCall(&self->peers, call_id);
     if (peer == NULL) {
         LeasedJobsApi_OnWithdrawReply(self, call_id, reply);
         return;
@@ -429,15 +431,15 @@
 static Dispatcher *
 new_dispatcher(Leased_Entry *self, const Options *options)
 {
-    Term_Bounds bounds = {options->resubmit_ms, options->hold_max_ms,
-                          options->stop_ms, PROCESS_TICK_MS};
+    LeaseTiming_Bounds bounds = {options->resubmit_ms, options->hold_max_ms,
+                                 options->stop_ms, PROCESS_TICK_MS};
     Dispatcher_Config config = {.node = Process_NewNode(options),
                                 .link_mbps = options->link_mbps,
                                 .join_runs = options->link_mbps > 0,
                                 .max_jobs = (uint32_t)options->max_jobs};
 
     g_strlcpy(config.hall, options->hall, sizeof(config.hall));
-    if (!Term_Plan(&bounds, &config.term)) {
+    if (!LeaseTiming_Derive(&bounds, &config.term)) {
         return NULL;
     }
     self->last_input_ms = Process_Now().mono_ms;
@@ -470,7 +472,7 @@
     Leased_Entry *self = g_new0(Leased_Entry, 1);
     uv_loop_t *loop = uv_default_loop();
     Status status = {ERR_OK, ""};
-    int code = Err_Exit(ERR_IO);
+    int code = Err_ExitCode(ERR_IO);
 
     self->pending_cancels = g_hash_table_new_full(g_int64_hash, g_int64_equal,
                                                   g_free, NULL);
@@ -489,11 +491,11 @@
     if (self->dispatcher == NULL) {
         Event_Log(EVENT_BAD_SETTINGS, "times.resubmit_ms is too short for any "
                                       "lease");
-        code = Err_Exit(ERR_BAD_SETTINGS);
+        code = Err_ExitCode(ERR_BAD_SETTINGS);
         goto done;
     }
     self->http = Http_NewClient(loop);
-    Http_CountSilent(self->http, role_counters(&self->process));
+    Http_SetCounters(self->http, role_counters(&self->process));
     Http_KeepAlive(self->http, options->store, STORE_CONNECTIONS, true);
     LeasedDurable_Open(self, options);
     if (open_servers(self, loop, options, &status) != ERR_OK) {
@@ -504,11 +506,11 @@
     RegistrySync_Open(&self->registry, loop, options->rpc, options->store,
                       options->hall, &self->peers);
     RegistrySync_Tick(&self->registry, self->last_input_ms);
-    Rpc_KeepAlive(self->process.rpc, PROCESS_IDLE_TIMEOUT_MS);
+    Rpc_EnableKeepAlive(self->process.rpc, PROCESS_IDLE_TIMEOUT_MS);
     code = Process_Run(&self->process);
 done:
     if (self->durable_jobs != NULL) {
-        Keeper_Free(self->durable_jobs);
+        DurableJobs_Free(self->durable_jobs);
     }
     if (self->dispatcher != NULL) {
         Dispatcher_Free(self->dispatcher);
--- a/daemon/leased_entry_state.h
+++ b/daemon/leased_entry_state.h
@@ -11,17 +11,17 @@
 
 #include <glib.h>
 
-#include "daemon/leased_registry.h"
 #include "daemon/process.h"
+#include "daemon/registry_sync.h"
 #include "daemon/seeds.h"
 #include "lease/dispatcher.h"
-#include "lease/keeper.h"
+#include "lease/durable_jobs.h"
 #include "lease/peers.h"
 #include "lease/queue_counts.h"
 #include "lease/routes_fetch.h"
 #include "platform/http_client.h"
 #include "platform/keyed_log.h"
-#include "platform/store.h"
+#include "platform/store_follower.h"
 
 /** Flag in the ids of calls of the process itself; ids of the dispatcher's
  * calls lack it. */
@@ -33,7 +33,7 @@
 typedef struct {
     Process process; /* first, see Process */
     Dispatcher *dispatcher;
-    Keeper *durable_jobs;
+    DurableJobs *durable_jobs;
     Keyed_Log *durable_log;
     GHashTable *relayed_calls; /* call id -> relayed_call */
     bool store_unreachable;    /* a request of this entry failed, and no probe
--- a/daemon/leased_gossip.c
+++ b/daemon/leased_gossip.c
@@ -22,8 +22,8 @@
 GArray *
 LeasedGossip_LiveEntries(const Leased_Entry *self)
 {
-    return Peers_Live(&self->peers, self->last_input_ms,
-                      self->process.options->rpc);
+    return Peers_ListLive(&self->peers, self->last_input_ms,
+                          self->process.options->rpc);
 }
 
 /* Waiting jobs by queue, as lc_queue_count. The names are borrowed from the
@@ -53,8 +53,8 @@
             const GArray *counts)
 {
     peer->told_ms = now;
-    peer->told_waiting = counts->len > 0;
-    peer->told_routes = LeasedRoutes_Version(self);
+    peer->last_sent_waiting = counts->len > 0;
+    peer->last_sent_routes_version = LeasedRoutes_Version(self);
 }
 
 static void
@@ -65,7 +65,7 @@
     Msg_Call call = {.kind = MSG_GOSSIP};
 
     call.u.gossip.from = Dispatcher_Node(self->dispatcher);
-    call.u.gossip.kept = Keeper_Identity(self->durable_jobs, now);
+    call.u.gossip.kept = DurableJobs_OwnerIncarnation(self->durable_jobs, now);
     call.u.gossip.routes_version = LeasedRoutes_Version(self);
     call.u.gossip.known = Peers_Digest(live);
     if (peer->digest != call.u.gossip.known) {
@@ -74,8 +74,8 @@
     }
     call.u.gossip.waiting.waiting_len = counts->len;
     call.u.gossip.waiting.waiting_val = (lc_queue_count *)(void *)counts->data;
-    Closures_Tell(Dispatcher_Closures(self->dispatcher), now,
-                  &call.u.gossip.closures);
+    HallClosures_FillMessage(Dispatcher_Closures(self->dispatcher), now,
+                             &call.u.gossip.closures);
     peer->call_id = ++self->last_call_id | LEASED_ENTRY_CALL_FLAG;
     peer->asked_ms = now;
     record_sent(self, now, peer, counts);
@@ -103,7 +103,7 @@
     GArray *counts;
     bool waiting;
 
-    if (Keeper_NeedsAll(self->durable_jobs)) {
+    if (DurableJobs_NeedsAllReports(self->durable_jobs)) {
         return true;
     }
     counts = own_waiting(self);
@@ -116,14 +116,14 @@
 gossip_interval_ms(const Leased_Entry *self, int64_t now,
                    const Peers_Row *peer, bool urgent)
 {
-    bool idle = !urgent && !peer->told_waiting &&
-                peer->told_routes == LeasedRoutes_Version(self);
-    int64_t interval = Peers_SpacedMs(
+    bool idle = !urgent && !peer->last_sent_waiting &&
+                peer->last_sent_routes_version == LeasedRoutes_Version(self);
+    int64_t interval = Peers_CallIntervalMs(
         &self->peers, GOSSIP_PER_ENTRY_MS, GOSSIP_MIN_MS,
         idle ? GOSSIP_IDLE_MAX_MS : GOSSIP_MAX_MS);
 
     if (!Peers_IsLive(peer, now)) {
-        return MIN(interval, Peers_PatienceMs(peer, now));
+        return MIN(interval, Peers_CallTimeoutMs(peer, now));
     }
     /* A reply carries as much as a call: of a pair the entry with the lower
      * address calls, and one connection serves both. */
@@ -141,7 +141,7 @@
     for (i = 0; i < self->peers.rows->len; i++) {
         Peers_Row *peer = g_ptr_array_index(self->peers.rows, i);
         int64_t interval = gossip_interval_ms(self, now, peer, urgent);
-        int64_t timeout = Peers_PatienceMs(peer, now);
+        int64_t timeout = Peers_CallTimeoutMs(peer, now);
         int64_t since = now - peer->asked_ms;
         int64_t since_sent = now - MAX(peer->told_ms, peer->asked_ms);
         if (peer->call_id == 0 && since_sent >= interval) {
@@ -149,7 +149,7 @@
         }
         else if (peer->call_id != 0 && since >= timeout) {
             log_silent(self, peer, since);
-            Rpc_Reset(self->process.rpc, peer->address);
+            Rpc_Disconnect(self->process.rpc, peer->address);
         }
     }
 }
@@ -163,11 +163,11 @@
     Peers_Row *peer;
     u_int i;
 
-    if (Peers_Hear(&self->peers, from, now)) {
+    if (Peers_MarkAlive(&self->peers, from, now)) {
         Event_Log(EVENT_PEER_FOUND, "%s", Address_Text(from));
     }
     for (i = 0; i < entry_count; i++) {
-        Peers_Name(&self->peers, entries[i], now);
+        Peers_Add(&self->peers, entries[i], now);
     }
     peer = Peers_Find(&self->peers, from);
     if (peer == NULL) {
@@ -177,7 +177,7 @@
     peer->digest = digest;
     g_array_set_size(peer->waiting, 0);
     for (i = 0; i < count; i++) {
-        Peers_Count row = {.waiting = counts[i].waiting};
+        Peers_QueueCount row = {.waiting = counts[i].waiting};
         g_strlcpy(row.queue, counts[i].queue, sizeof(row.queue));
         g_array_append_val(peer->waiting, row);
     }
@@ -193,17 +193,18 @@
     GArray *live;
     GArray *counts = own_waiting(self);
 
-    Keeper_OnPeer(self->durable_jobs, self->last_input_ms, args->from.address,
-                  args->kept);
-    Dispatcher_TakeClosures(self->dispatcher, self->last_input_ms,
-                            CLOSURES_UNASKED, &args->closures,
-                            Address_Text(args->from.address));
+    DurableJobs_OnPeer(self->durable_jobs, self->last_input_ms,
+                       args->from.address, args->kept);
+    Dispatcher_MergeClosures(self->dispatcher, self->last_input_ms,
+                             HALL_CLOSURES_UNSOLICITED, &args->closures,
+                             Address_Text(args->from.address));
     apply_gossip(self, args->from.address, args->routes_version, args->known,
                  args->entries.entries_val, args->entries.entries_len,
                  args->waiting.waiting_val, args->waiting.waiting_len);
     live = LeasedGossip_LiveEntries(self);
     result->from = Dispatcher_Node(self->dispatcher);
-    result->kept = Keeper_Identity(self->durable_jobs, self->last_input_ms);
+    result->kept = DurableJobs_OwnerIncarnation(self->durable_jobs,
+                                                self->last_input_ms);
     result->routes_version = LeasedRoutes_Version(self);
     result->known = Peers_Digest(live);
     if (args->known != result->known) {
@@ -212,8 +213,8 @@
     }
     result->waiting.waiting_len = counts->len;
     result->waiting.waiting_val = (lc_queue_count *)(void *)counts->data;
-    Closures_Tell(Dispatcher_Closures(self->dispatcher), self->last_input_ms,
-                  &result->closures);
+    HallClosures_FillMessage(Dispatcher_Closures(self->dispatcher),
+                             self->last_input_ms, &result->closures);
     peer = Peers_Find(&self->peers, args->from.address);
     if (peer != NULL) {
         record_sent(self, self->last_input_ms, peer, counts);
@@ -227,11 +228,11 @@
 LeasedGossip_OnReply(Leased_Entry *self, int64_t asked_ms,
                      const lc_gossip_res *result)
 {
-    Keeper_OnPeer(self->durable_jobs, self->last_input_ms,
-                  result->from.address, result->kept);
-    Dispatcher_TakeClosures(self->dispatcher, self->last_input_ms, asked_ms,
-                            &result->closures,
-                            Address_Text(result->from.address));
+    DurableJobs_OnPeer(self->durable_jobs, self->last_input_ms,
+                       result->from.address, result->kept);
+    Dispatcher_MergeClosures(self->dispatcher, self->last_input_ms, asked_ms,
+                             &result->closures,
+                             Address_Text(result->from.address));
     apply_gossip(self, result->from.address, result->routes_version,
                  result->known, result->entries.entries_val,
                  result->entries.entries_len, result->waiting.waiting_val,
--- a/daemon/leased_callers.c
+++ b/daemon/leased_jobs_api.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "base/event.h"
-#include "platform/callers.h"
+#include "platform/caller_api.h"
 
 /* Near the end of a planned stop only jobs that can still finish are accepted:
  * a job takes at most its estimate times this factor, plus the slack. */
@@ -25,7 +25,7 @@
 {
     int64_t now = self->last_input_ms;
     QueueCounts *own = LeasedEntry_CountWaiting(self);
-    uint32_t count = QueueCounts_Of(own, queue);
+    uint32_t count = QueueCounts_Get(own, queue);
     guint i;
     guint j;
 
@@ -33,8 +33,8 @@
     for (i = 0; i < self->peers.rows->len; i++) {
         const Peers_Row *peer = g_ptr_array_index(self->peers.rows, i);
         for (j = 0; Peers_IsLive(peer, now) && j < peer->waiting->len; j++) {
-            const Peers_Count *row = &g_array_index(peer->waiting, Peers_Count,
-                                                    j);
+            const Peers_QueueCount *row = &g_array_index(peer->waiting,
+                                                         Peers_QueueCount, j);
             if (strcmp(row->queue, queue) == 0) {
                 count += row->waiting;
             }
@@ -47,7 +47,7 @@
 serve_count(Leased_Entry *self, const Http_Request *request,
             const Route *route)
 {
-    char *body = Callers_CountBody(count_waiting(self, route->name));
+    char *body = CallerApi_CountBody(count_waiting(self, route->name));
 
     Http_RespondJson(self->callers, request->id, STATUS_OK, 0, body);
     g_free(body);
@@ -60,13 +60,14 @@
     bool started = false;
     char *body;
 
-    if (Keeper_Look(self->durable_jobs, now, job, route->name) >
-            KEEPER_STALE ||
-        !Dispatcher_Look(self->dispatcher, job, route->name, &started)) {
-        Keeper_OnLook(self->durable_jobs, now, request->id, job, route->name);
+    if (DurableJobs_StateOf(self->durable_jobs, now, job, route->name) >
+            DURABLE_JOB_STALE ||
+        !Dispatcher_HasOpenJob(self->dispatcher, job, route->name, &started)) {
+        DurableJobs_OnStateQuery(self->durable_jobs, now, request->id, job,
+                                 route->name);
         return;
     }
-    body = Callers_StateBody(started);
+    body = CallerApi_StateBody(started);
     Http_RespondJson(self->callers, request->id, STATUS_OK, 0, body);
     g_free(body);
 }
@@ -78,8 +79,9 @@
         Http_RespondJson(self->callers, pending->request, STATUS_OK, 0, "{}");
     }
     else {
-        Keeper_CancelUnknown(self->durable_jobs, self->last_input_ms,
-                             pending->request, pending->job, pending->queue);
+        DurableJobs_CancelUnknown(self->durable_jobs, self->last_input_ms,
+                                  pending->request, pending->job,
+                                  pending->queue);
     }
     g_free(pending);
 }
@@ -92,8 +94,8 @@
     pending_cancel *pending;
     guint i;
 
-    if (Keeper_OnCancel(self->durable_jobs, now, request->id, job,
-                        route->name)) {
+    if (DurableJobs_OnCancel(self->durable_jobs, now, request->id, job,
+                             route->name)) {
         return;
     }
     pending = g_new0(pending_cancel, 1);
@@ -125,7 +127,8 @@
 is_too_late_to_accept(const Leased_Entry *self, int64_t now,
                       const LeasedJob *job)
 {
-    int64_t needed = (int64_t)LeasedJob_ChainMs(job) * STOP_ESTIMATE_FACTOR +
+    int64_t needed = (int64_t)LeasedJob_CriticalPathMs(job) *
+                         STOP_ESTIMATE_FACTOR +
                      STOP_SLACK_MS;
 
     return self->stop_requested_ms != 0 &&
@@ -133,9 +136,9 @@
 }
 
 static void
-serve_submit(Leased_Entry *self, int64_t now, const Callers_Raw *raw,
+serve_submit(Leased_Entry *self, int64_t now, const CallerApi_RawRequest *raw,
              const Http_Request *request, const Route *route,
-             const Callers_Request *parsed)
+             const CallerApi_Request *parsed)
 {
     Dispatcher_Submit submit = {.request_id = request->id,
                                 .route = route,
@@ -150,14 +153,14 @@
                 self->routes->body_bytes);
     }
     else {
-        Callers_ParseJob(raw, parsed->job, &submit.job, &status);
+        CallerApi_ParseJob(raw, parsed->job, &submit.job, &status);
     }
     if (status.kind != ERR_OK) {
         Http_RespondError(self->callers, request->id, status.kind,
                           status.message, 0);
         return;
     }
-    if (submit.job.needs_keeping) {
+    if (submit.job.needs_durability) {
         LeasedDurable_Submit(self, now, request, &submit);
         LeasedJob_Clear(&submit.job);
         return;
@@ -175,31 +178,31 @@
 serve_route(Leased_Entry *self, int64_t now, const Http_Request *request,
             const Route *route)
 {
-    Callers_Raw raw = {
+    CallerApi_RawRequest raw = {
         .method = request->method,
         .path = request->path,
         .deadline = Http_Header(self->callers, request->id,
-                                callers_deadline_header),
+                                caller_api_deadline_header),
         .body = request->body,
         .length = request->length,
     };
-    Callers_Request parsed;
+    CallerApi_Request parsed;
 
-    Callers_Parse(&raw, &parsed);
+    CallerApi_ParseRequest(&raw, &parsed);
     switch (parsed.verb) {
-    case CALLERS_SUBMIT:
+    case CALLER_API_SUBMIT:
         serve_submit(self, now, &raw, request, route, &parsed);
         break;
-    case CALLERS_LOOK:
+    case CALLER_API_GET_STATE:
         serve_state(self, now, request, route, parsed.job);
         break;
-    case CALLERS_CANCEL:
+    case CALLER_API_CANCEL:
         serve_cancel(self, now, request, route, parsed.job);
         break;
-    case CALLERS_COUNT:
+    case CALLER_API_COUNT:
         serve_count(self, request, route);
         break;
-    case CALLERS_OTHER:
+    case CALLER_API_UNKNOWN:
         Http_RespondError(self->callers, request->id, ERR_BAD_REQUEST,
                           "expected a job's identity of 16 hex digits", 0);
         break;
@@ -233,7 +236,8 @@
                           "no routes are known yet", DISPATCHER_RETRY_MS);
         return;
     }
-    route = Route_Find(self->routes, request->authority, request->path);
+    route = Route_FindByPrefix(self->routes, request->authority,
+                               request->path);
     if (route == NULL) {
         reject_unknown_queue(self, now, request);
         return;
@@ -248,7 +252,7 @@
 
     Dispatcher_OnCallerGone(self->dispatcher, LeasedEntry_OnInput(self),
                             request);
-    Keeper_OnCallerGone(self->durable_jobs, request);
+    DurableJobs_OnCallerGone(self->durable_jobs, request);
 }
 
 void
--- a/daemon/leased_routes.c
+++ b/daemon/leased_routes.c
@@ -2,8 +2,8 @@
 
 #include "base/event.h"
 #include "base/random.h"
-#include "lease/store_wait.h"
-#include "platform/routes.h"
+#include "lease/store_poll.h"
+#include "platform/routes_record.h"
 
 /* ---- applying ---- */
 
@@ -14,7 +14,7 @@
              const char *source)
 {
     Status status = {ERR_OK, ""};
-    Route_Table *table = Routes_Read(record, length, &status);
+    Route_Table *table = RoutesRecord_Parse(record, length, &status);
 
     if (table == NULL) {
         Event_Log(EVENT_ROUTES_BAD, "from %s: %s", source, status.message);
@@ -53,8 +53,8 @@
 {
     Leased_Entry *self = context;
 
-    Dispatcher_TakeClosures(self->dispatcher, LeasedEntry_OnInput(self),
-                            asked_ms, received, "the store");
+    Dispatcher_MergeClosures(self->dispatcher, LeasedEntry_OnInput(self),
+                             asked_ms, received, "the store");
 }
 
 static void
@@ -67,7 +67,7 @@
     Event_Log(answers ? EVENT_LOG_UP : EVENT_LOG_DOWN, "store");
 }
 
-static const Store_Ports store_ports = {
+static const StoreFollower_Ports store_ports = {
     .routes = on_routes,
     .closures = on_closures,
     .change = on_store_change,
@@ -80,8 +80,8 @@
     RoutesFetch_Init(&self->fetch,
                      (uint32_t)Dispatcher_Node(self->dispatcher).incarnation);
     self->random = Random_Seed(Dispatcher_Node(self->dispatcher).incarnation);
-    self->follower = Store_Follow(uv_default_loop(), self->http,
-                                  options->store, &store_ports, self);
+    self->follower = StoreFollower_Open(uv_default_loop(), self->http,
+                                        options->store, &store_ports, self);
 }
 
 void
@@ -96,10 +96,11 @@
 static uint32_t
 store_wait_ms(Leased_Entry *self, int64_t now)
 {
-    if (StoreWait_IsWatcher(&self->peers, now)) {
-        return StoreWait_Watcher();
+    if (StorePoll_IsWatcher(&self->peers, now)) {
+        return StorePoll_WatcherWaitMs();
     }
-    return StoreWait_Draw(Peers_CountLive(&self->peers, now), &self->random);
+    return StorePoll_RandomWaitMs(Peers_CountLive(&self->peers, now),
+                                  &self->random);
 }
 
 void
@@ -108,7 +109,7 @@
     Msg_Call call = {.kind = MSG_ROUTES};
     RoutesFetch_Call wanted;
 
-    Store_SetWait(self->follower, store_wait_ms(self, now));
+    StoreFollower_SetWait(self->follower, store_wait_ms(self, now));
     if (!RoutesFetch_Next(&self->fetch, now, LeasedRoutes_Version(self),
                           self->store_answers, &self->peers, &wanted)) {
         return;
@@ -144,7 +145,7 @@
 LeasedRoutes_OnReply(Leased_Entry *self, int64_t now, uint64_t call_id,
                      const Msg_Reply *reply)
 {
-    RoutesFetch_Step step;
+    RoutesFetch_Result step;
 
     if (call_id != self->routes_fetch_call_id) {
         return false;
@@ -154,11 +155,11 @@
         return true; /* they have come from the store meanwhile */
     }
     if (reply == NULL) {
-        RoutesFetch_Fail(&self->fetch);
+        RoutesFetch_OnFailure(&self->fetch);
         return true;
     }
-    step = RoutesFetch_Take(&self->fetch, &reply->u.routes);
-    if (step == ROUTES_FETCH_WHOLE) {
+    step = RoutesFetch_OnReply(&self->fetch, &reply->u.routes);
+    if (step == ROUTES_FETCH_COMPLETE) {
         apply_record(self, (const char *)self->fetch.bytes->data,
                      self->fetch.bytes->len, Address_Text(self->fetch.from));
     }
--- a/daemon/leased_store.c
+++ b/daemon/leased_store.c
@@ -1,6 +1,6 @@
 #include "daemon/leased_entry_state.h"
 
-#include "platform/store.h"
+#include "platform/store_follower.h"
 
 /* After a failed request to the store, requests are relayed through other
  * entries until the store has answered a probe; this is the probe interval. */
@@ -116,7 +116,8 @@
                  Http_ClientDone done, void *done_context)
 {
     Leased_Entry *self = context;
-    Address peer = Keeper_SomePeer(self->durable_jobs, Process_Now().mono_ms);
+    Address peer = DurableJobs_LivePeer(self->durable_jobs,
+                                        Process_Now().mono_ms);
 
     if (self->store_unreachable && peer != 0) {
         send_through_peer(self, peer, request, done, done_context);
@@ -130,7 +131,7 @@
                     const Msg_Reply *reply)
 {
     relayed_call *pending = g_hash_table_lookup(self->relayed_calls, &call_id);
-    Http_ClientAnswer answer = {.end = HTTP_CLIENT_BROKEN};
+    Http_ClientAnswer answer = {.end = HTTP_CLIENT_DISCONNECTED};
     relayed_call relay;
 
     if (pending == NULL) {
--- a/daemon/main.c
+++ b/daemon/main.c
@@ -7,11 +7,11 @@
 
 #include "base/event.h"
 #include "base/version.h"
-#include "daemon/companion_process.h"
-#include "daemon/entry_process.h"
 #include "daemon/leased_companion.h"
 #include "daemon/leased_entry.h"
 #include "daemon/options.h"
+#include "daemon/owned_companion.h"
+#include "daemon/owned_entry.h"
 
 static gboolean show_version;
 static gboolean check_only;
@@ -36,7 +36,7 @@
     if (!g_option_context_parse(context, argc, argv, &error)) {
         fprintf(stderr, "levercoved: %s\n", error->message);
         g_error_free(error);
-        code = Err_Exit(ERR_BAD_REQUEST);
+        code = Err_ExitCode(ERR_BAD_REQUEST);
     }
     g_option_context_free(context);
     return code;
@@ -63,7 +63,7 @@
             return roles[i].run(options);
         }
     }
-    return Err_Exit(ERR_BAD_SETTINGS);
+    return Err_ExitCode(ERR_BAD_SETTINGS);
 }
 
 static int
@@ -76,7 +76,7 @@
     if (Options_Load(file, &options, &errors) != ERR_OK) {
         fputs(errors, stderr);
         Event_Log(EVENT_BAD_SETTINGS, "%s", file);
-        code = Err_Exit(ERR_BAD_SETTINGS);
+        code = Err_ExitCode(ERR_BAD_SETTINGS);
     }
     else if (check_only) {
         printf("%s: settings are well formed\n", file);
@@ -108,7 +108,7 @@
     }
     if (argc != 2) {
         fprintf(stderr, "levercoved: expected one settings file\n");
-        return Err_Exit(ERR_BAD_REQUEST);
+        return Err_ExitCode(ERR_BAD_REQUEST);
     }
     code = run(argv[1]);
     Event_Flush();
--- a/daemon/options.c
+++ b/daemon/options.c
@@ -21,7 +21,7 @@
     }
 #define GROUP(name)                                                           \
     {                                                                         \
-        (name), SETTING_GROUP, 0, 0, 0, 0, NULL                               \
+        (name), SETTING_OBJECT, 0, 0, 0, 0, NULL                              \
     }
 /* NOLINTBEGIN(bugprone-macro-parentheses): the literals are joined. */
 #define INTEGER(group, name, min, max)                                        \
@@ -85,7 +85,7 @@
     INTEGER("limits.", max_answer_bytes, 0, MAX_LIMIT_BYTES),
     INTEGER("limits.", max_records, 1, 100000000),
     INTEGER("limits.", max_result_bytes, 0, MAX_LIMIT_BYTES),
-    {NULL, SETTING_GROUP, 0, 0, 0, 0, NULL},
+    {NULL, SETTING_OBJECT, 0, 0, 0, 0, NULL},
 };
 
 static void
--- a/daemon/companion_process.c
+++ b/daemon/owned_companion.c
@@ -1,4 +1,4 @@
-#include "daemon/companion_process.h"
+#include "daemon/owned_companion.h"
 
 #include <glib.h>
 #include <string.h>
@@ -21,11 +21,11 @@
     uint64_t run_id;
 } pending_run;
 
-static Companion_Run
+static Companion_RunResult
 run_result(const Http_ClientAnswer *answer)
 {
     switch (answer->end) {
-    case HTTP_CLIENT_UNREACHED:
+    case HTTP_CLIENT_UNSENT:
         return COMPANION_RUN_UNREACHED;
     case HTTP_CLIENT_TIMEOUT:
         return COMPANION_RUN_TIMEOUT;
@@ -44,12 +44,13 @@
 on_run(void *context, const Http_ClientAnswer *answer)
 {
     pending_run *run = context;
-    Companion_Run result = run_result(answer);
+    Companion_RunResult result = run_result(answer);
     bool done = result == COMPANION_RUN_DONE;
 
-    Companion_OnRun(run->self->companion, Process_Now(), run->run_id, result,
-                    (uint32_t)answer->status, done ? answer->body : NULL,
-                    done ? (uint32_t)answer->length : 0);
+    Companion_OnRunEnd(run->self->companion, Process_Now(), run->run_id,
+                       result, (uint32_t)answer->status,
+                       done ? answer->body : NULL,
+                       done ? (uint32_t)answer->length : 0);
     g_free(run);
 }
 
@@ -158,7 +159,7 @@
     owned_companion *self = g_new0(owned_companion, 1);
     uv_loop_t *loop = uv_default_loop();
     Status status = {ERR_OK, ""};
-    int code = Err_Exit(ERR_IO);
+    int code = Err_ExitCode(ERR_IO);
 
     self->http = Http_NewClient(loop);
     self->companion = new_companion(self, options);
--- a/daemon/companion_process.h
+++ b/daemon/owned_companion.h
@@ -1,10 +1,10 @@
 /**
- * @file companion_process.h
+ * @file owned_companion.h
  * @brief `levercoved` as a companion of owned jobs: connects core's
  * Companion to RPC and to the HTTP interface of its upstream.
  */
-#ifndef LC_DAEMON_COMPANION_PROCESS_H
-#define LC_DAEMON_COMPANION_PROCESS_H
+#ifndef LC_DAEMON_OWNED_COMPANION_H
+#define LC_DAEMON_OWNED_COMPANION_H
 
 #include "daemon/options.h"
 
--- a/daemon/entry_process.c
+++ b/daemon/owned_entry.c
@@ -1,11 +1,11 @@
-#include "daemon/entry_process.h"
+#include "daemon/owned_entry.h"
 
 #include <glib.h>
 #include <string.h>
 
 #include "core/entry.h"
 #include "core/placement.h"
-#include "daemon/jobs_api.h"
+#include "daemon/owned_jobs_api.h"
 #include "daemon/process.h"
 #include "daemon/table_api.h"
 #include "platform/hosts_client.h"
@@ -87,7 +87,7 @@
 new_entry(owned_entry *self, const Options *options)
 {
     Node_Time now = Process_Now();
-    Board_Config config = Board_Defaults(Process_NewNode(options));
+    Entry_Config config = Entry_Defaults(Process_NewNode(options));
 
     config.evidence_ms = options->evidence_ms;
     config.skew_ms = options->skew_ms;
@@ -127,7 +127,7 @@
         in.records = read->records;
         in.count = read->count;
         Entry_OnLog(self->entry, Process_Now(), &in);
-        if (read->count > 0 && Entry_LogNext(self->entry) < read->next) {
+        if (read->count > 0 && Entry_NextLogOffset(self->entry) < read->next) {
             pause_ms = 0;
         }
     }
@@ -139,7 +139,7 @@
 {
     self->reading = true;
     self->read_sent_ms = Process_Now().mono_ms;
-    self->log.functions->read(self->log.self, Entry_LogNext(self->entry),
+    self->log.functions->read(self->log.self, Entry_NextLogOffset(self->entry),
                               on_log, self);
 }
 
@@ -157,17 +157,19 @@
 on_hosts(void *context, const Hosts_Row *rows, uint32_t count)
 {
     owned_entry *self = context;
-    GArray *hosts = g_array_new(TRUE, FALSE, sizeof(Members_Host));
+    GArray *hosts = g_array_new(TRUE, FALSE, sizeof(Membership_Host));
     uint32_t i;
 
     set_hosts_up(self, rows != NULL);
     for (i = 0; rows != NULL && i < count; i++) {
-        Members_Host host = {rows[i].address, rows[i].role, rows[i].leaving};
+        Membership_Host host = {rows[i].address, rows[i].role,
+                                rows[i].leaving};
         g_array_append_val(hosts, host);
     }
     if (rows != NULL) {
         Entry_OnHosts(self->entry, Process_Now(),
-                      (const Members_Host *)(const void *)hosts->data, count);
+                      (const Membership_Host *)(const void *)hosts->data,
+                      count);
     }
     g_array_unref(hosts);
 }
@@ -189,7 +191,7 @@
 {
     Status status = {ERR_OK, ""};
 
-    Entry_Abandon(self->entry, Process_Now());
+    Entry_AbandonCallers(self->entry, Process_Now());
     if (self->process.stopping) {
         return;
     }
@@ -197,7 +199,7 @@
     new_entry(self, self->process.options);
     if (Process_ReopenRpc(&self->process, &status) != ERR_OK) {
         Event_Log(EVENT_LISTEN_FAILED, "%s", status.message);
-        self->process.exit_code = Err_Exit(ERR_IO);
+        self->process.exit_code = Err_ExitCode(ERR_IO);
         uv_stop(self->process.loop);
     }
 }
@@ -322,7 +324,7 @@
     owned_entry *self = g_new0(owned_entry, 1);
     uv_loop_t *loop = uv_default_loop();
     Status status = {ERR_OK, ""};
-    int code = Err_Exit(ERR_IO);
+    int code = Err_ExitCode(ERR_IO);
 
     self->http = Http_NewClient(loop);
     self->log = Log_OverHttp(self->http, options->log, PLATFORM_TIMEOUT_MS);
--- a/daemon/entry_process.h
+++ b/daemon/owned_entry.h
@@ -1,10 +1,10 @@
 /**
- * @file entry_process.h
+ * @file owned_entry.h
  * @brief `levercoved` as an entry of owned jobs: connects core's Entry to
  * RPC, HTTP, the log service and the host list.
  */
-#ifndef LC_DAEMON_ENTRY_PROCESS_H
-#define LC_DAEMON_ENTRY_PROCESS_H
+#ifndef LC_DAEMON_OWNED_ENTRY_H
+#define LC_DAEMON_OWNED_ENTRY_H
 
 #include "daemon/options.h"
 
--- a/daemon/jobs_api.c
+++ b/daemon/owned_jobs_api.c
@@ -1,4 +1,4 @@
-#include "daemon/jobs_api.h"
+#include "daemon/owned_jobs_api.h"
 
 #include <glib.h>
 #include <stdlib.h>
@@ -92,7 +92,7 @@
     }
     job->spec.group = json_string_value(
         json_object_get(job->document, "group"));
-    if (job->spec.group == NULL || !Table_ValidName(job->spec.group)) {
+    if (job->spec.group == NULL || !GroupTable_IsValidName(job->spec.group)) {
         return Err_Set(status, ERR_BAD_REQUEST,
                        "group: expected 1 to 64 of [A-Za-z0-9._-]");
     }
@@ -249,7 +249,7 @@
     json_t *body = answer_to_json(answer);
     char *text = json_dumps(body, JSON_COMPACT);
     Http_Response response = {
-        .status = answer->running ? 202 : Err_Http(answer->kind),
+        .status = answer->running ? 202 : Err_HttpStatus(answer->kind),
         .retry_ms = answer->retry_ms,
         .body = text,
         .length = strlen(text),
--- a/daemon/jobs_api.h
+++ b/daemon/owned_jobs_api.h
@@ -1,10 +1,10 @@
 /**
- * @file jobs_api.h
+ * @file owned_jobs_api.h
  * @brief The callers' HTTP interface to owned jobs: `POST /v1/jobs` and
  * `GET /v1/jobs/{key}`.
  */
-#ifndef LC_DAEMON_JOBS_API_H
-#define LC_DAEMON_JOBS_API_H
+#ifndef LC_DAEMON_OWNED_JOBS_API_H
+#define LC_DAEMON_OWNED_JOBS_API_H
 
 #include "core/entry.h"
 #include "daemon/http_server.h"
--- a/daemon/process.c
+++ b/daemon/process.c
@@ -63,7 +63,7 @@
 void
 Process_PortReset(void *process, Address to)
 {
-    Rpc_Reset(((Process *)process)->rpc, to);
+    Rpc_Disconnect(((Process *)process)->rpc, to);
 }
 
 void
@@ -174,7 +174,8 @@
         stop(process);
         return;
     }
-    if (!process->role->is_drained(process) || Rpc_Writing(process->rpc)) {
+    if (!process->role->is_drained(process) ||
+        Rpc_HasPendingWrites(process->rpc)) {
         process->drained_ms = 0;
         return;
     }
--- a/daemon/process.h
+++ b/daemon/process.h
@@ -14,8 +14,8 @@
 /** Interval between ticks of a role. */
 #define PROCESS_TICK_MS 50
 /** Idle timeout of connections between processes of leased jobs: as long as a
- * lease (Term_Plan), since the leases of an owner that is not heard from have
- * expired by then. */
+ * lease (LeaseTiming_Derive), since the leases of an owner that is not heard
+ * from have expired by then. */
 #define PROCESS_IDLE_TIMEOUT_MS 600
 
 /** A running process; the first member of each role's own structure. */
--- a/daemon/leased_registry.h
+++ b/daemon/registry_sync.h
@@ -1,18 +1,18 @@
 /**
- * @file leased_registry.h
+ * @file registry_sync.h
  * @brief Reads and writes the registry of entries in the platform's store, as
- * Registry_Next decides; for entries and companions alike.
+ * EntryRegistry_Next decides; for entries and companions alike.
  */
-#ifndef LC_DAEMON_LEASED_REGISTRY_H
-#define LC_DAEMON_LEASED_REGISTRY_H
+#ifndef LC_DAEMON_REGISTRY_SYNC_H
+#define LC_DAEMON_REGISTRY_SYNC_H
 
-#include "lease/registry.h"
-#include "platform/members.h"
+#include "lease/entry_registry.h"
+#include "platform/registry_client.h"
 
 /** A process's access to the registry of entries. */
 typedef struct {
-    Registry state;
-    Members *members; /**< NULL without a store: only seeds are used */
+    Entry_Registry state;
+    Registry_Client *members; /**< NULL without a store: only seeds are used */
     Peers *peers;
     const char *hall; /**< of this process; must outlive the registry */
     void (*on_entries)(void *context); /**< the list of entries was read;
--- a/daemon/table_api.c
+++ b/daemon/table_api.c
@@ -33,11 +33,11 @@
         Http_RespondError(server, request->id, ERR_METHOD, "use GET", 0);
         return;
     }
-    rows = Table_Sorted(Entry_Table(entry), false);
+    rows = GroupTable_SortedRows(Entry_Table(entry), false);
     list = json_array();
     for (i = 0; i < rows->len; i++) {
-        const Table_Row *row = g_ptr_array_index(rows, i);
-        json_t *item = Table_RowToJson(row);
+        const GroupTable_Row *row = g_ptr_array_index(rows, i);
+        json_t *item = GroupTable_RowToJson(row);
         json_object_set_new(item, "version",
                             json_integer((json_int_t)row->version));
         json_array_append_new(list, item);
@@ -49,7 +49,8 @@
 static void
 serve_get(Http_Server *server, Entry *entry, const Http_Request *request)
 {
-    const Table_Row *row = Table_Find(Entry_Table(entry), request->rest);
+    const GroupTable_Row *row = GroupTable_Find(Entry_Table(entry),
+                                                request->rest);
     json_t *body;
 
     if (row == NULL) {
@@ -57,7 +58,7 @@
                           0);
         return;
     }
-    body = Table_RowToJson(row);
+    body = GroupTable_RowToJson(row);
     json_object_set_new(body, "version",
                         json_integer((json_int_t)row->version));
     respond_json(server, request->id, body, row->version);
@@ -69,17 +70,17 @@
 read_base(Entry *entry, const Http_Request *request, uint64_t *base,
           Status *status)
 {
-    const Table *table = Entry_Table(entry);
+    const GroupTable *table = Entry_Table(entry);
     const char *text = request->if_match;
     char *end;
 
     if (text == NULL) {
-        if (Table_Find(table, request->rest) != NULL) {
+        if (GroupTable_Find(table, request->rest) != NULL) {
             return Err_Set(status, ERR_NEED_MATCH,
                            "the group exists: send its ETag as If-Match");
         }
         /* A new row succeeds the tombstone, if there is one. */
-        *base = Table_Version(table, request->rest);
+        *base = GroupTable_Version(table, request->rest);
         return ERR_OK;
     }
     *base = strtoull(text + (text[0] == '"'), &end, 10);
@@ -91,7 +92,7 @@
 }
 
 static Err_Kind
-read_row(const Http_Request *request, Table_Row *row, Status *status)
+read_row(const Http_Request *request, GroupTable_Row *row, Status *status)
 {
     json_error_t error;
     json_t *body = json_loadb(request->body, request->length,
@@ -102,7 +103,7 @@
         return Err_Set(status, ERR_BAD_JSON, "line %d, column %d: %s",
                        error.line, error.column, error.text);
     }
-    kind = Table_RowFromJson(request->rest, body, row, status);
+    kind = GroupTable_RowFromJson(request->rest, body, row, status);
     json_decref(body);
     return kind;
 }
@@ -112,15 +113,15 @@
            const Http_Request *request, bool is_delete)
 {
     Status status = {ERR_OK, ""};
-    Table_Row row;
+    GroupTable_Row row;
     uint64_t base = 0;
 
-    if (!Table_ValidName(request->rest)) {
+    if (!GroupTable_IsValidName(request->rest)) {
         Err_Set(&status, ERR_BAD_REQUEST,
                 "group: expected 1 to 64 of [A-Za-z0-9._-]");
     }
     else if (is_delete &&
-             Table_Find(Entry_Table(entry), request->rest) == NULL) {
+             GroupTable_Find(Entry_Table(entry), request->rest) == NULL) {
         Err_Set(&status, ERR_NOT_FOUND, "no such group");
     }
     else if (!is_delete) {
@@ -162,7 +163,7 @@
 {
     if (status->kind != ERR_OK) {
         Http_RespondError(server, request, status->kind, status->message,
-                          Err_Retry(status->kind) ? 1000 : 0);
+                          Err_HasRetryAfter(status->kind) ? 1000 : 0);
         return;
     }
     respond_json(server, request,
--- a/lease/active.c
+++ b/lease/active_job.c
@@ -1,4 +1,4 @@
-#include "lease/active.h"
+#include "lease/active_job.h"
 
 #include <string.h>
 
@@ -8,7 +8,7 @@
 static void
 fill_tasks(Active_Job *job)
 {
-    uint32_t times = LeasedJob_Times(&job->spec);
+    uint32_t times = LeasedJob_OccurrenceCount(&job->spec);
     Active_Task *task = job->tasks;
     uint32_t occurrence;
     uint32_t step;
@@ -46,8 +46,8 @@
     job->arrived_ms = now_ms;
     job->objective_ms = now_ms + Route_ObjectiveMs(route, &job->spec);
     job->deadline_ms = deadline_ms;
-    job->task_count = LeasedJob_Tasks(&job->spec) *
-                      LeasedJob_Times(&job->spec);
+    job->task_count = LeasedJob_TaskCount(&job->spec) *
+                      LeasedJob_OccurrenceCount(&job->spec);
     job->tasks = g_new0(Active_Task, job->task_count);
     job->open = job->task_count;
     job->trace = JobTrace_New(now_ms);
@@ -75,7 +75,7 @@
 }
 
 void
-Active_Move(Active_Job *job, Active_Task *task, Active_State state)
+Active_SetState(Active_Job *job, Active_Task *task, Active_State state)
 {
     if (task->state == state) {
         return;
@@ -113,8 +113,8 @@
 void
 Active_Unblock(Active_Job *job, int64_t wall_ms)
 {
-    uint32_t count = LeasedJob_Tasks(&job->spec);
-    uint32_t times = LeasedJob_Times(&job->spec);
+    uint32_t count = LeasedJob_TaskCount(&job->spec);
+    uint32_t times = LeasedJob_OccurrenceCount(&job->spec);
     uint32_t occurrence;
     uint32_t i;
 
@@ -128,7 +128,7 @@
         for (i = 0; i < count; i++) {
             uint64_t needed = Active_Step(job, &tasks[i])->depends_on;
             if (tasks[i].state == ACTIVE_BLOCKED && (needed & ~ended) == 0) {
-                Active_Move(job, &tasks[i], ACTIVE_WAITING);
+                Active_SetState(job, &tasks[i], ACTIVE_WAITING);
             }
         }
     }
@@ -185,13 +185,13 @@
 }
 
 bool
-Active_HasBegun(const Active_Job *job)
+Active_HasStarted(const Active_Job *job)
 {
     return job->starts > 0;
 }
 
 int64_t
-Active_WorthlessAfter(const Active_Job *job)
+Active_UsefulUntilMs(const Active_Job *job)
 {
     int64_t late_ms = job->arrived_ms +
                       LATE_OBJECTIVE_FACTOR *
--- a/lease/active.h
+++ b/lease/active_job.h
@@ -1,22 +1,22 @@
 /**
- * @file active.h
+ * @file active_job.h
  * @brief An active job of an entry and the state of each of its tasks.
  *
  * Owned by the dispatcher. Times are monotonic, in ms, unless stated
  * otherwise.
  */
-#ifndef LC_LEASE_ACTIVE_H
-#define LC_LEASE_ACTIVE_H
+#ifndef LC_LEASE_ACTIVE_JOB_H
+#define LC_LEASE_ACTIVE_JOB_H
 
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
 
 #include "base/address.h"
-#include "base/handle.h"
+#include "base/handle_table.h"
 #include "lease/job.h"
 #include "lease/job_trace.h"
-#include "lease/route.h"
+#include "lease/route_table.h"
 
 /** X(NAME, text): states of a task. */
 #define ACTIVE_STATE_LIST(X)                                                  \
@@ -50,7 +50,7 @@
     uint32_t refused;  /**< consecutive refused starts */
     uint32_t asks;     /**< queries for the outcome of the current run that
                           brought no answer */
-    int64_t asked_since_ms; /**< when the outcome of the run was first
+    int64_t outcome_queried_ms; /**< when the outcome of the run was first
                                queried: the run may have ended, and must not
                                be started again. 0 if it may be started */
 } Active_Task;
@@ -100,7 +100,7 @@
                                   const Active_Task *task);
 
 /** Changes the state of a task and updates the job's counts. */
-void Active_Move(Active_Job *job, Active_Task *task, Active_State state);
+void Active_SetState(Active_Job *job, Active_Task *task, Active_State state);
 
 /** Makes the blocked tasks WAITING whose dependencies have ended and whose
  * start time has come; @p wall_ms is the wall clock in ms. */
@@ -118,10 +118,10 @@
 int64_t Active_SlackMs(const Active_Job *job, int64_t now_ms);
 
 /** Whether a task of the job may have been started. */
-bool Active_HasBegun(const Active_Job *job);
+bool Active_HasStarted(const Active_Job *job);
 
 /** Latest time at which an answer still has some value: a fixed multiple of
  * the objective after the arrival, but not after the deadline. */
-int64_t Active_WorthlessAfter(const Active_Job *job);
+int64_t Active_UsefulUntilMs(const Active_Job *job);
 
 #endif
--- a/lease/incarnations.c
+++ b/lease/dead_incarnations.c
@@ -1,4 +1,4 @@
-#include "lease/incarnations.h"
+#include "lease/dead_incarnations.h"
 
 #include <string.h>
 
@@ -8,20 +8,20 @@
 } dead_incarnation;
 
 void
-Incarnations_Init(Incarnations *list)
+DeadIncarnations_Init(DeadIncarnations *list)
 {
     g_queue_init(&list->gone);
 }
 
 void
-Incarnations_Clear(Incarnations *list)
+DeadIncarnations_Clear(DeadIncarnations *list)
 {
     g_queue_clear_full(&list->gone, g_free);
 }
 
 bool
-Incarnations_IsGone(const Incarnations *list, const char *instance,
-                    int64_t born_ms)
+DeadIncarnations_Contains(const DeadIncarnations *list, const char *instance,
+                          int64_t born_ms)
 {
     const GList *item;
 
@@ -36,13 +36,14 @@
 }
 
 void
-Incarnations_NoteGone(Incarnations *list, const char *instance,
-                      int64_t born_ms)
+DeadIncarnations_Add(DeadIncarnations *list, const char *instance,
+                     int64_t born_ms)
 {
     size_t size = strlen(instance) + 1;
     dead_incarnation *incarnation;
 
-    if (instance[0] == '\0' || Incarnations_IsGone(list, instance, born_ms)) {
+    if (instance[0] == '\0' ||
+        DeadIncarnations_Contains(list, instance, born_ms)) {
         return;
     }
     incarnation = g_malloc(sizeof(*incarnation) + size);
--- a/lease/incarnations.h
+++ b/lease/dead_incarnations.h
@@ -1,5 +1,5 @@
 /**
- * @file incarnations.h
+ * @file dead_incarnations.h
  * @brief List of an upstream's incarnations that have certainly ended, so that
  * delayed messages of them are ignored.
  *
@@ -9,8 +9,8 @@
  * incarnations of the last 90 s. A heartbeat that was delayed for longer is
  * checked against what the upstream itself answers.
  */
-#ifndef LC_LEASE_INCARNATIONS_H
-#define LC_LEASE_INCARNATIONS_H
+#ifndef LC_LEASE_DEAD_INCARNATIONS_H
+#define LC_LEASE_DEAD_INCARNATIONS_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -21,19 +21,19 @@
 /** Ended incarnations, the latest first. */
 typedef struct {
     GQueue gone;
-} Incarnations;
+} DeadIncarnations;
 
-void Incarnations_Init(Incarnations *list);
-void Incarnations_Clear(Incarnations *list);
+void DeadIncarnations_Init(DeadIncarnations *list);
+void DeadIncarnations_Clear(DeadIncarnations *list);
 
 /** Adds an incarnation that has ended; an empty name is ignored. @p born_ms is
  * its start time in ms, 0 for an upstream that reports none: then no
  * other incarnation of that name is known. */
-void Incarnations_NoteGone(Incarnations *list, const char *instance,
-                           int64_t born_ms);
+void DeadIncarnations_Add(DeadIncarnations *list, const char *instance,
+                          int64_t born_ms);
 
 /** Whether an incarnation is known to have ended. */
-bool Incarnations_IsGone(const Incarnations *list, const char *instance,
-                         int64_t born_ms);
+bool DeadIncarnations_Contains(const DeadIncarnations *list,
+                               const char *instance, int64_t born_ms);
 
 #endif
--- a/lease/delegates.c
+++ b/lease/delegates.c
@@ -87,7 +87,8 @@
 }
 
 void
-Delegates_Offer(Delegates *delegates, const Address *addresses, guint count)
+Delegates_SetCandidates(Delegates *delegates, const Address *addresses,
+                        guint count)
 {
     guint i;
 
@@ -106,7 +107,7 @@
 }
 
 bool
-Delegates_IsDue(const Delegate *row, int64_t now_ms, bool wanted)
+Delegates_IsExtendDue(const Delegate *row, int64_t now_ms, bool wanted)
 {
     int64_t since_ms = now_ms - row->asked_ms;
 
@@ -120,16 +121,19 @@
 }
 
 int64_t
-Delegates_ValidUntil(const Delegate *row, const Term *term, int64_t now_ms)
+Delegates_ValidUntil(const Delegate *row, const LeaseTiming *term,
+                     int64_t now_ms)
 {
     if (row->received_ms == 0) {
         return 0;
     }
-    return Term_ValidUntil(term, row->stamp_ms, row->received_ms, now_ms);
+    return LeaseTiming_ValidUntil(term, row->stamp_ms, row->received_ms,
+                                  now_ms);
 }
 
 void
-Delegates_TakeWord(Delegate *row, int64_t now_ms, const lc_extend_res *answer)
+Delegates_ApplyAnswer(Delegate *row, int64_t now_ms,
+                      const lc_extend_res *answer)
 {
     int64_t headroom = (int64_t)MIN(answer->headroom, (uint64_t)MAX_HEADROOM);
 
@@ -141,7 +145,7 @@
 }
 
 void
-Delegates_Close(Delegate *row)
+Delegates_ClearCredit(Delegate *row)
 {
     row->credit_bytes = 0;
 }
--- a/lease/delegates.h
+++ b/lease/delegates.h
@@ -17,7 +17,7 @@
 #include <stdint.h>
 
 #include "base/address.h"
-#include "lease/term.h"
+#include "lease/lease_timing.h"
 #include "wire/msg.h"
 
 /** One other entry. */
@@ -31,7 +31,7 @@
     uint32_t jobs;        /**< forwarded to it and not ended */
     GArray *gone;         /**< uint64_t, numbers of dropped jobs it has not
                                acknowledged */
-    guint gone_told;      /**< how many of them the pending EXTEND carries */
+    guint gone_in_flight; /**< how many of them the pending EXTEND carries */
 } Delegate;
 
 /** All delegates. */
@@ -46,27 +46,27 @@
 
 /** Sets the live entries that may be used; a few of them become delegates.
  * Delegates that are not among them go once nothing of theirs is open. */
-void Delegates_Offer(Delegates *delegates, const Address *addresses,
-                     guint count);
+void Delegates_SetCandidates(Delegates *delegates, const Address *addresses,
+                             guint count);
 
 /** Returns the delegate at an address, or NULL. */
 Delegate *Delegates_Find(const Delegates *delegates, Address address);
 
 /** Whether an EXTEND is due. @p wanted: this entry's link is congested. */
-bool Delegates_IsDue(const Delegate *row, int64_t now_ms, bool wanted);
+bool Delegates_IsExtendDue(const Delegate *row, int64_t now_ms, bool wanted);
 
 /** End of validity of an EXTEND or FORWARD sent now, in ms on the delegate's
  * clock; 0 if that is not known. */
-int64_t Delegates_ValidUntil(const Delegate *row, const Term *term,
+int64_t Delegates_ValidUntil(const Delegate *row, const LeaseTiming *term,
                              int64_t now_ms);
 
 /** Applies a delegate's answer to an EXTEND. */
-void Delegates_TakeWord(Delegate *row, int64_t now_ms,
-                        const lc_extend_res *answer);
+void Delegates_ApplyAnswer(Delegate *row, int64_t now_ms,
+                           const lc_extend_res *answer);
 
 /** Clears the credit of a delegate that did not answer or refused a job: it is
  * sent no job until it answers again. */
-void Delegates_Close(Delegate *row);
+void Delegates_ClearCredit(Delegate *row);
 
 /** Returns the delegate with the most credit that can take a job which costs
  * its link @p bytes, or NULL. */
--- a/lease/dispatcher.c
+++ b/lease/dispatcher.c
@@ -23,7 +23,7 @@
     self->origins = g_ptr_array_new_with_free_func(g_free);
     self->origin_replies = g_hash_table_new_full(g_int64_hash, g_int64_equal,
                                                  g_free, g_free);
-    Closures_Init(&self->closures, now_ms);
+    HallClosures_Init(&self->closures, now_ms);
     LinkBudget_Init(&self->link, now_ms, config->link_mbps);
     QueueStats_Init(&self->stats);
     self->jobs = Handle_NewTable();
@@ -40,14 +40,14 @@
 {
     uint32_t i;
 
-    for (i = 0; i < Handle_Size(self->jobs); i++) {
-        Active_Job *job = Handle_At(self->jobs, i);
+    for (i = 0; i < Handle_RowCount(self->jobs); i++) {
+        Active_Job *job = Handle_ItemAt(self->jobs, i);
         if (job != NULL) {
             Active_Free(job);
         }
     }
-    for (i = 0; i < Handle_Size(self->calls); i++) {
-        g_free(Handle_At(self->calls, i));
+    for (i = 0; i < Handle_RowCount(self->calls); i++) {
+        g_free(Handle_ItemAt(self->calls, i));
     }
     Handle_FreeTable(self->jobs);
     Handle_FreeTable(self->calls);
@@ -57,7 +57,7 @@
     Delegates_Clear(&self->delegates);
     g_ptr_array_unref(self->origins);
     g_hash_table_unref(self->origin_replies);
-    Closures_Clear(&self->closures);
+    HallClosures_Clear(&self->closures);
     QueueStats_Clear(&self->stats);
     g_free(self);
 }
@@ -123,7 +123,7 @@
     Dispatcher_Arrival arrival = {
         .priority = submit->route->priority,
         .slack_ms = Route_ObjectiveMs(submit->route, &submit->job) -
-                    LeasedJob_ChainMs(&submit->job)};
+                    LeasedJob_CriticalPathMs(&submit->job)};
     int64_t wait_ms = DispatcherLink_WaitMs(self, now_ms, &arrival);
 
     return wait_ms > arrival.slack_ms ? wait_ms : 0;
@@ -142,9 +142,9 @@
     if (attach_to_existing(self, now_ms, submit)) {
         return;
     }
-    if (Handle_Count(self->jobs) >= self->config.max_jobs) {
+    if (Handle_ItemCount(self->jobs) >= self->config.max_jobs) {
         Err_Set(&status, ERR_QUEUE_FULL, "%u jobs are open at this entry",
-                Handle_Count(self->jobs));
+                Handle_ItemCount(self->jobs));
     }
     else if (!self->paused && DispatcherHosts_Isolated(self, now_ms)) {
         Err_Set(&status, ERR_WAIT_TOO_LONG,
@@ -160,7 +160,7 @@
         Err_Set(&status, ERR_WAIT_TOO_LONG,
                 "a task of the job exceeds the capacity of every upstream");
     }
-    else if (Route_Check(submit->route, &submit->job, &status) == ERR_OK &&
+    else if (Route_CheckJob(submit->route, &submit->job, &status) == ERR_OK &&
              (wait_ms = excessive_link_wait_ms(self, now_ms, submit)) > 0) {
         Err_Set(&status, ERR_WAIT_TOO_LONG,
                 "the job's starts would wait %lld ms for this entry's "
@@ -180,7 +180,7 @@
     job->handle = Handle_Add(self->jobs, job);
     g_hash_table_insert(self->by_id, &job->spec.id, job);
     Dispatcher_AttachRequest(self, job, submit->request_id);
-    Reserve_Note(&self->reserve, now_ms, job->priority, job->task_count);
+    Reserve_RecordJob(&self->reserve, now_ms, job->priority, job->task_count);
     self->dispatch_pending = true;
 }
 
@@ -228,15 +228,15 @@
 }
 
 bool
-Dispatcher_Look(const Dispatcher *self, uint64_t id, const char *queue,
-                bool *started)
+Dispatcher_HasOpenJob(const Dispatcher *self, uint64_t id, const char *queue,
+                      bool *started)
 {
     const Active_Job *job = g_hash_table_lookup(self->by_id, &id);
 
     if (job == NULL || job->closing || g_strcmp0(job->queue, queue) != 0) {
         return false;
     }
-    *started = Active_HasBegun(job);
+    *started = Active_HasStarted(job);
     return true;
 }
 
@@ -245,16 +245,16 @@
 {
     uint32_t i;
 
-    for (i = 0; i < Handle_Size(self->jobs); i++) {
-        const Active_Job *job = Handle_At(self->jobs, i);
-        if (job != NULL && !job->closing && !Active_HasBegun(job)) {
+    for (i = 0; i < Handle_RowCount(self->jobs); i++) {
+        const Active_Job *job = Handle_ItemAt(self->jobs, i);
+        if (job != NULL && !job->closing && !Active_HasStarted(job)) {
             QueueCounts_Add(counts, job->queue);
         }
     }
 }
 
 void
-Dispatcher_Settle(Dispatcher *self, int64_t now_ms)
+Dispatcher_DispatchWaiting(Dispatcher *self, int64_t now_ms)
 {
     if (self->dispatch_pending && !self->paused) {
         self->dispatch_pending = false;
@@ -263,19 +263,19 @@
 }
 
 int64_t
-Dispatcher_DueMs(const Dispatcher *self)
+Dispatcher_NextDispatchMs(const Dispatcher *self)
 {
-    return self->link_full ? LinkBudget_DueMs(&self->link) : INT64_MAX;
+    return self->link_full ? LinkBudget_NextStartMs(&self->link) : INT64_MAX;
 }
 
 void
-Dispatcher_NoteSent(Dispatcher *self, int64_t bytes)
+Dispatcher_AddSentBytes(Dispatcher *self, int64_t bytes)
 {
     LinkBudget_Spend(&self->link, bytes);
 }
 
 void
-Dispatcher_EndBy(Dispatcher *self, int64_t shutdown_ms)
+Dispatcher_SetShutdownTime(Dispatcher *self, int64_t shutdown_ms)
 {
     self->shutdown_ms = shutdown_ms;
 }
@@ -307,7 +307,7 @@
 {
     const Fleet_Host *host = DispatcherEnd_HostOf(self, task);
 
-    if (host == NULL || task->asked_since_ms != 0) {
+    if (host == NULL || task->outcome_queried_ms != 0) {
         return LC_HOLD_NONE;
     }
     return DispatcherOrigin_LimitLease(job, host, host->valid_until_ms);
@@ -331,7 +331,7 @@
             DispatcherCall_Halt(self, job, task);
         }
         else if (task->state == ACTIVE_ORPHANED) {
-            Active_Move(job, task, ACTIVE_SENT);
+            Active_SetState(job, task, ACTIVE_SENT);
             DispatcherCall_Run(self, job, task,
                                retry_valid_until_ms(self, job, task));
         }
@@ -347,7 +347,7 @@
     int64_t least_ms = (int64_t)Active_RemainingMs(job) *
                        MIN_ESTIMATE_PERCENT / PERCENT;
 
-    return job->waiting > 0 && now_ms + least_ms > Active_WorthlessAfter(job);
+    return job->waiting > 0 && now_ms + least_ms > Active_UsefulUntilMs(job);
 }
 
 /* A job that has not started when it can no longer meet its objective,
@@ -357,14 +357,14 @@
 cannot_meet_objective(const Dispatcher *self, const Active_Job *job,
                       int64_t now_ms)
 {
-    return !Active_HasBegun(job) && Active_SlackMs(job, now_ms) < 0 &&
-           Dispatcher_ReadyHosts(self, now_ms) > 0;
+    return !Active_HasStarted(job) && Active_SlackMs(job, now_ms) < 0 &&
+           Dispatcher_SchedulableHosts(self, now_ms) > 0;
 }
 
 static void
 refuse_if_not_started(Dispatcher *self, int64_t now_ms, Active_Job *job)
 {
-    if (!Active_HasBegun(job)) {
+    if (!Active_HasStarted(job)) {
         DispatcherEnd_GiveUp(self, now_ms, job, ERR_WAIT_TOO_LONG,
                              "this entry is cut off from all companions");
     }
@@ -385,14 +385,14 @@
         DispatcherEnd_GiveUp(self, now_ms, job, ERR_DEADLINE,
                              "the job cannot finish before its deadline");
     }
-    else if (!Active_HasBegun(job) &&
+    else if (!Active_HasStarted(job) &&
              DispatcherHalls_AllClosedFor(self, now_ms, &job->spec,
                                           job->service)) {
         DispatcherEnd_GiveUp(
             self, now_ms, job, ERR_HALL_CLOSED,
             "operators have closed all halls that could run the job");
     }
-    else if (!Active_HasBegun(job) &&
+    else if (!Active_HasStarted(job) &&
              DispatcherCapacity_ExceedsAll(self, now_ms, &job->spec,
                                            job->service)) {
         DispatcherEnd_GiveUp(self, now_ms, job, ERR_WAIT_TOO_LONG,
@@ -401,7 +401,7 @@
     }
     else if (cannot_meet_objective(self, job, now_ms)) {
         DispatcherEnd_GiveUp(self, now_ms, job, ERR_WAIT_TOO_LONG,
-                             LinkBudget_IsShort(&self->link, now_ms)
+                             LinkBudget_IsCongested(&self->link, now_ms)
                                  ? "this entry's network link was too busy to "
                                    "start the job in time for its objective"
                                  : "no companion had room in time for the "
@@ -421,8 +421,8 @@
     DispatcherLink_LogChange(self, now_ms);
     DispatcherOrigin_Tick(self, now_ms);
     DispatcherForward_Tick(self, now_ms);
-    for (i = 0; i < Handle_Size(self->jobs); i++) {
-        Active_Job *job = Handle_At(self->jobs, i);
+    for (i = 0; i < Handle_RowCount(self->jobs); i++) {
+        Active_Job *job = Handle_ItemAt(self->jobs, i);
         if (job == NULL) {
             continue;
         }
@@ -444,7 +444,7 @@
 bool
 Dispatcher_IsIdle(const Dispatcher *self)
 {
-    return self->unanswered == 0 && Handle_Count(self->jobs) == 0;
+    return self->unanswered == 0 && Handle_ItemCount(self->jobs) == 0;
 }
 
 void
@@ -452,25 +452,25 @@
 {
     QueueStats_Print(&self->stats, out);
     Histogram_Print(&self->belief_age, "belief_age", "", out);
-    Closures_Metrics(&self->closures, now_ms, out);
-    g_string_append_printf(out,
-                           "levercove_jobs_open %u\n"
-                           "levercove_companions_known %u\n"
-                           "levercove_companions_open %u\n"
-                           "levercove_companions_well %u\n"
-                           "levercove_reserve_tasks %u\n"
-                           "levercove_link_bytes_per_second %lld\n"
-                           "levercove_link_usable_bytes_per_second %lld\n"
-                           "levercove_link_short %d\n"
-                           "levercove_link_waits_total %llu\n",
-                           Handle_Count(self->jobs), self->fleet.hosts->len,
-                           Dispatcher_ReadyHosts(self, now_ms),
-                           Dispatcher_WellHosts(self, now_ms),
-                           Reserve_Tasks(&self->reserve, now_ms),
-                           (long long)self->link.rate,
-                           (long long)self->link.bytes_per_s,
-                           LinkBudget_IsShort(&self->link, now_ms),
-                           (unsigned long long)self->link.waits);
+    HallClosures_Metrics(&self->closures, now_ms, out);
+    g_string_append_printf(
+        out,
+        "levercove_jobs_open %u\n"
+        "levercove_companions_known %u\n"
+        "levercove_companions_open %u\n"
+        "levercove_companions_well %u\n"
+        "levercove_reserve_tasks %u\n"
+        "levercove_link_bytes_per_second %lld\n"
+        "levercove_link_usable_bytes_per_second %lld\n"
+        "levercove_link_short %d\n"
+        "levercove_link_waits_total %llu\n",
+        Handle_ItemCount(self->jobs), self->fleet.hosts->len,
+        Dispatcher_SchedulableHosts(self, now_ms),
+        Dispatcher_HealthyHosts(self, now_ms),
+        Reserve_TaskCount(&self->reserve, now_ms), (long long)self->link.rate,
+        (long long)self->link.bytes_per_s,
+        LinkBudget_IsCongested(&self->link, now_ms),
+        (unsigned long long)self->link.waits);
 }
 
 Counters *
@@ -491,8 +491,8 @@
                        g_ptr_array_index(self->fleet.hosts, i), now_ms));
     }
     return json_pack("{s:s, s:i, s:i, s:b, s:o, s:o}", "role", "entry", "jobs",
-                     (int)Handle_Count(self->jobs), "unanswered",
+                     (int)Handle_ItemCount(self->jobs), "unanswered",
                      (int)self->unanswered, "paused", self->paused,
                      "companions", hosts, "closed",
-                     Closures_Dump(&self->closures, now_ms));
+                     HallClosures_Dump(&self->closures, now_ms));
 }
--- a/lease/dispatcher.h
+++ b/lease/dispatcher.h
@@ -4,9 +4,9 @@
  * companion, when it is retried elsewhere, and when its caller is answered.
  *
  * The entry that received a job runs it and persists nothing. Two runs of a
- * task are kept from overlapping by lease times alone, see term.h. The module
- * does no I/O and reads no clock; ports must not call back into it. Arguments
- * are borrowed unless stated otherwise.
+ * task are kept from overlapping by lease times alone, see lease_timing.h. The
+ * module does no I/O and reads no clock; ports must not call back into it.
+ * Arguments are borrowed unless stated otherwise.
  */
 #ifndef LC_LEASE_DISPATCHER_H
 #define LC_LEASE_DISPATCHER_H
@@ -18,12 +18,12 @@
 #include "base/counter.h"
 #include "base/err.h"
 #include "base/event.h"
-#include "lease/closures.h"
 #include "lease/fleet.h"
+#include "lease/hall_closures.h"
 #include "lease/job.h"
+#include "lease/lease_timing.h"
 #include "lease/queue_counts.h"
-#include "lease/route.h"
-#include "lease/term.h"
+#include "lease/route_table.h"
 
 /** Retry delay suggested to a caller whose job was not run, in ms. */
 #define DISPATCHER_RETRY_MS 1000
@@ -35,7 +35,7 @@
     DISPATCHER_NOT_RUN,  /**< no task has started or will start */
     DISPATCHER_GIVEN_UP, /**< tasks were started, but there is no result */
     DISPATCHER_CANCELLED,
-    DISPATCHER_KEPT /**< recorded in the store; it will be run */
+    DISPATCHER_RECORDED /**< recorded in the store; it will be run */
 } Dispatcher_Outcome;
 
 /** Answer sent to a caller. */
@@ -57,12 +57,14 @@
      * fields. */
     void (*event)(void *context, Event_Id id, json_t *fields);
     /** A run of a durable job ended; @p done tells whether it succeeded. */
-    void (*kept_end)(void *context, const lc_run_id *id, uint32_t task,
-                     lc_node host, bool done);
+    void (*on_durable_run_end)(void *context, const lc_run_id *id,
+                               uint32_t task, lc_node host, bool done);
     /** An upstream crashed while it ran a task of a durable job. */
-    void (*kept_crash)(void *context, const lc_run_id *id, uint32_t task);
+    void (*on_durable_run_crash)(void *context, const lc_run_id *id,
+                                 uint32_t task);
     /** A durable job has ended. */
-    void (*kept_over)(void *context, uint64_t job, Dispatcher_Outcome outcome);
+    void (*on_durable_job_end)(void *context, uint64_t job,
+                               Dispatcher_Outcome outcome);
     /** Starts several tasks of a job; the reply to row i comes under
      * @p call_ids[i]. Only used if `join_runs` is set. */
     void (*runs)(void *context, Address to, const uint64_t *call_ids,
@@ -74,7 +76,7 @@
 /** Settings. */
 typedef struct {
     lc_node node;
-    Term term;
+    LeaseTiming term;
     char hall[LC_MAX_NAME];
     uint32_t max_jobs; /**< open at the same time */
     double link_mbps;  /**< capacity of this entry's link; 0: unknown */
@@ -100,10 +102,11 @@
     const Route *route;
     LeasedJob job;          /**< contents move to the dispatcher */
     const GByteArray *done; /**< bitmap of the finished tasks */
-    const GArray *failures; /**< lc_kept_failures, see KEPT_CRASHES */
-    const GArray *runs;     /**< Dispatcher_Placement */
-    uint32_t run_base;      /**< highest run number used before */
-} Dispatcher_Kept;
+    const GArray
+        *failures;      /**< lc_kept_failures, see DURABLE_LOG_CRASH_COUNT */
+    const GArray *runs; /**< Dispatcher_Placement */
+    uint32_t run_base;  /**< highest run number used before */
+} Dispatcher_DurableJob;
 
 /** Opaque dispatcher. */
 typedef struct Dispatcher Dispatcher;
@@ -131,8 +134,8 @@
 
 /** Whether a job is known here and still open; sets @p started to whether any
  * of its tasks has been started. */
-bool Dispatcher_Look(const Dispatcher *self, uint64_t job, const char *queue,
-                     bool *started);
+bool Dispatcher_HasOpenJob(const Dispatcher *self, uint64_t job,
+                           const char *queue, bool *started);
 
 /** Adds the jobs without a started task to @p counts, by queue. Queue names
  * are borrowed. */
@@ -141,18 +144,18 @@
 /** Sets the incarnation under which durable jobs are run. Durable jobs of the
  * previous one are dropped without stopping their runs: other entries take
  * them over. */
-void Dispatcher_OwnKept(Dispatcher *self, uint64_t incarnation);
+void Dispatcher_SetDurableOwner(Dispatcher *self, uint64_t incarnation);
 
 /** Sets whether durable jobs may be started and their leases renewed. */
-void Dispatcher_HoldKept(Dispatcher *self, bool enabled);
+void Dispatcher_EnableDurable(Dispatcher *self, bool enabled);
 
 /** Sets the offset of the wall clock from the monotonic clock, in ms; to be
  * called before each tick, as the wall clock may step. */
-void Dispatcher_SetWall(Dispatcher *self, int64_t offset_ms);
+void Dispatcher_SetWallOffset(Dispatcher *self, int64_t offset_ms);
 
 /** Adds a durable job; it has no caller and no deadline. */
-void Dispatcher_AddKept(Dispatcher *self, int64_t now_ms,
-                        Dispatcher_Kept *start);
+void Dispatcher_AddDurable(Dispatcher *self, int64_t now_ms,
+                           Dispatcher_DurableJob *start);
 
 /** Returns all known companions. */
 const Fleet *Dispatcher_Fleet(const Dispatcher *self);
@@ -165,13 +168,13 @@
                          const lc_report_args *report);
 
 /** Merges the list of halls closed by operators as received from @p source;
- * see Closures_Take for @p asked_ms. */
-void Dispatcher_TakeClosures(Dispatcher *self, int64_t now_ms,
-                             int64_t asked_ms, const lc_closures *received,
-                             const char *source);
+ * see HallClosures_Merge for @p asked_ms. */
+void Dispatcher_MergeClosures(Dispatcher *self, int64_t now_ms,
+                              int64_t asked_ms, const lc_closures *received,
+                              const char *source);
 
 /** Returns the closed halls as known here. */
-const Closures *Dispatcher_Closures(const Dispatcher *self);
+const Hall_Closures *Dispatcher_Closures(const Dispatcher *self);
 
 /** Handles the reply to a call; @p reply is NULL if the connection broke. */
 void Dispatcher_OnReply(Dispatcher *self, int64_t now_ms, uint64_t call_id,
@@ -180,12 +183,12 @@
 /** Starts the waiting tasks for which a companion has room. To be called once
  * all available input has been processed: the functions above only record it.
  */
-void Dispatcher_Settle(Dispatcher *self, int64_t now_ms);
+void Dispatcher_DispatchWaiting(Dispatcher *self, int64_t now_ms);
 
-/** Returns the time in ms at which Dispatcher_Settle must be called
+/** Returns the time in ms at which Dispatcher_DispatchWaiting must be called
  * again even without input, since starts wait for the link; INT64_MAX if none
  * wait. */
-int64_t Dispatcher_DueMs(const Dispatcher *self);
+int64_t Dispatcher_NextDispatchMs(const Dispatcher *self);
 
 /** Whether Dispatcher_OfferDelegates should be called now with the live
  * entries. */
@@ -209,12 +212,12 @@
                          const lc_extend_args *args);
 
 /** Counts bytes other than starts that this entry has sent over its link. */
-void Dispatcher_NoteSent(Dispatcher *self, int64_t bytes);
+void Dispatcher_AddSentBytes(Dispatcher *self, int64_t bytes);
 
 /** Announces that the process exits soon after @p shutdown_ms. Jobs still open
  * then are given up and answered, so that no caller sees only a broken
  * connection. */
-void Dispatcher_EndBy(Dispatcher *self, int64_t shutdown_ms);
+void Dispatcher_SetShutdownTime(Dispatcher *self, int64_t shutdown_ms);
 
 /** Starts no task until Dispatcher_Resume: after the process was suspended,
  * the input that arrived meanwhile must be read first. */
@@ -229,14 +232,14 @@
 
 /** Returns the minimum interval between two reports of one companion, in ms.
  * It grows with the number of companions to bound the total report rate. */
-uint32_t Dispatcher_ReportGapMs(const Dispatcher *self);
+uint32_t Dispatcher_ReportIntervalMs(const Dispatcher *self);
 
 /** Returns the number of companions that accept tasks now. */
-uint32_t Dispatcher_ReadyHosts(const Dispatcher *self, int64_t now_ms);
+uint32_t Dispatcher_SchedulableHosts(const Dispatcher *self, int64_t now_ms);
 
 /** Returns the number of healthy companions, including those in closed halls.
  */
-uint32_t Dispatcher_WellHosts(const Dispatcher *self, int64_t now_ms);
+uint32_t Dispatcher_HealthyHosts(const Dispatcher *self, int64_t now_ms);
 
 /** Appends metrics in the text format of scrapers. */
 void Dispatcher_Metrics(const Dispatcher *self, int64_t now_ms, GString *out);
--- a/lease/dispatcher_calls.c
+++ b/lease/dispatcher_calls.c
@@ -1,5 +1,5 @@
 #include "lease/dispatcher_state.h"
-#include "wire/runs.h"
+#include "wire/run_batch.h"
 
 uint64_t
 DispatcherCall_Send(Dispatcher *self, const Dispatcher_Call *about,
@@ -99,7 +99,7 @@
     for (i = 0; i < count; i++) {
         Dispatcher_Call about = about_task(job, tasks[i], MSG_RUN);
         run = run_args(self, job, tasks[i], valid_until_ms);
-        Runs_Put(&run, &runs.rows.rows_val[i]);
+        RunBatch_EncodeRow(&run, &runs.rows.rows_val[i]);
         call_ids[i] = Handle_Add(self->calls,
                                  g_memdup2(&about, sizeof(about)));
     }
@@ -153,8 +153,8 @@
                                              : 1;
         Fleet_Host *host = Fleet_Find(&self->fleet, group[0]->host.address);
         int64_t valid_until_ms = DispatcherOrigin_LimitLease(
-            job, host, Fleet_Hold(host, &self->config.term, now_ms));
-        ForwardChoice_NoteStarts(&self->sends, now_ms, count);
+            job, host, Fleet_ExtendHold(host, &self->config.term, now_ms));
+        ForwardChoice_CountStarts(&self->sends, now_ms, count);
         if (count > 1) {
             send_joined(self, job, group, count, valid_until_ms);
         }
@@ -187,7 +187,8 @@
     call.u.renew.owner = self->config.node;
     call.u.renew.kept = self->durable_enabled ? self->durable_owner : 0;
     call.u.renew.target = host->node.incarnation;
-    call.u.renew.valid_until_ms = Fleet_Hold(host, &self->config.term, now_ms);
-    host->renew_ms = now_ms;
-    host->renewing = DispatcherCall_Send(self, &about, &call);
+    call.u.renew.valid_until_ms = Fleet_ExtendHold(host, &self->config.term,
+                                                   now_ms);
+    host->renew_sent_ms = now_ms;
+    host->renew_call_id = DispatcherCall_Send(self, &about, &call);
 }
--- a/lease/dispatcher_fit.c
+++ b/lease/dispatcher_capacity.c
@@ -1,5 +1,5 @@
-#include "lease/choice.h"
 #include "lease/dispatcher_state.h"
+#include "lease/placement.h"
 #include "lease/resources.h"
 
 /* Time after the entry's start by which all live companions have reported to
@@ -27,7 +27,7 @@
 static bool
 is_too_small(const LeasedJob_Step *step, const Fleet_Host *host)
 {
-    return !Resources_IsNone(&host->capacity) &&
+    return !Resources_IsZero(&host->capacity) &&
            !Resources_Fit(&step->need, &host->capacity);
 }
 
@@ -40,7 +40,7 @@
 
     for (i = 0; i < self->fleet.hosts->len; i++) {
         const Fleet_Host *host = self->fleet.hosts->pdata[i];
-        if (!Choice_IsHeard(host, now_ms) ||
+        if (!Placement_IsLive(host, now_ms) ||
             !is_eligible(step, service, host)) {
             continue;
         }
--- a/lease/dispatcher_ends.c
+++ b/lease/dispatcher_completion.c
@@ -47,11 +47,11 @@
     DispatcherEnd_ReleaseHost(self, task);
     task->host = host;
     task->asks = 0;
-    if (task->asked_since_ms == 0) {
-        task->asked_since_ms = now_ms;
+    if (task->outcome_queried_ms == 0) {
+        task->outcome_queried_ms = now_ms;
     }
     task->again_ms = now_ms;
-    Active_Move(job, task, ACTIVE_ORPHANED);
+    Active_SetState(job, task, ACTIVE_ORPHANED);
     row = DispatcherEnd_HostOf(self, task);
     if (row != NULL) {
         row->running++;
@@ -69,11 +69,11 @@
     Active_Free(job);
 }
 
-static Queue_Outcome
+static QueueStats_Outcome
 outcome_of(int64_t now_ms, const Active_Job *job,
            const Dispatcher_Answer *answer)
 {
-    static const Queue_Outcome outcomes[] = {
+    static const QueueStats_Outcome outcomes[] = {
         [DISPATCHER_SUCCEEDED] = QUEUE_OUTCOME_IN_TIME,
         [DISPATCHER_FAILED] = QUEUE_OUTCOME_FAILED,
         [DISPATCHER_NOT_RUN] = QUEUE_OUTCOME_NOT_RUN,
@@ -89,7 +89,7 @@
 }
 
 static Event_Id
-event_of(Queue_Outcome outcome)
+event_of(QueueStats_Outcome outcome)
 {
     static const Event_Id events[QUEUE_OUTCOME_COUNT] = {
         [QUEUE_OUTCOME_IN_TIME] = EVENT_JOB_ANSWERED,
@@ -106,10 +106,10 @@
 
 void
 DispatcherEnd_RecordOutcome(Dispatcher *self, int64_t now_ms,
-                            const Active_Job *job, Queue_Outcome outcome,
+                            const Active_Job *job, QueueStats_Outcome outcome,
                             const char *detail)
 {
-    Queue_Stats *stats = QueueStats_Of(&self->stats, job->queue);
+    QueueStats *stats = QueueStats_Get(&self->stats, job->queue);
 
     stats->outcomes[outcome]++;
     Histogram_Add(&stats->answer, now_ms - job->arrived_ms);
@@ -133,7 +133,8 @@
     guint i;
 
     if (job->kept) {
-        self->ports->kept_over(self->context, job->spec.id, answer->outcome);
+        self->ports->on_durable_job_end(self->context, job->spec.id,
+                                        answer->outcome);
     }
     Counter_Add(&self->counters, counters[answer->outcome], 1);
     DispatcherEnd_RecordOutcome(
@@ -161,11 +162,11 @@
     for (i = 0; i < job->task_count; i++) {
         Active_Task *task = &job->tasks[i];
         if (task->state == ACTIVE_SENT || task->state == ACTIVE_ORPHANED) {
-            Active_Move(job, task, ACTIVE_HALTING);
+            Active_SetState(job, task, ACTIVE_HALTING);
             DispatcherCall_Halt(self, job, task);
         }
         else if (task->state != ACTIVE_HALTING) {
-            Active_Move(job, task, ACTIVE_OVER);
+            Active_SetState(job, task, ACTIVE_OVER);
         }
     }
     if (job->open == 0) {
@@ -188,7 +189,7 @@
     Dispatcher_Answer answer = {
         .outcome = DISPATCHER_GIVEN_UP, .kind = kind, .message = message};
 
-    if (!Active_HasBegun(job)) {
+    if (!Active_HasStarted(job)) {
         answer.outcome = DISPATCHER_NOT_RUN;
         if (Err_Outcome(kind) != OUTCOME_NOT_RUN) {
             answer.kind = ERR_WAIT_TOO_LONG;
@@ -206,7 +207,7 @@
         .outcome = DISPATCHER_SUCCEEDED, .kind = ERR_OK, .message = ""};
 
     task->done = true;
-    Active_Move(job, task, ACTIVE_OVER);
+    Active_SetState(job, task, ACTIVE_OVER);
     if (Active_IsDone(job)) {
         DispatcherEnd_Job(self, now_ms, job, &answer);
         return;
@@ -221,13 +222,13 @@
                       int64_t not_before_ms)
 {
     if (job->closing) {
-        Active_Move(job, task, ACTIVE_OVER);
+        Active_SetState(job, task, ACTIVE_OVER);
         if (job->open == 0) {
             DispatcherEnd_FreeJob(self, job);
         }
         return;
     }
-    Active_Move(job, task, ACTIVE_WAITING);
+    Active_SetState(job, task, ACTIVE_WAITING);
     task->again_ms = not_before_ms;
 }
 
@@ -279,10 +280,11 @@
     log_crash(self, now_ms, job, task);
     task->crashed = task->host.address;
     if (job->kept) {
-        self->ports->kept_crash(self->context, &task->id,
-                                LeasedJob_TaskNumber(&job->spec, &task->id));
+        self->ports->on_durable_run_crash(
+            self->context, &task->id,
+            LeasedJob_TaskNumber(&job->spec, &task->id));
     }
-    Active_Move(job, task, ACTIVE_WAITING);
+    Active_SetState(job, task, ACTIVE_WAITING);
     return DispatcherEnd_CheckCrashLimit(self, now_ms, job, task);
 }
 
@@ -302,7 +304,7 @@
         limit += TRIAL_EXTRA_ATTEMPTS;
     }
     if (!job->closing && task->failures >= limit) {
-        Active_Move(job, task, ACTIVE_OVER);
+        Active_SetState(job, task, ACTIVE_OVER);
         DispatcherEnd_Job(self, now_ms, job, &answer);
         return;
     }
--- a/lease/dispatcher_kept.c
+++ b/lease/dispatcher_durable.c
@@ -1,18 +1,18 @@
 #include "lease/dispatcher_state.h"
-#include "lease/kept.h"
+#include "lease/durable_log.h"
 
 /* Deadline of durable jobs, which have none. */
 #define NO_DEADLINE_MS (INT64_MAX / 4)
 
 void
-Dispatcher_OwnKept(Dispatcher *self, uint64_t incarnation)
+Dispatcher_SetDurableOwner(Dispatcher *self, uint64_t incarnation)
 {
     uint32_t i;
     uint32_t j;
 
     self->durable_owner = incarnation;
-    for (i = 0; i < Handle_Size(self->jobs); i++) {
-        Active_Job *job = Handle_At(self->jobs, i);
+    for (i = 0; i < Handle_RowCount(self->jobs); i++) {
+        Active_Job *job = Handle_ItemAt(self->jobs, i);
         if (job == NULL || !job->kept) {
             continue;
         }
@@ -24,13 +24,13 @@
 }
 
 void
-Dispatcher_SetWall(Dispatcher *self, int64_t offset_ms)
+Dispatcher_SetWallOffset(Dispatcher *self, int64_t offset_ms)
 {
     self->wall_offset_ms = offset_ms;
 }
 
 void
-Dispatcher_HoldKept(Dispatcher *self, bool enabled)
+Dispatcher_EnableDurable(Dispatcher *self, bool enabled)
 {
     self->durable_enabled = enabled;
     self->dispatch_pending |= enabled;
@@ -44,11 +44,11 @@
     for (i = 0; i < failures->len; i++) {
         const lc_kept_failures *row = &g_array_index(failures,
                                                      lc_kept_failures, i);
-        uint32_t task = row->task & ~KEPT_CRASHES;
+        uint32_t task = row->task & ~DURABLE_LOG_CRASH_COUNT;
         if (task >= job->task_count) {
             continue;
         }
-        if ((row->task & KEPT_CRASHES) != 0) {
+        if ((row->task & DURABLE_LOG_CRASH_COUNT) != 0) {
             job->tasks[task].crashes = row->count;
         }
         else {
@@ -58,16 +58,17 @@
 }
 
 static void
-restore_done(Active_Job *job, const Dispatcher_Kept *start, int64_t wall_ms)
+restore_done(Active_Job *job, const Dispatcher_DurableJob *start,
+             int64_t wall_ms)
 {
     uint32_t i;
 
     for (i = 0; i < job->task_count; i++) {
         Active_Task *task = &job->tasks[i];
         task->id.run = start->run_base;
-        if (Kept_IsDone(start->done, i)) {
+        if (DurableLog_IsDone(start->done, i)) {
             task->done = true;
-            Active_Move(job, task, ACTIVE_OVER);
+            Active_SetState(job, task, ACTIVE_OVER);
             job->starts++;
         }
     }
@@ -122,7 +123,8 @@
 }
 
 void
-Dispatcher_AddKept(Dispatcher *self, int64_t now_ms, Dispatcher_Kept *start)
+Dispatcher_AddDurable(Dispatcher *self, int64_t now_ms,
+                      Dispatcher_DurableJob *start)
 {
     Active_Job *job = Active_New(&start->job, start->route, now_ms,
                                  NO_DEADLINE_MS);
--- a/lease/dispatcher_forward.c
+++ b/lease/dispatcher_forward.c
@@ -11,7 +11,7 @@
 static bool
 may_forward(const Dispatcher *self, int64_t now_ms, const Active_Job *job)
 {
-    return LinkBudget_IsShort(&self->link, now_ms) && !job->kept &&
+    return LinkBudget_IsCongested(&self->link, now_ms) && !job->kept &&
            job->origin == NULL && !job->forward_refused &&
            job->first_sent_ms == 0 && job->spec.repeat_count == 0 &&
            self->shutdown_ms == INT64_MAX &&
@@ -27,7 +27,7 @@
 
     for (i = 0; i < job->task_count; i++) {
         if (job->tasks[i].state == from) {
-            Active_Move(job, &job->tasks[i], to);
+            Active_SetState(job, &job->tasks[i], to);
         }
     }
 }
@@ -58,7 +58,7 @@
     Msg_Call call = {.kind = MSG_FORWARD};
     lc_forward_args *args = &call.u.forward;
 
-    JobWire_Put(&job->spec, args);
+    JobWire_Encode(&job->spec, args);
     args->from = self->config.node;
     args->target = delegate->node.incarnation;
     args->number = job->forward_number;
@@ -84,7 +84,7 @@
     if (!may_forward(self, now_ms, job)) {
         return false;
     }
-    local_bytes = ForwardChoice_KeptBytes(&self->sends, job, largest);
+    local_bytes = ForwardChoice_LocalBytes(&self->sends, job, largest);
     forward_bytes = ForwardChoice_ForwardBytes(job);
     if (!ForwardChoice_IsBetter(local_bytes, forward_bytes)) {
         return false;
@@ -139,7 +139,7 @@
     Delegate *delegate = end_forward(self, job);
 
     if (delegate != NULL) {
-        Delegates_Close(delegate);
+        Delegates_ClearCredit(delegate);
     }
     Counter_Add(&self->counters, COUNTER_FORWARDS_REFUSED, 1);
     JobTrace_Add(job->trace, now_ms, JOB_TRACE_GIVEN_BACK, &job->tasks[0].id,
@@ -217,7 +217,7 @@
         extends ? Delegates_ValidUntil(row, &self->config.term, now_ms) : 0;
     call.u.extend.gone.gone_len = MIN(row->gone->len, LC_MAX_PEERS);
     call.u.extend.gone.gone_val = (u_quad_t *)(void *)row->gone->data;
-    row->gone_told = call.u.extend.gone.gone_len;
+    row->gone_in_flight = call.u.extend.gone.gone_len;
     row->asked_ms = now_ms;
     row->asking = DispatcherCall_Send(self, &about, &call);
 }
@@ -225,12 +225,12 @@
 void
 DispatcherForward_Tick(Dispatcher *self, int64_t now_ms)
 {
-    bool wanted = LinkBudget_IsShort(&self->link, now_ms);
+    bool wanted = LinkBudget_IsCongested(&self->link, now_ms);
     guint i;
 
     for (i = 0; i < self->delegates.rows->len; i++) {
         Delegate *row = g_ptr_array_index(self->delegates.rows, i);
-        if (Delegates_IsDue(row, now_ms, wanted)) {
+        if (Delegates_IsExtendDue(row, now_ms, wanted)) {
             send_extend(self, now_ms, row);
         }
     }
@@ -248,18 +248,18 @@
     }
     row->asking = 0;
     if (result == NULL) {
-        Delegates_Close(row);
+        Delegates_ClearCredit(row);
         return;
     }
-    g_array_remove_range(row->gone, 0, row->gone_told);
-    row->gone_told = 0;
-    Delegates_TakeWord(row, now_ms, result);
+    g_array_remove_range(row->gone, 0, row->gone_in_flight);
+    row->gone_in_flight = 0;
+    Delegates_ApplyAnswer(row, now_ms, result);
 }
 
 bool
 Dispatcher_WantsDelegates(const Dispatcher *self, int64_t now_ms)
 {
-    return LinkBudget_IsShort(&self->link, now_ms) ||
+    return LinkBudget_IsCongested(&self->link, now_ms) ||
            self->delegates.rows->len > 0;
 }
 
@@ -267,5 +267,5 @@
 Dispatcher_OfferDelegates(Dispatcher *self, const Address *addresses,
                           guint count)
 {
-    Delegates_Offer(&self->delegates, addresses, count);
+    Delegates_SetCandidates(&self->delegates, addresses, count);
 }
--- a/lease/dispatcher_halls.c
+++ b/lease/dispatcher_halls.c
@@ -1,11 +1,11 @@
 #include "lease/dispatcher_state.h"
 
-#include "lease/choice.h"
+#include "lease/placement.h"
 
 void
 DispatcherHalls_UpdateClosed(const Dispatcher *self, Fleet_Host *host)
 {
-    host->closed = Closures_Has(&self->closures, host->hall);
+    host->closed = HallClosures_Contains(&self->closures, host->hall);
 }
 
 /* Counts the known hosts in each closed hall, and this entry's runs there. A
@@ -39,7 +39,7 @@
 static void
 log_halls(const Dispatcher *self, const char *source)
 {
-    char *names = Closures_Text(&self->closures);
+    char *names = HallClosures_Text(&self->closures);
 
     if (Event_Admit(EVENT_HALLS)) {
         self->ports->event(self->context, EVENT_HALLS,
@@ -52,13 +52,13 @@
 }
 
 void
-Dispatcher_TakeClosures(Dispatcher *self, int64_t now_ms, int64_t asked_ms,
-                        const lc_closures *received, const char *source)
+Dispatcher_MergeClosures(Dispatcher *self, int64_t now_ms, int64_t asked_ms,
+                         const lc_closures *received, const char *source)
 {
     guint i;
 
-    if (Closures_Take(&self->closures, now_ms, asked_ms, received) !=
-        CLOSURES_DIFFERENT) {
+    if (HallClosures_Merge(&self->closures, now_ms, asked_ms, received) !=
+        HALL_CLOSURES_CHANGED) {
         return;
     }
     for (i = 0; i < self->fleet.hosts->len; i++) {
@@ -68,7 +68,7 @@
     self->dispatch_pending = true;
 }
 
-const Closures *
+const Hall_Closures *
 Dispatcher_Closures(const Dispatcher *self)
 {
     return &self->closures;
@@ -83,7 +83,7 @@
 
     for (i = 0; i < self->fleet.hosts->len; i++) {
         const Fleet_Host *host = self->fleet.hosts->pdata[i];
-        if (!Choice_IsHeard(host, now_ms) ||
+        if (!Placement_IsLive(host, now_ms) ||
             !DispatcherCapacity_CouldRun(step, service, host)) {
             continue;
         }
--- a/lease/dispatcher_hosts.c
+++ b/lease/dispatcher_hosts.c
@@ -1,7 +1,7 @@
 #include "lease/dispatcher_state.h"
 
 #include "base/address.h"
-#include "lease/choice.h"
+#include "lease/placement.h"
 
 /* A companion that has not answered a renewal for this long is suspect. */
 #define SUSPECT_MS 250
@@ -17,7 +17,8 @@
     guint i;
 
     for (i = 0; i < self->fleet.hosts->len; i++) {
-        if (Choice_IsHeard(g_ptr_array_index(self->fleet.hosts, i), now_ms)) {
+        if (Placement_IsLive(g_ptr_array_index(self->fleet.hosts, i),
+                             now_ms)) {
             return false;
         }
     }
@@ -55,8 +56,8 @@
     uint32_t j;
 
     host->running = 0;
-    for (i = 0; i < Handle_Size(self->jobs); i++) {
-        Active_Job *job = Handle_At(self->jobs, i);
+    for (i = 0; i < Handle_RowCount(self->jobs); i++) {
+        Active_Job *job = Handle_ItemAt(self->jobs, i);
         for (j = 0; job != NULL && j < job->task_count; j++) {
             Active_Task *task = &job->tasks[j];
             if (!DispatcherEnd_IsInFlight(task) ||
@@ -75,7 +76,7 @@
             task->avoid = address;
             DispatcherEnd_Requeue(self, job, task, now_ms);
             /* A job that was closing may have been freed. */
-            job = Handle_At(self->jobs, i);
+            job = Handle_ItemAt(self->jobs, i);
         }
     }
 }
@@ -85,21 +86,22 @@
                     const lc_report_args *report)
 {
     Fleet_Host *host = NULL;
-    Fleet_Change change = Fleet_TakeReport(&self->fleet, now_ms, report,
-                                           &host);
+    Fleet_Change change = Fleet_ApplyReport(&self->fleet, now_ms, report,
+                                            &host);
 
-    Dispatcher_TakeClosures(self, now_ms, CLOSURES_UNASKED, &report->closures,
-                            Address_Text(report->host.node.address));
+    Dispatcher_MergeClosures(self, now_ms, HALL_CLOSURES_UNSOLICITED,
+                             &report->closures,
+                             Address_Text(report->host.node.address));
     if (change == FLEET_STALE) {
         return;
     }
     DispatcherHalls_UpdateClosed(self, host);
-    if (change != FLEET_KNOWN) {
+    if (change != FLEET_SAME_INCARNATION) {
         DispatcherLog_Host(self, EVENT_COMPANION_FOUND, now_ms, host,
                            change == FLEET_NEW ? "new"
                                                : "another incarnation");
     }
-    if (change == FLEET_REBORN) {
+    if (change == FLEET_RESTARTED) {
         end_runs_at(self, now_ms, host, host->node.incarnation);
     }
     self->dispatch_pending = true;
@@ -120,7 +122,8 @@
 {
     int64_t certain_ms = Fleet_CertainEnd(host, &self->config.term);
 
-    if (host->renewing != 0 && now_ms - host->renew_ms > SUSPECT_MS) {
+    if (host->renew_call_id != 0 &&
+        now_ms - host->renew_sent_ms > SUSPECT_MS) {
         DispatcherHosts_Suspect(self, now_ms, host);
     }
     if (host->suspect && host->running > 0 && now_ms > certain_ms) {
@@ -128,14 +131,14 @@
         end_runs_at(self, now_ms, host, 0);
         return;
     }
-    if (host->running > 0 && !host->suspect && host->renewing == 0 &&
-        now_ms - host->renew_ms >= DISPATCHER_RENEW_MS) {
+    if (host->running > 0 && !host->suspect && host->renew_call_id == 0 &&
+        now_ms - host->renew_sent_ms >= DISPATCHER_RENEW_MS) {
         DispatcherCall_Renew(self, now_ms, host);
     }
 }
 
 uint32_t
-Dispatcher_ReportGapMs(const Dispatcher *self)
+Dispatcher_ReportIntervalMs(const Dispatcher *self)
 {
     return CLAMP(self->fleet.hosts->len * REPORT_INTERVAL_PER_HOST_MS,
                  REPORT_INTERVAL_MIN_MS, REPORT_INTERVAL_MAX_MS);
@@ -155,15 +158,15 @@
 }
 
 uint32_t
-Dispatcher_ReadyHosts(const Dispatcher *self, int64_t now_ms)
+Dispatcher_SchedulableHosts(const Dispatcher *self, int64_t now_ms)
 {
-    return count_hosts(self, now_ms, Choice_IsOpen);
+    return count_hosts(self, now_ms, Placement_IsSchedulable);
 }
 
 uint32_t
-Dispatcher_WellHosts(const Dispatcher *self, int64_t now_ms)
+Dispatcher_HealthyHosts(const Dispatcher *self, int64_t now_ms)
 {
-    return count_hosts(self, now_ms, Choice_IsWell);
+    return count_hosts(self, now_ms, Placement_IsHealthy);
 }
 
 json_t *
--- a/lease/dispatcher_link.c
+++ b/lease/dispatcher_link.c
@@ -11,7 +11,7 @@
 void
 DispatcherLink_LogChange(Dispatcher *self, int64_t now_ms)
 {
-    bool is_congested = LinkBudget_IsShort(&self->link, now_ms);
+    bool is_congested = LinkBudget_IsCongested(&self->link, now_ms);
     uint32_t waiting = 0;
     uint32_t i;
 
@@ -22,8 +22,8 @@
     if (!Event_Admit(EVENT_LINK_SHORT)) {
         return;
     }
-    for (i = 0; i < Handle_Size(self->jobs); i++) {
-        const Active_Job *job = Handle_At(self->jobs, i);
+    for (i = 0; i < Handle_RowCount(self->jobs); i++) {
+        const Active_Job *job = Handle_ItemAt(self->jobs, i);
         waiting += job != NULL && !job->closing && job->waiting > 0;
     }
     self->ports->event(
@@ -51,7 +51,7 @@
 start_bytes(const Dispatcher *self, const Active_Job *job,
             const lc_resources *largest, int64_t now_ms)
 {
-    int64_t local_bytes = ForwardChoice_KeptBytes(&self->sends, job, largest);
+    int64_t local_bytes = ForwardChoice_LocalBytes(&self->sends, job, largest);
     int64_t forward_bytes = ForwardChoice_ForwardBytes(job);
 
     if (ForwardChoice_IsBetter(local_bytes, forward_bytes) &&
@@ -70,12 +70,12 @@
     uint32_t i;
 
     if (self->link.bytes_per_s == 0 ||
-        !LinkBudget_IsShort(&self->link, now_ms)) {
+        !LinkBudget_IsCongested(&self->link, now_ms)) {
         return 0;
     }
     largest = DispatcherQueue_LargestRoom(self, now_ms);
-    for (i = 0; i < Handle_Size(self->jobs); i++) {
-        const Active_Job *job = Handle_At(self->jobs, i);
+    for (i = 0; i < Handle_RowCount(self->jobs); i++) {
+        const Active_Job *job = Handle_ItemAt(self->jobs, i);
         if (job != NULL && !job->closing && job->waiting > 0 &&
             is_sent_before(job, arrival, now_ms)) {
             bytes += start_bytes(self, job, &largest, now_ms);
--- a/lease/dispatcher_log.c
+++ b/lease/dispatcher_log.c
@@ -41,7 +41,7 @@
                   (int)(job->deadline_ms - job->arrived_ms), "priority",
                   (int)job->priority, "tasks", (int)job->task_count, "waiting",
                   (int)job->waiting, "open", (int)job->open, "companions",
-                  (int)Dispatcher_ReadyHosts(self, now_ms), "trace",
+                  (int)Dispatcher_SchedulableHosts(self, now_ms), "trace",
                   JobTrace_ToJson(job->trace)));
 }
 
--- a/lease/dispatcher_origin.c
+++ b/lease/dispatcher_origin.c
@@ -70,8 +70,8 @@
             "the lease of the entry that forwarded them expired");
     }
     row->jobs++; /* keeps the row while its jobs are freed */
-    for (i = 0; i < Handle_Size(self->jobs); i++) {
-        Active_Job *job = Handle_At(self->jobs, i);
+    for (i = 0; i < Handle_RowCount(self->jobs); i++) {
+        Active_Job *job = Handle_ItemAt(self->jobs, i);
         if (job != NULL && job->origin == row && !job->closing) {
             DispatcherEnd_GiveUp(
                 self, now_ms, job, ERR_LOST,
@@ -110,7 +110,7 @@
 {
     Dispatcher_Call about = {.kind = MSG_RENEW, .host = host->node};
     Msg_Call call = {.kind = MSG_RENEW};
-    int64_t hold_ms = Fleet_Hold(host, &self->config.term, now_ms);
+    int64_t hold_ms = Fleet_ExtendHold(host, &self->config.term, now_ms);
 
     call.u.renew.owner.address = self->config.node.address;
     call.u.renew.owner.incarnation = row->owner;
@@ -128,8 +128,8 @@
     uint32_t i;
     uint32_t j;
 
-    for (i = 0; i < Handle_Size(self->jobs); i++) {
-        const Active_Job *job = Handle_At(self->jobs, i);
+    for (i = 0; i < Handle_RowCount(self->jobs); i++) {
+        const Active_Job *job = Handle_ItemAt(self->jobs, i);
         if (job == NULL || job->origin != row || job->closing) {
             continue;
         }
@@ -198,8 +198,8 @@
     if (self->paused || self->shutdown_ms != INT64_MAX) {
         return "this entry accepts no forwarded jobs now";
     }
-    if (LinkBudget_IsShort(&self->link, now_ms) ||
-        Handle_Count(self->jobs) >= self->config.max_jobs ||
+    if (LinkBudget_IsCongested(&self->link, now_ms) ||
+        Handle_ItemCount(self->jobs) >= self->config.max_jobs ||
         DispatcherHosts_Isolated(self, now_ms)) {
         return "this entry has no capacity for the job";
     }
@@ -246,7 +246,7 @@
                         g_memdup2(&request, sizeof(request)),
                         g_memdup2(&reply_id, sizeof(reply_id)));
     Dispatcher_AttachRequest(self, job, request);
-    Reserve_Note(&self->reserve, now_ms, job->priority, job->task_count);
+    Reserve_RecordJob(&self->reserve, now_ms, job->priority, job->task_count);
     Counter_Add(&self->counters, COUNTER_FORWARDS_TAKEN, 1);
     DispatcherLog_Origin(self, EVENT_FORWARD_TAKEN, row, "");
     self->dispatch_pending = true;
@@ -264,10 +264,11 @@
     if (row != NULL && now_ms >= row->lease_end_ms) {
         expire_origin(self, now_ms, row);
     }
-    if (reason == NULL && JobWire_Get(args, &spec, &status) != ERR_OK) {
+    if (reason == NULL && JobWire_Decode(args, &spec, &status) != ERR_OK) {
         reason = status.message;
     }
-    else if (reason == NULL && Route_Check(route, &spec, &status) != ERR_OK) {
+    else if (reason == NULL &&
+             Route_CheckJob(route, &spec, &status) != ERR_OK) {
         LeasedJob_Clear(&spec);
         reason = status.message;
     }
@@ -309,8 +310,8 @@
     uint32_t i;
     guint j;
 
-    for (i = 0; i < Handle_Size(self->jobs); i++) {
-        const Active_Job *job = Handle_At(self->jobs, i);
+    for (i = 0; i < Handle_RowCount(self->jobs); i++) {
+        const Active_Job *job = Handle_ItemAt(self->jobs, i);
         if (job == NULL || job->origin != row || job->closing ||
             job->forward_number != number) {
             continue;
--- a/lease/dispatcher_queue.c
+++ b/lease/dispatcher_queue.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#include "lease/choice.h"
+#include "lease/placement.h"
 #include "lease/resources.h"
 
 /* Urgency of a job; the smaller rank is served first. Started jobs are served
@@ -26,9 +26,9 @@
     int64_t end_ms = job->objective_ms - slack_ms;
 
     if (slack_ms >= 0) {
-        return Active_HasBegun(job) ? RANK_STARTED : RANK_IN_TIME;
+        return Active_HasStarted(job) ? RANK_STARTED : RANK_IN_TIME;
     }
-    return end_ms <= Active_WorthlessAfter(job) ? RANK_LATE : RANK_WORTHLESS;
+    return end_ms <= Active_UsefulUntilMs(job) ? RANK_LATE : RANK_WORTHLESS;
 }
 
 static queue_entry
@@ -84,8 +84,8 @@
     task->id.run++;
     task->host = host->node;
     task->asks = 0;
-    task->asked_since_ms = 0;
-    Active_Move(job, task, ACTIVE_SENT);
+    task->outcome_queried_ms = 0;
+    Active_SetState(job, task, ACTIVE_SENT);
     job->starts++;
     host->running++;
     if (job->first_sent_ms == 0) {
@@ -96,7 +96,7 @@
     if (host->state == LC_UPSTREAM_TRIAL) {
         memset(&host->room, 0, sizeof(host->room)); /* one at a time */
     }
-    Resources_Take(&host->room, &Active_Step(job, task)->need);
+    Resources_Subtract(&host->room, &Active_Step(job, task)->need);
     Counter_Add(&self->counters, COUNTER_TASKS_STARTED, 1);
 }
 
@@ -108,7 +108,7 @@
 
     for (i = 0; i < self->fleet.hosts->len; i++) {
         const Fleet_Host *host = g_ptr_array_index(self->fleet.hosts, i);
-        if (Choice_IsOpen(host, now_ms)) {
+        if (Placement_IsSchedulable(host, now_ms)) {
             largest.cpu_milli = MAX(largest.cpu_milli, host->room.cpu_milli);
             largest.memory_mb = MAX(largest.memory_mb, host->room.memory_mb);
             largest.accelerators = MAX(largest.accelerators,
@@ -122,7 +122,7 @@
 may_start(const Dispatcher *self, int64_t now_ms, const Active_Job *job,
           const Active_Task *task)
 {
-    return Active_HasBegun(job) ||
+    return Active_HasStarted(job) ||
            Reserve_Allows(&self->reserve, &self->fleet, now_ms, job->priority,
                           &Active_Step(job, task)->need);
 }
@@ -133,15 +133,15 @@
 place_job(Dispatcher *self, int64_t now_ms, Active_Job *job,
           lc_resources *largest, GPtrArray *placed)
 {
-    Choice choice = {.fleet = &self->fleet,
-                     .hall = self->config.hall,
-                     .now_ms = now_ms,
-                     .random = &self->random};
+    Placement_Context choice = {.fleet = &self->fleet,
+                                .hall = self->config.hall,
+                                .now_ms = now_ms,
+                                .random = &self->random};
     bool few_calls = self->config.join_runs &&
-                     LinkBudget_IsShort(&self->link, now_ms);
+                     LinkBudget_IsCongested(&self->link, now_ms);
     uint32_t i;
 
-    choice.together = few_calls ? job->waiting : 0;
+    choice.packed_tasks = few_calls ? job->waiting : 0;
 
     for (i = 0; i < job->task_count && job->waiting > 0; i++) {
         Active_Task *task = &job->tasks[i];
@@ -153,14 +153,14 @@
             !may_start(self, now_ms, job, task)) {
             return;
         }
-        host = Choice_Host(&choice, job, task);
+        host = Placement_ChooseHost(&choice, job, task);
         if (host == NULL) {
             *largest = DispatcherQueue_LargestRoom(self, now_ms);
             return;
         }
         place_task(self, now_ms, job, task, host);
         choice.with = host;
-        choice.together = few_calls ? job->waiting : 0;
+        choice.packed_tasks = few_calls ? job->waiting : 0;
         g_ptr_array_add(placed, task);
     }
 }
@@ -189,8 +189,8 @@
     GArray *queue = g_array_new(FALSE, FALSE, sizeof(queue_entry));
     uint32_t i;
 
-    for (i = 0; i < Handle_Size(self->jobs); i++) {
-        Active_Job *job = Handle_At(self->jobs, i);
+    for (i = 0; i < Handle_RowCount(self->jobs); i++) {
+        Active_Job *job = Handle_ItemAt(self->jobs, i);
         if (job != NULL && !job->closing && job->waiting > 0 &&
             (self->durable_enabled || !job->kept)) {
             queue_entry entry = entry_of(job, now_ms);
@@ -206,8 +206,8 @@
 {
     uint32_t i;
 
-    for (i = 0; i < Handle_Size(self->jobs); i++) {
-        const Active_Job *job = Handle_At(self->jobs, i);
+    for (i = 0; i < Handle_RowCount(self->jobs); i++) {
+        const Active_Job *job = Handle_ItemAt(self->jobs, i);
         if (job != NULL && !job->closing && job->waiting > 0) {
             return true;
         }
@@ -226,7 +226,7 @@
     if (has_waiting(self)) {
         self->link_full = true;
         self->dispatch_pending = true;
-        LinkBudget_NoteWait(&self->link, now_ms);
+        LinkBudget_RecordWait(&self->link, now_ms);
     }
     return false;
 }
@@ -239,7 +239,7 @@
     guint i;
 
     self->link_full = false;
-    if (self->paused || Resources_IsNone(&largest) ||
+    if (self->paused || Resources_IsZero(&largest) ||
         !link_allows(self, now_ms)) {
         return;
     }
--- a/lease/dispatcher_replies.c
+++ b/lease/dispatcher_replies.c
@@ -51,7 +51,7 @@
 {
     bool refused = status == LC_RUN_EXPIRED || status == LC_RUN_NOT_READY;
 
-    return refused && task->asked_since_ms != 0 ? LC_RUN_LOST : status;
+    return refused && task->outcome_queried_ms != 0 ? LC_RUN_LOST : status;
 }
 
 static int64_t
@@ -68,7 +68,7 @@
     Counter_Add(&self->counters, COUNTER_WASTED_BUSY, 1);
     job->starts--;
     task->refused++;
-    ForwardChoice_NoteRefused(&self->sends);
+    ForwardChoice_CountRefused(&self->sends);
     if (host != NULL && status != LC_RUN_NO_ROOM) {
         host->avoid_until_ms = now_ms + (status == LC_RUN_CLOSED
                                              ? HALL_CLOSED_BACKOFF_MS
@@ -88,9 +88,10 @@
 
     DispatcherEnd_ReleaseHost(self, task);
     if (job->kept && (status == LC_RUN_DONE || status == LC_RUN_FAILED)) {
-        self->ports->kept_end(self->context, &task->id,
-                              LeasedJob_EndNumber(&job->spec, &task->id),
-                              task->host, status == LC_RUN_DONE);
+        self->ports->on_durable_run_end(
+            self->context, &task->id,
+            LeasedJob_RecordedEndNumber(&job->spec, &task->id), task->host,
+            status == LC_RUN_DONE);
     }
     JobTrace_Add(job->trace, now_ms, JOB_TRACE_ENDED, &task->id,
                  task->host.address, (int32_t)status);
@@ -143,7 +144,7 @@
     }
     if (result == NULL) {
         if (task->state == ACTIVE_SENT) {
-            Active_Move(job, task, ACTIVE_ORPHANED);
+            Active_SetState(job, task, ACTIVE_ORPHANED);
             if (task->asks == 0) {
                 JobTrace_Add(job->trace, now_ms, JOB_TRACE_ORPHANED, &task->id,
                              task->host.address, 0);
@@ -152,9 +153,9 @@
         }
         return;
     }
-    if (task->asked_since_ms != 0 && result->status == LC_RUN_NOT_READY &&
-        now_ms - task->asked_since_ms < DISPATCHER_OUTCOME_TIMEOUT_MS) {
-        Active_Move(job, task, ACTIVE_ORPHANED);
+    if (task->outcome_queried_ms != 0 && result->status == LC_RUN_NOT_READY &&
+        now_ms - task->outcome_queried_ms < DISPATCHER_OUTCOME_TIMEOUT_MS) {
+        Active_SetState(job, task, ACTIVE_ORPHANED);
         task->again_ms = now_ms + retry_delay_ms(task);
         return;
     }
@@ -200,13 +201,13 @@
     }
     switch (reply->kind) {
     case MSG_RUN:
-        Fleet_TakeState(host, now_ms, &reply->u.run.host);
+        Fleet_ApplyState(host, now_ms, &reply->u.run.host);
         break;
     case MSG_HALT:
-        Fleet_TakeState(host, now_ms, &reply->u.halt.host);
+        Fleet_ApplyState(host, now_ms, &reply->u.halt.host);
         break;
     case MSG_RENEW:
-        Fleet_TakeState(host, now_ms, &reply->u.renew.host);
+        Fleet_ApplyState(host, now_ms, &reply->u.renew.host);
         break;
     default:
         break;
@@ -219,10 +220,10 @@
 {
     Fleet_Host *host = Fleet_Find(&self->fleet, about->host.address);
 
-    if (host == NULL || host->renewing != call_id) {
+    if (host == NULL || host->renew_call_id != call_id) {
         return;
     }
-    host->renewing = 0;
+    host->renew_call_id = 0;
     if (reply == NULL) {
         DispatcherHosts_Suspect(self, now_ms, host);
     }
--- a/lease/dispatcher_state.h
+++ b/lease/dispatcher_state.h
@@ -10,16 +10,16 @@
 #ifndef LC_LEASE_DISPATCHER_STATE_H
 #define LC_LEASE_DISPATCHER_STATE_H
 
-#include "base/handle.h"
+#include "base/handle_table.h"
 #include "base/histogram.h"
-#include "lease/active.h"
-#include "lease/closures.h"
+#include "lease/active_job.h"
 #include "lease/delegates.h"
 #include "lease/dispatcher.h"
 #include "lease/forward_choice.h"
+#include "lease/hall_closures.h"
 #include "lease/link_budget.h"
+#include "lease/priority_reserve.h"
 #include "lease/queue_stats.h"
-#include "lease/reserve.h"
 
 /* Interval between renewals of the leases at a companion. */
 #define DISPATCHER_RENEW_MS 100
@@ -52,9 +52,9 @@
     const Dispatcher_Ports *ports;
     void *context;
     Counters counters;
-    Queue_Table stats;
+    QueueStats_Table stats;
     Fleet fleet;
-    Closures closures;
+    Hall_Closures closures;
     Reserve reserve;
     LinkBudget link;
     bool link_full;        /* starts wait for the link */
@@ -175,7 +175,7 @@
 /** Removes a job that is being freed from its origin. */
 void DispatcherOrigin_RemoveJob(Dispatcher *self, Active_Job *job);
 
-/* Completion of runs and jobs: dispatcher_ends.c. */
+/* Completion of runs and jobs: dispatcher_completion.c. */
 
 /** Frees a job and removes it from the tables. */
 void DispatcherEnd_FreeJob(Dispatcher *self, Active_Job *job);
@@ -227,7 +227,8 @@
 
 /** Counts and logs the outcome of a job. */
 void DispatcherEnd_RecordOutcome(Dispatcher *self, int64_t now_ms,
-                                 const Active_Job *job, Queue_Outcome outcome,
+                                 const Active_Job *job,
+                                 QueueStats_Outcome outcome,
                                  const char *detail);
 
 /** Stops the runs of a job that needs no answer any more, or frees the job if
@@ -283,7 +284,7 @@
 /** Renews leases, and requeues tasks whose lease has certainly expired. */
 void DispatcherHosts_Check(Dispatcher *self, int64_t now_ms, Fleet_Host *host);
 
-/* Capacity: dispatcher_fit.c. */
+/* Capacity: dispatcher_capacity.c. */
 
 /** Whether an idle host could run a task of the step. */
 bool DispatcherCapacity_CouldRun(const LeasedJob_Step *step,
--- a/lease/keeper.c
+++ b/lease/durable_jobs.c
@@ -1,9 +1,9 @@
-#include "lease/keeper.h"
+#include "lease/durable_jobs.h"
 
 #include <inttypes.h>
 #include <string.h>
 
-#include "lease/keeper_state.h"
+#include "lease/durable_jobs_state.h"
 #include "lease/run_id.h"
 
 /* An entry that has not read the log for this long no longer announces its
@@ -11,17 +11,18 @@
 #define OWNER_LOG_TIMEOUT_MS 2500
 #define EXPIRY_INTERVAL_MS 1000
 
-Keeper *
-Keeper_New(const Keeper_Config *config, const Keeper_Ports *ports,
-           void *context, Dispatcher *dispatcher, int64_t now_ms)
+DurableJobs *
+DurableJobs_New(const DurableJobs_Config *config,
+                const DurableJobs_Ports *ports, void *context,
+                Dispatcher *dispatcher, int64_t now_ms)
 {
-    Keeper *self = g_new0(Keeper, 1);
+    DurableJobs *self = g_new0(DurableJobs, 1);
 
     self->config = *config;
     self->ports = ports;
     self->context = context;
     self->dispatcher = dispatcher;
-    self->log = Kept_New();
+    self->log = DurableLog_New();
     /* Differs from the identity under which other jobs are run, because this
      * one can be revoked by a claim. */
     self->node = config->node;
@@ -42,7 +43,7 @@
                                     sizeof(DurableJobs_SeenOwner));
     self->claims = g_array_new(FALSE, TRUE, sizeof(lc_node));
     self->calls = Handle_NewTable();
-    Dispatcher_OwnKept(dispatcher, self->node.incarnation);
+    Dispatcher_SetDurableOwner(dispatcher, self->node.incarnation);
     return self;
 }
 
@@ -56,12 +57,12 @@
 }
 
 void
-Keeper_Free(Keeper *self)
+DurableJobs_Free(DurableJobs *self)
 {
     guint i;
 
-    for (i = 0; i < Handle_Size(self->calls); i++) {
-        DurableJobs_Call *call = Handle_At(self->calls, i);
+    for (i = 0; i < Handle_RowCount(self->calls); i++) {
+        DurableJobs_Call *call = Handle_ItemAt(self->calls, i);
         if (call != NULL) {
             free_call(call);
         }
@@ -88,17 +89,18 @@
     g_array_unref(self->peers);
     g_array_unref(self->seen_owners);
     g_array_unref(self->claims);
-    Kept_Free(self->log);
+    DurableLog_Free(self->log);
     g_free(self);
 }
 
 uint64_t
-DurableJobs_Put(Keeper *self, const char *key, const lc_kept_record *record)
+DurableJobs_Put(DurableJobs *self, const char *key,
+                const lc_kept_record *record)
 {
     GByteArray *bytes = g_byte_array_new();
     uint64_t number;
 
-    Msg_EncodeKept(record, bytes);
+    Msg_EncodeDurableRecord(record, bytes);
     number = self->ports->put(self->context, key, bytes->data, bytes->len);
     g_byte_array_unref(bytes);
     return number;
@@ -106,7 +108,7 @@
 
 /* The owner stops a cancelled job, even if its start is not accepted yet. */
 static void
-cancel_own_job(Keeper *self, int64_t now_ms, const DurableLog_Job *job)
+cancel_own_job(DurableJobs *self, int64_t now_ms, const DurableLog_Job *job)
 {
     if (g_hash_table_contains(self->jobs, &job->id)) {
         Dispatcher_OnCancel(self->dispatcher, now_ms, job->id, job->queue);
@@ -116,7 +118,7 @@
 /* Once an outcome is in the log, whoever wrote it, the job is not run any
  * more. */
 static void
-end_own_job(Keeper *self, int64_t now_ms, const DurableLog_Job *job)
+end_own_job(DurableJobs *self, int64_t now_ms, const DurableLog_Job *job)
 {
     DurableJobs_OwnJob *row = g_hash_table_lookup(self->jobs, &job->id);
 
@@ -129,9 +131,10 @@
 }
 
 void
-Keeper_OnRecord(Keeper *self, int64_t now_ms, const Kept_Record *record)
+DurableJobs_OnRecord(DurableJobs *self, int64_t now_ms,
+                     const DurableLog_Record *record)
 {
-    Kept_Change change = Kept_Take(self->log, now_ms, record);
+    DurableLog_Change change = DurableLog_Apply(self->log, now_ms, record);
 
     DurableTakeover_OnOwnerRecord(self, now_ms, DurableLog_Writer(record));
     switch (change.kind) {
@@ -157,11 +160,12 @@
 }
 
 void
-Keeper_OnRead(Keeper *self, int64_t now_ms, int64_t asked_ms)
+DurableJobs_OnLogRead(DurableJobs *self, int64_t now_ms, int64_t asked_ms)
 {
     self->log_read_ms = MAX(self->log_read_ms, asked_ms);
-    Dispatcher_HoldKept(self->dispatcher, now_ms - self->log_read_ms <
-                                              DURABLE_JOBS_LOG_TIMEOUT_MS);
+    Dispatcher_EnableDurable(self->dispatcher,
+                             now_ms - self->log_read_ms <
+                                 DURABLE_JOBS_LOG_TIMEOUT_MS);
     DurableTakeover_OnLogRead(self);
     DurableTakeover_AdvanceRecoveries(self, now_ms);
     DurableOwned_StartAll(self, now_ms);
@@ -172,7 +176,7 @@
 /* Deletes the records of jobs that ended more than `keep_ms` ago; done only by
  * the live entry with the lowest address. */
 static void
-drop_expired_jobs(Keeper *self, int64_t now_ms)
+drop_expired_jobs(DurableJobs *self, int64_t now_ms)
 {
     GPtrArray *over;
     char key[DURABLE_LOG_KEY_SIZE];
@@ -209,7 +213,7 @@
 }
 
 void
-Keeper_Settle(Keeper *self, int64_t now_ms)
+DurableJobs_Flush(DurableJobs *self, int64_t now_ms)
 {
     GHashTableIter iter;
     gpointer id;
@@ -224,11 +228,11 @@
 
 /* All companions are asked to report until this long after the last job has
  * ended: longer than they are certain to hold its ends
- * (lease/runner_kept.c). */
+ * (lease/runner_durable.c). */
 #define ALL_REPORTS_AFTER_END_MS 30000
 
 static void
-update_last_open(Keeper *self, int64_t now_ms)
+update_last_open(DurableJobs *self, int64_t now_ms)
 {
     if (DurableLog_OpenCount(self->log) == 0) {
         if (now_ms - self->last_open_ms >= ALL_REPORTS_AFTER_END_MS) {
@@ -243,28 +247,29 @@
 }
 
 bool
-Keeper_NeedsAll(const Keeper *self)
+DurableJobs_NeedsAllReports(const DurableJobs *self)
 {
     return self->last_open_ms != 0 || DurableLog_OpenCount(self->log) > 0;
 }
 
 bool
-Keeper_IsQuiet(const Keeper *self)
+DurableJobs_IsLogUnused(const DurableJobs *self)
 {
     return DurableLog_OpenCount(self->log) == 0 && self->waiters->len == 0 &&
            self->state_queries->len == 0;
 }
 
 void
-Keeper_Tick(Keeper *self, int64_t now_ms)
+DurableJobs_Tick(DurableJobs *self, int64_t now_ms)
 {
     update_last_open(self, now_ms);
-    if (Keeper_IsQuiet(self)) {
+    if (DurableJobs_IsLogUnused(self)) {
         self->last_quiet_ms = now_ms;
     }
-    Dispatcher_HoldKept(self->dispatcher, self->log_read_ms != 0 &&
-                                              now_ms - self->log_read_ms <
-                                                  DURABLE_JOBS_LOG_TIMEOUT_MS);
+    Dispatcher_EnableDurable(self->dispatcher,
+                             self->log_read_ms != 0 &&
+                                 now_ms - self->log_read_ms <
+                                     DURABLE_JOBS_LOG_TIMEOUT_MS);
     DurableCaller_ExpireWaiters(self, now_ms);
     DurableCaller_AnswerStateQueries(self, now_ms);
     DurableOwned_SendReleases(self);
@@ -281,8 +286,8 @@
 }
 
 void
-Keeper_OnReply(Keeper *self, int64_t now_ms, uint64_t call_id,
-               const Msg_Reply *reply)
+DurableJobs_OnReply(DurableJobs *self, int64_t now_ms, uint64_t call_id,
+                    const Msg_Reply *reply)
 {
     DurableJobs_Call *call = Handle_Remove(self->calls, call_id);
 
@@ -299,7 +304,7 @@
 }
 
 void
-Keeper_Leave(Keeper *self, int64_t now_ms)
+DurableJobs_HandOver(DurableJobs *self, int64_t now_ms)
 {
     lc_node successor = DurableTakeover_PickSuccessor(self, now_ms);
 
@@ -310,7 +315,7 @@
 }
 
 uint64_t
-Keeper_Identity(const Keeper *self, int64_t now_ms)
+DurableJobs_OwnerIncarnation(const DurableJobs *self, int64_t now_ms)
 {
     bool reliable = self->log_read_ms != 0 &&
                     now_ms - self->log_read_ms < OWNER_LOG_TIMEOUT_MS;
@@ -319,14 +324,14 @@
 }
 
 bool
-Keeper_IsIdle(const Keeper *self)
+DurableJobs_IsIdle(const DurableJobs *self)
 {
     return self->waiters->len == 0 && self->state_queries->len == 0 &&
            g_hash_table_size(self->jobs) == 0;
 }
 
 void
-Keeper_Metrics(const Keeper *self, int64_t now_ms, GString *out)
+DurableJobs_Metrics(const DurableJobs *self, int64_t now_ms, GString *out)
 {
     g_string_append_printf(out,
                            "levercove_kept_jobs_open %u\n"
@@ -341,7 +346,7 @@
 }
 
 json_t *
-Keeper_Dump(const Keeper *self, int64_t now_ms)
+DurableJobs_Dump(const DurableJobs *self, int64_t now_ms)
 {
     return json_pack(
         "{s:i, s:i, s:i, s:i, s:I, s:b}", "open",
--- a/lease/keeper.h
+++ b/lease/durable_jobs.h
@@ -1,35 +1,36 @@
 /**
- * @file keeper.h
+ * @file durable_jobs.h
  * @brief Management of durable jobs in an entry: when a submission may be
  * acknowledged, which progress is recorded, when the jobs of a failed owner
  * are taken over, and when their tasks may be started again.
  *
- * All entries read the same log of records (kept.h); the order of the records
- * decides who owns a job. The owner runs the job through its dispatcher, under
- * an owner identity that it replaces once another entry has claimed it. No
- * I/O and no clock; ports never call back. Arguments are borrowed unless
- * stated otherwise.
+ * All entries read the same log of records (durable_log.h); the order of the
+ * records decides who owns a job. The owner runs the job through its
+ * dispatcher, under an owner identity that it replaces once another entry has
+ * claimed it. No I/O and no clock; ports never call back. Arguments are
+ * borrowed unless stated otherwise.
  */
-#ifndef LC_LEASE_KEEPER_H
-#define LC_LEASE_KEEPER_H
+#ifndef LC_LEASE_DURABLE_JOBS_H
+#define LC_LEASE_DURABLE_JOBS_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
 #include "lease/dispatcher.h"
-#include "lease/kept.h"
+#include "lease/durable_log.h"
 #include "lease/queue_counts.h"
 
 /** State of a job as reported to callers. */
 typedef enum {
-    KEEPER_UNKNOWN, /**< no such job */
-    KEEPER_STALE,   /**< not known here, but the log was not read recently */
-    KEEPER_PENDING,
-    KEEPER_RUNNING,
-    KEEPER_SUCCEEDED,
-    KEEPER_FAILED,
-    KEEPER_CANCELLED
-} Keeper_State;
+    DURABLE_JOB_UNKNOWN, /**< no such job */
+    DURABLE_JOB_STALE,   /**< not known here, but the log was not read recently
+                          */
+    DURABLE_JOB_PENDING,
+    DURABLE_JOB_RUNNING,
+    DURABLE_JOB_SUCCEEDED,
+    DURABLE_JOB_FAILED,
+    DURABLE_JOB_CANCELLED
+} DurableJobs_State;
 
 /** Functions provided by the embedder; none may call back. */
 typedef struct {
@@ -42,7 +43,7 @@
                    const Dispatcher_Answer *answer);
     /** Answers a caller's query with a job's state. */
     void (*answer_state)(void *context, uint64_t request_id,
-                         Keeper_State state);
+                         DurableJobs_State state);
     /** Sends an RPC call to a companion. */
     void (*call)(void *context, Address to, uint64_t call_id,
                  const Msg_Call *call);
@@ -53,7 +54,7 @@
                       LeasedJob *job, Status *status);
     /** Emits a log event. */
     void (*event)(void *context, Event_Id id, const char *detail);
-} Keeper_Ports;
+} DurableJobs_Ports;
 
 typedef struct {
     lc_node node;        /**< this entry; its owner identities use the
@@ -62,7 +63,7 @@
     int64_t resubmit_ms; /**< time after which the runs of an owner whose
                               lease has expired are over */
     int64_t keep_ms;     /**< how long a job's outcome can be queried */
-} Keeper_Config;
+} DurableJobs_Config;
 
 /** Submission of a durable job. */
 typedef struct {
@@ -70,116 +71,125 @@
     const Route *route;
     const char *body; /**< request body as submitted */
     const LeasedJob *job;
-} Keeper_Submit;
+} DurableJobs_Submit;
 
 /** Opaque state of the durable jobs of an entry. */
-typedef struct Keeper Keeper;
+typedef struct DurableJobs DurableJobs;
 
 /** Creates the state; jobs are run through @p dispatcher, which is borrowed.
- * The caller frees the result with Keeper_Free. */
-Keeper *Keeper_New(const Keeper_Config *config, const Keeper_Ports *ports,
-                   void *context, Dispatcher *dispatcher, int64_t now_ms);
-void Keeper_Free(Keeper *self);
+ * The caller frees the result with DurableJobs_Free. */
+DurableJobs *DurableJobs_New(const DurableJobs_Config *config,
+                             const DurableJobs_Ports *ports, void *context,
+                             Dispatcher *dispatcher, int64_t now_ms);
+void DurableJobs_Free(DurableJobs *self);
 
 /** Handles a submission: answers it once its record is written, or rejects
  * it. */
-void Keeper_OnSubmit(Keeper *self, int64_t now_ms,
-                     const Keeper_Submit *submit);
+void DurableJobs_OnSubmit(DurableJobs *self, int64_t now_ms,
+                          const DurableJobs_Submit *submit);
 
 /** Cancels a job; returns false if it is not a durable job known here. */
-bool Keeper_OnCancel(Keeper *self, int64_t now_ms, uint64_t request_id,
-                     uint64_t job, const char *queue);
+bool DurableJobs_OnCancel(DurableJobs *self, int64_t now_ms,
+                          uint64_t request_id, uint64_t job,
+                          const char *queue);
 
 /** Cancels a job that is not known here. The log is read again first, because
  * another entry may have accepted the job a moment ago. */
-void Keeper_CancelUnknown(Keeper *self, int64_t now_ms, uint64_t request,
-                          uint64_t id, const char *queue);
+void DurableJobs_CancelUnknown(DurableJobs *self, int64_t now_ms,
+                               uint64_t request, uint64_t id,
+                               const char *queue);
 
 /** A caller has disconnected: it gets no answer, but its job remains. */
-void Keeper_OnCallerGone(Keeper *self, uint64_t request_id);
+void DurableJobs_OnCallerGone(DurableJobs *self, uint64_t request_id);
 
 /** A caller queries a job's state. The answer is immediate unless the job is
  * open: then it is delayed briefly to wait for the outcome, because callers
  * mostly ask when they expect the job to have ended. */
-void Keeper_OnLook(Keeper *self, int64_t now_ms, uint64_t request, uint64_t id,
-                   const char *queue);
+void DurableJobs_OnStateQuery(DurableJobs *self, int64_t now_ms,
+                              uint64_t request, uint64_t id,
+                              const char *queue);
 
 /** Returns the current state of a job. */
-Keeper_State Keeper_Look(const Keeper *self, int64_t now_ms, uint64_t id,
-                         const char *queue);
+DurableJobs_State DurableJobs_StateOf(const DurableJobs *self, int64_t now_ms,
+                                      uint64_t id, const char *queue);
 
 /** Adds this owner's jobs of which no task was started to @p counts, by
  * queue. Queue names are borrowed. */
-void Keeper_AddWaiting(const Keeper *self, QueueCounts *counts);
+void DurableJobs_CountWaiting(const DurableJobs *self, QueueCounts *counts);
 
 /** Applies a record read from the log. */
-void Keeper_OnRecord(Keeper *self, int64_t now_ms, const Kept_Record *record);
+void DurableJobs_OnRecord(DurableJobs *self, int64_t now_ms,
+                          const DurableLog_Record *record);
 
 /** All records that the log held at @p asked_ms have been read. */
-void Keeper_OnRead(Keeper *self, int64_t now_ms, int64_t asked_ms);
+void DurableJobs_OnLogRead(DurableJobs *self, int64_t now_ms,
+                           int64_t asked_ms);
 
 /** All records up to @p number are written. */
-void Keeper_OnWritten(Keeper *self, int64_t now_ms, uint64_t number);
+void DurableJobs_OnWritten(DurableJobs *self, int64_t now_ms, uint64_t number);
 
 /** Task number of a run end that is not to be recorded. */
 #define DURABLE_JOBS_NO_TASK UINT32_MAX
 
 /** The dispatcher reports that a run has ended; @p done on success. */
-void Keeper_OnRunEnd(Keeper *self, const lc_run_id *id, uint32_t task,
-                     lc_node host, bool done);
+void DurableJobs_OnRunEnd(DurableJobs *self, const lc_run_id *id,
+                          uint32_t task, lc_node host, bool done);
 
 /** The dispatcher reports that an upstream crashed while executing a run. */
-void Keeper_OnCrash(Keeper *self, const lc_run_id *id, uint32_t task);
+void DurableJobs_OnUpstreamCrash(DurableJobs *self, const lc_run_id *id,
+                                 uint32_t task);
 
 /** The dispatcher reports that a job has ended. */
-void Keeper_OnJobOver(Keeper *self, uint64_t job, Dispatcher_Outcome outcome);
+void DurableJobs_OnJobEnd(DurableJobs *self, uint64_t job,
+                          Dispatcher_Outcome outcome);
 
 /** A message of another entry has arrived; @p owner_incarnation is the
  * incarnation of its owner identity, 0 if it cannot manage its jobs. */
-void Keeper_OnPeer(Keeper *self, int64_t now_ms, Address address,
-                   uint64_t owner_incarnation);
+void DurableJobs_OnPeer(DurableJobs *self, int64_t now_ms, Address address,
+                        uint64_t owner_incarnation);
 
 /** Address of an entry that reads the log and was heard from recently, or
  * 0. */
-Address Keeper_SomePeer(const Keeper *self, int64_t now_ms);
+Address DurableJobs_LivePeer(const DurableJobs *self, int64_t now_ms);
 
 /** A call sent through the port has ended; @p reply is NULL if it failed. */
-void Keeper_OnReply(Keeper *self, int64_t now_ms, uint64_t call_id,
-                    const Msg_Reply *reply);
+void DurableJobs_OnReply(DurableJobs *self, int64_t now_ms, uint64_t call_id,
+                         const Msg_Reply *reply);
 
 /** A companion has reported, or has restarted. */
-void Keeper_OnHost(Keeper *self, int64_t now_ms);
+void DurableJobs_OnHost(DurableJobs *self, int64_t now_ms);
 
 /** Writes the records of changed jobs; to be called once all pending input
  * has been processed. */
-void Keeper_Settle(Keeper *self, int64_t now_ms);
+void DurableJobs_Flush(DurableJobs *self, int64_t now_ms);
 
 /** Handles timeouts; to be called at least every `term.tick_ms`. */
-void Keeper_Tick(Keeper *self, int64_t now_ms);
+void DurableJobs_Tick(DurableJobs *self, int64_t now_ms);
 
 /** Hands all jobs over to another entry, including those submitted later. */
-void Keeper_Leave(Keeper *self, int64_t now_ms);
+void DurableJobs_HandOver(DurableJobs *self, int64_t now_ms);
 
 /** Incarnation of the owner identity to announce to other entries; 0 if this
  * entry is leaving or has not read the log recently. */
-uint64_t Keeper_Identity(const Keeper *self, int64_t now_ms);
+uint64_t DurableJobs_OwnerIncarnation(const DurableJobs *self, int64_t now_ms);
 
 /** Whether no durable job is open and no caller waits for one, so that nothing
  * depends on reading the log soon. */
-bool Keeper_IsQuiet(const Keeper *self);
+bool DurableJobs_IsLogUnused(const DurableJobs *self);
 
 /** Whether this entry needs reports from every companion, and frequent
  * messages from every entry: durable jobs of some entry are open, or were
  * until recently. A successor asks all companions for the runs they hold. */
-bool Keeper_NeedsAll(const Keeper *self);
+bool DurableJobs_NeedsAllReports(const DurableJobs *self);
 
 /** Whether no caller waits and this entry owns no open job. */
-bool Keeper_IsIdle(const Keeper *self);
+bool DurableJobs_IsIdle(const DurableJobs *self);
 
 /** Appends metrics in the text exposition format. */
-void Keeper_Metrics(const Keeper *self, int64_t now_ms, GString *out);
+void DurableJobs_Metrics(const DurableJobs *self, int64_t now_ms,
+                         GString *out);
 
 /** Returns the state as JSON for operators; the caller owns the result. */
-json_t *Keeper_Dump(const Keeper *self, int64_t now_ms);
+json_t *DurableJobs_Dump(const DurableJobs *self, int64_t now_ms);
 
 #endif
--- a/lease/keeper_callers.c
+++ b/lease/durable_jobs_callers.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "lease/keeper_state.h"
+#include "lease/durable_jobs_state.h"
 
 /* Longest time a caller waits until its record is written. */
 #define WRITE_TIMEOUT_MS 2000
@@ -13,7 +13,7 @@
 #define QUIET_POLL_EXTRA_MS 1500
 
 static void
-answer(Keeper *self, uint64_t request, Dispatcher_Outcome outcome,
+answer(DurableJobs *self, uint64_t request, Dispatcher_Outcome outcome,
        Err_Kind kind, const char *message)
 {
     Dispatcher_Answer answer = {
@@ -26,7 +26,7 @@
 }
 
 bool
-DurableCaller_IsLogDown(const Keeper *self, int64_t now_ms)
+DurableCaller_IsLogDown(const DurableJobs *self, int64_t now_ms)
 {
     bool quiet = self->last_quiet_ms != 0 &&
                  now_ms - self->last_quiet_ms <= LOG_TIMEOUT_MS;
@@ -36,7 +36,7 @@
 }
 
 static DurableJobs_Waiter *
-find_submit_waiter(const Keeper *self, uint64_t job)
+find_submit_waiter(const DurableJobs *self, uint64_t job)
 {
     guint i;
 
@@ -51,8 +51,8 @@
 }
 
 static void
-add_waiter(Keeper *self, int64_t now_ms, uint64_t number, uint64_t request,
-           uint64_t job, const char *queue, bool cancels)
+add_waiter(DurableJobs *self, int64_t now_ms, uint64_t number,
+           uint64_t request, uint64_t job, const char *queue, bool cancels)
 {
     DurableJobs_Waiter waiter = {.number = number,
                                  .request = request,
@@ -67,7 +67,8 @@
 
 /* An ID denotes one job, whoever submits it and however often. */
 static bool
-answer_if_known(Keeper *self, int64_t now_ms, const Keeper_Submit *submit)
+answer_if_known(DurableJobs *self, int64_t now_ms,
+                const DurableJobs_Submit *submit)
 {
     const DurableLog_Job *known = DurableLog_Find(self->log, submit->job->id);
     const DurableJobs_Waiter *waiter = find_submit_waiter(self,
@@ -75,7 +76,7 @@
 
     if (known != NULL && known->submitted) {
         if (strcmp(known->queue, submit->route->name) == 0) {
-            answer(self, submit->request_id, DISPATCHER_KEPT, ERR_OK, "");
+            answer(self, submit->request_id, DISPATCHER_RECORDED, ERR_OK, "");
         }
         else {
             answer(self, submit->request_id, DISPATCHER_NOT_RUN,
@@ -95,7 +96,7 @@
 /* An entry that is shutting down assigns new jobs to another entry, if one can
  * take them. */
 static lc_node
-choose_owner(const Keeper *self, int64_t now_ms)
+choose_owner(const DurableJobs *self, int64_t now_ms)
 {
     lc_node other = {0, 0};
 
@@ -106,7 +107,7 @@
 }
 
 static uint64_t
-put_submit(Keeper *self, const Keeper_Submit *submit, lc_node owner)
+put_submit(DurableJobs *self, const DurableJobs_Submit *submit, lc_node owner)
 {
     lc_kept_record record = {.job = submit->job->id};
     lc_kept_submit *body = &record.body.lc_kept_body_u.submit;
@@ -121,7 +122,8 @@
 }
 
 void
-Keeper_OnSubmit(Keeper *self, int64_t now_ms, const Keeper_Submit *submit)
+DurableJobs_OnSubmit(DurableJobs *self, int64_t now_ms,
+                     const DurableJobs_Submit *submit)
 {
     Status status = {ERR_OK, ""};
     uint64_t number;
@@ -138,7 +140,7 @@
                 DurableLog_OpenCount(self->log));
     }
     else {
-        Route_Check(submit->route, submit->job, &status);
+        Route_CheckJob(submit->route, submit->job, &status);
     }
     if (status.kind != ERR_OK) {
         answer(self, submit->request_id, DISPATCHER_NOT_RUN, status.kind,
@@ -151,7 +153,7 @@
 }
 
 static uint64_t
-put_cancel(Keeper *self, uint64_t job, const char *queue)
+put_cancel(DurableJobs *self, uint64_t job, const char *queue)
 {
     lc_kept_record record = {.job = job};
     char key[DURABLE_LOG_KEY_SIZE];
@@ -163,8 +165,8 @@
 }
 
 bool
-Keeper_OnCancel(Keeper *self, int64_t now_ms, uint64_t request, uint64_t id,
-                const char *queue)
+DurableJobs_OnCancel(DurableJobs *self, int64_t now_ms, uint64_t request,
+                     uint64_t id, const char *queue)
 {
     const DurableLog_Job *job = DurableLog_Find(self->log, id);
 
@@ -182,14 +184,14 @@
 }
 
 void
-Keeper_CancelUnknown(Keeper *self, int64_t now_ms, uint64_t request,
-                     uint64_t id, const char *queue)
+DurableJobs_CancelUnknown(DurableJobs *self, int64_t now_ms, uint64_t request,
+                          uint64_t id, const char *queue)
 {
     add_waiter(self, now_ms, UINT64_MAX, request, id, queue, true);
 }
 
 static void
-remove_state_query(Keeper *self, guint index)
+remove_state_query(DurableJobs *self, guint index)
 {
     g_free(g_array_index(self->state_queries, DurableJobs_StateQuery, index)
                .queue);
@@ -197,7 +199,7 @@
 }
 
 void
-Keeper_OnCallerGone(Keeper *self, uint64_t request)
+DurableJobs_OnCallerGone(DurableJobs *self, uint64_t request)
 {
     guint i;
 
@@ -219,7 +221,7 @@
 
 /* Judged by progress records and by the local dispatcher. */
 static bool
-has_started(const Keeper *self, const DurableLog_Job *job)
+has_started(const DurableJobs *self, const DurableLog_Job *job)
 {
     bool started = true; /* for an owned job that the dispatcher has ended */
 
@@ -229,30 +231,31 @@
     if (!g_hash_table_contains(self->jobs, &job->id)) {
         return false;
     }
-    Dispatcher_Look(self->dispatcher, job->id, job->queue, &started);
+    Dispatcher_HasOpenJob(self->dispatcher, job->id, job->queue, &started);
     return started;
 }
 
-static Keeper_State
-state_of(const Keeper *self, const DurableLog_Job *job)
+static DurableJobs_State
+state_of(const DurableJobs *self, const DurableLog_Job *job)
 {
-    static const Keeper_State states[] = {
-        [LC_KEPT_OPEN] = KEEPER_PENDING,
-        [LC_KEPT_SUCCEEDED] = KEEPER_SUCCEEDED,
-        [LC_KEPT_FAILED] = KEEPER_FAILED,
-        [LC_KEPT_CANCELLED] = KEEPER_CANCELLED,
+    static const DurableJobs_State states[] = {
+        [LC_KEPT_OPEN] = DURABLE_JOB_PENDING,
+        [LC_KEPT_SUCCEEDED] = DURABLE_JOB_SUCCEEDED,
+        [LC_KEPT_FAILED] = DURABLE_JOB_FAILED,
+        [LC_KEPT_CANCELLED] = DURABLE_JOB_CANCELLED,
     };
     if (job->outcome == LC_KEPT_OPEN && job->cancelled) {
-        return KEEPER_CANCELLED;
+        return DURABLE_JOB_CANCELLED;
     }
     if (job->outcome == LC_KEPT_OPEN && has_started(self, job)) {
-        return KEEPER_RUNNING;
+        return DURABLE_JOB_RUNNING;
     }
     return states[job->outcome];
 }
 
-Keeper_State
-Keeper_Look(const Keeper *self, int64_t now_ms, uint64_t id, const char *queue)
+DurableJobs_State
+DurableJobs_StateOf(const DurableJobs *self, int64_t now_ms, uint64_t id,
+                    const char *queue)
 {
     const DurableLog_Job *job = DurableLog_Find(self->log, id);
 
@@ -261,22 +264,22 @@
         return state_of(self, job);
     }
     if (find_submit_waiter(self, id) != NULL) {
-        return KEEPER_PENDING;
+        return DURABLE_JOB_PENDING;
     }
-    return DurableCaller_IsLogDown(self, now_ms) ? KEEPER_STALE
-                                                 : KEEPER_UNKNOWN;
+    return DurableCaller_IsLogDown(self, now_ms) ? DURABLE_JOB_STALE
+                                                 : DURABLE_JOB_UNKNOWN;
 }
 
 void
-Keeper_OnLook(Keeper *self, int64_t now_ms, uint64_t request, uint64_t id,
-              const char *queue)
+DurableJobs_OnStateQuery(DurableJobs *self, int64_t now_ms, uint64_t request,
+                         uint64_t id, const char *queue)
 {
-    Keeper_State state = Keeper_Look(self, now_ms, id, queue);
+    DurableJobs_State state = DurableJobs_StateOf(self, now_ms, id, queue);
     DurableJobs_StateQuery query = {.request = request,
                                     .job = id,
                                     .until_ms = now_ms + STATE_QUERY_WAIT_MS};
 
-    if (state != KEEPER_PENDING && state != KEEPER_RUNNING) {
+    if (state != DURABLE_JOB_PENDING && state != DURABLE_JOB_RUNNING) {
         self->ports->answer_state(self->context, request, state);
         return;
     }
@@ -285,16 +288,16 @@
 }
 
 void
-DurableCaller_AnswerStateQueries(Keeper *self, int64_t now_ms)
+DurableCaller_AnswerStateQueries(DurableJobs *self, int64_t now_ms)
 {
     guint i = 0;
 
     while (i < self->state_queries->len) {
         const DurableJobs_StateQuery *query = &g_array_index(
             self->state_queries, DurableJobs_StateQuery, i);
-        Keeper_State state = Keeper_Look(self, now_ms, query->job,
-                                         query->queue);
-        if ((state == KEEPER_PENDING || state == KEEPER_RUNNING) &&
+        DurableJobs_State state = DurableJobs_StateOf(self, now_ms, query->job,
+                                                      query->queue);
+        if ((state == DURABLE_JOB_PENDING || state == DURABLE_JOB_RUNNING) &&
             now_ms < query->until_ms) {
             i++;
             continue;
@@ -305,16 +308,16 @@
 }
 
 static bool
-is_waiting(const Keeper *self, const DurableLog_Job *job)
+is_waiting(const DurableJobs *self, const DurableLog_Job *job)
 {
-    lc_node owner = Kept_OwnerOf(self->log, job);
+    lc_node owner = DurableLog_OwnerOf(self->log, job);
 
     return Msg_SameNode(&owner, &self->node) && job->writers->len == 0 &&
            !g_hash_table_contains(self->jobs, &job->id);
 }
 
 void
-Keeper_AddWaiting(const Keeper *self, QueueCounts *counts)
+DurableJobs_CountWaiting(const DurableJobs *self, QueueCounts *counts)
 {
     GPtrArray *open;
     guint i;
@@ -333,14 +336,14 @@
 }
 
 static void
-remove_waiter(Keeper *self, guint index)
+remove_waiter(DurableJobs *self, guint index)
 {
     g_free(g_array_index(self->waiters, DurableJobs_Waiter, index).queue);
     g_array_remove_index(self->waiters, index);
 }
 
 void
-DurableCaller_OnLogRead(Keeper *self, int64_t now_ms)
+DurableCaller_OnLogRead(DurableJobs *self, int64_t now_ms)
 {
     guint i = 0;
 
@@ -354,17 +357,17 @@
         }
         g_array_remove_index(self->waiters, i);
         if (waiter.request != 0 &&
-            !Keeper_OnCancel(self, now_ms, waiter.request, waiter.job,
-                             waiter.queue)) {
+            !DurableJobs_OnCancel(self, now_ms, waiter.request, waiter.job,
+                                  waiter.queue)) {
             self->ports->answer_state(self->context, waiter.request,
-                                      KEEPER_UNKNOWN);
+                                      DURABLE_JOB_UNKNOWN);
         }
         g_free(waiter.queue);
     }
 }
 
 void
-Keeper_OnWritten(Keeper *self, int64_t now_ms, uint64_t number)
+DurableJobs_OnWritten(DurableJobs *self, int64_t now_ms, uint64_t number)
 {
     guint i = 0;
 
@@ -379,7 +382,8 @@
         }
         if (waiter->request != 0) {
             answer(self, waiter->request,
-                   waiter->cancels ? DISPATCHER_CANCELLED : DISPATCHER_KEPT,
+                   waiter->cancels ? DISPATCHER_CANCELLED
+                                   : DISPATCHER_RECORDED,
                    ERR_OK, "");
         }
         remove_waiter(self, i);
@@ -390,7 +394,7 @@
 /* The record may still be written, so the caller gets an indefinite answer.
  * The waiter stays, and the job is known here as pending, until then. */
 void
-DurableCaller_ExpireWaiters(Keeper *self, int64_t now_ms)
+DurableCaller_ExpireWaiters(DurableJobs *self, int64_t now_ms)
 {
     guint i;
 
--- a/lease/keeper_jobs.c
+++ b/lease/durable_jobs_owned.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "lease/keeper_state.h"
+#include "lease/durable_jobs_state.h"
 #include "lease/run_id.h"
 
 void
@@ -15,7 +15,7 @@
 }
 
 static DurableJobs_OwnJob *
-add_own_job(Keeper *self, const DurableLog_Job *job)
+add_own_job(DurableJobs *self, const DurableLog_Job *job)
 {
     DurableJobs_OwnJob *row = g_new0(DurableJobs_OwnJob, 1);
 
@@ -29,13 +29,13 @@
 }
 
 static void
-mark_changed(Keeper *self, DurableJobs_OwnJob *row)
+mark_changed(DurableJobs *self, DurableJobs_OwnJob *row)
 {
     g_hash_table_add(self->changed, &row->id);
 }
 
 void
-DurableOwned_Remove(Keeper *self, DurableJobs_OwnJob *row)
+DurableOwned_Remove(DurableJobs *self, DurableJobs_OwnJob *row)
 {
     guint i;
 
@@ -48,7 +48,7 @@
 }
 
 void
-DurableOwned_PutProgress(Keeper *self, const DurableJobs_OwnJob *row)
+DurableOwned_PutProgress(DurableJobs *self, const DurableJobs_OwnJob *row)
 {
     const DurableLog_Job *job = DurableLog_Find(self->log, row->id);
     lc_kept_record record = {.job = row->id};
@@ -95,8 +95,8 @@
 }
 
 void
-Keeper_OnRunEnd(Keeper *self, const lc_run_id *id, uint32_t task, lc_node host,
-                bool done)
+DurableJobs_OnRunEnd(DurableJobs *self, const lc_run_id *id, uint32_t task,
+                     lc_node host, bool done)
 {
     DurableJobs_OwnJob *row = g_hash_table_lookup(self->jobs, &id->job);
     DurableJobs_RunEnd end = {.host = host, .run = *id};
@@ -119,18 +119,20 @@
 }
 
 void
-Keeper_OnCrash(Keeper *self, const lc_run_id *id, uint32_t task)
+DurableJobs_OnUpstreamCrash(DurableJobs *self, const lc_run_id *id,
+                            uint32_t task)
 {
     DurableJobs_OwnJob *row = g_hash_table_lookup(self->jobs, &id->job);
 
     if (row != NULL) {
-        add_failure(row, task | KEPT_CRASHES, id->run);
+        add_failure(row, task | DURABLE_LOG_CRASH_COUNT, id->run);
         mark_changed(self, row);
     }
 }
 
 void
-Keeper_OnJobOver(Keeper *self, uint64_t job, Dispatcher_Outcome outcome)
+DurableJobs_OnJobEnd(DurableJobs *self, uint64_t job,
+                     Dispatcher_Outcome outcome)
 {
     DurableJobs_OwnJob *row = g_hash_table_lookup(self->jobs, &job);
 
@@ -152,7 +154,7 @@
 }
 
 static void
-send_release(Keeper *self, lc_node host, GArray *ends)
+send_release(DurableJobs *self, lc_node host, GArray *ends)
 {
     DurableJobs_Call *pending = g_new0(DurableJobs_Call, 1);
     Msg_Call call = {.kind = MSG_RELEASE};
@@ -174,7 +176,7 @@
 }
 
 void
-DurableOwned_QueueRelease(Keeper *self, const DurableJobs_RunEnd *end)
+DurableOwned_QueueRelease(DurableJobs *self, const DurableJobs_RunEnd *end)
 {
     DurableJobs_RunEnd written = *end;
 
@@ -185,7 +187,7 @@
 /* Removes the written ends at one companion from the list, one page at most.
  */
 static GArray *
-take_written_ends_at(Keeper *self, lc_node host)
+take_written_ends_at(DurableJobs *self, lc_node host)
 {
     GArray *taken = g_array_new(FALSE, TRUE, sizeof(DurableJobs_RunEnd));
     guint i = 0;
@@ -206,7 +208,7 @@
 }
 
 void
-DurableOwned_SendReleases(Keeper *self)
+DurableOwned_SendReleases(DurableJobs *self)
 {
     guint i = 0;
 
@@ -228,7 +230,7 @@
 /* If the companion was not reached, its ends are queued again, unless it has
  * restarted: the next incarnation reports the ends that it finds. */
 void
-DurableOwned_OnReleaseReply(Keeper *self, const DurableJobs_Call *call,
+DurableOwned_OnReleaseReply(DurableJobs *self, const DurableJobs_Call *call,
                             bool taken)
 {
     const Fleet_Host *host = Dispatcher_Host(self->dispatcher,
@@ -244,8 +246,9 @@
 /* Adopts the runs of a job that companions hold: ends are recorded, active
  * runs are passed to the dispatcher. */
 static void
-adopt_found_runs(Keeper *self, DurableJobs_OwnJob *row, const LeasedJob *job,
-                 const DurableJobs_Recovery *recovery, GArray *runs)
+adopt_found_runs(DurableJobs *self, DurableJobs_OwnJob *row,
+                 const LeasedJob *job, const DurableJobs_Recovery *recovery,
+                 GArray *runs)
 {
     guint i;
 
@@ -261,13 +264,14 @@
             g_array_append_val(runs, place);
             continue;
         }
-        Keeper_OnRunEnd(self, id, LeasedJob_EndNumber(job, id), found->host,
-                        found->run.status == LC_RUN_DONE);
+        DurableJobs_OnRunEnd(self, id, LeasedJob_RecordedEndNumber(job, id),
+                             found->host, found->run.status == LC_RUN_DONE);
     }
 }
 
 static void
-write_outcome(Keeper *self, const DurableLog_Job *job, lc_kept_outcome outcome)
+write_outcome(DurableJobs *self, const DurableLog_Job *job,
+              lc_kept_outcome outcome)
 {
     DurableJobs_OwnJob *row = add_own_job(self, job);
 
@@ -276,14 +280,14 @@
 }
 
 void
-DurableOwned_Start(Keeper *self, int64_t now_ms, DurableLog_Job *job,
+DurableOwned_Start(DurableJobs *self, int64_t now_ms, DurableLog_Job *job,
                    const DurableJobs_Recovery *recovery)
 {
     const Route *route = self->ports->route(self->context, job->queue);
     uint32_t generation = DurableLog_TakeoverCount(self->log, job);
-    Dispatcher_Kept start = {.route = route,
-                             .run_base = RUN_ID_KEPT_BASE +
-                                         generation * RUN_ID_OWNER_STEP};
+    Dispatcher_DurableJob start = {.route = route,
+                                   .run_base = RUN_ID_DURABLE_BASE +
+                                               generation * RUN_ID_OWNER_STEP};
     Status status = {ERR_OK, ""};
     DurableJobs_OwnJob *row;
     GArray *runs;
@@ -308,7 +312,7 @@
     start.runs = runs;
     start.done = row->done;
     start.failures = row->failures;
-    Dispatcher_AddKept(self->dispatcher, now_ms, &start);
+    Dispatcher_AddDurable(self->dispatcher, now_ms, &start);
     g_array_unref(runs);
     if (job->cancelled) {
         /* Its active runs have to be stopped. */
@@ -317,7 +321,7 @@
 }
 
 void
-DurableOwned_StartAll(Keeper *self, int64_t now_ms)
+DurableOwned_StartAll(DurableJobs *self, int64_t now_ms)
 {
     GPtrArray *open;
     guint i;
@@ -329,7 +333,7 @@
     open = DurableLog_OpenJobs(self->log);
     for (i = 0; i < open->len; i++) {
         DurableLog_Job *job = g_ptr_array_index(open, i);
-        lc_node owner = Kept_OwnerOf(self->log, job);
+        lc_node owner = DurableLog_OwnerOf(self->log, job);
         if (!Msg_SameNode(&owner, &self->node) ||
             g_hash_table_contains(self->jobs, &job->id)) {
             continue;
--- a/lease/keeper_state.h
+++ b/lease/durable_jobs_state.h
@@ -1,15 +1,15 @@
 /**
- * @file keeper_state.h
+ * @file durable_jobs_state.h
  * @brief Private state of the durable jobs of an entry: waiting callers, owned
  * jobs and their unwritten progress, takeovers of failed owners.
  *
  * Included only by lease/keeper*.c.
  */
-#ifndef LC_LEASE_KEEPER_STATE_H
-#define LC_LEASE_KEEPER_STATE_H
+#ifndef LC_LEASE_DURABLE_JOBS_STATE_H
+#define LC_LEASE_DURABLE_JOBS_STATE_H
 
-#include "base/handle.h"
-#include "lease/keeper.h"
+#include "base/handle_table.h"
+#include "lease/durable_jobs.h"
 
 /* An owner that has not read the log for this long neither starts nor renews
  * runs, because another entry may have claimed its jobs. Longer than most
@@ -98,12 +98,12 @@
     GArray *ends; /* DurableJobs_RunEnd, of a RELEASE */
 } DurableJobs_Call;
 
-struct Keeper {
-    Keeper_Config config;
-    const Keeper_Ports *ports;
+struct DurableJobs {
+    DurableJobs_Config config;
+    const DurableJobs_Ports *ports;
     void *context;
     Dispatcher *dispatcher;
-    Kept *log;
+    DurableLog *log;
     lc_node node; /* current owner identity */
     int64_t started_ms;
     int64_t log_read_ms;   /* the log was read as it stood then; 0 for never */
@@ -132,102 +132,104 @@
 };
 
 /** Puts a record; returns the number of the write. */
-uint64_t DurableJobs_Put(Keeper *self, const char *key,
+uint64_t DurableJobs_Put(DurableJobs *self, const char *key,
                          const lc_kept_record *record);
 
-/* Callers: keeper_callers.c. */
+/* Callers: durable_jobs_callers.c. */
 
 /** Whether the log has not answered within its timeout. */
-bool DurableCaller_IsLogDown(const Keeper *self, int64_t now_ms);
+bool DurableCaller_IsLogDown(const DurableJobs *self, int64_t now_ms);
 
 /** Answers queries whose job has ended or whose wait is over. */
-void DurableCaller_AnswerStateQueries(Keeper *self, int64_t now_ms);
+void DurableCaller_AnswerStateQueries(DurableJobs *self, int64_t now_ms);
 
 /** Carries out cancellations of jobs that were unknown before the last read;
  * reports those that still are as unknown. */
-void DurableCaller_OnLogRead(Keeper *self, int64_t now_ms);
+void DurableCaller_OnLogRead(DurableJobs *self, int64_t now_ms);
 
 /** Answers callers whose record was not written in time. */
-void DurableCaller_ExpireWaiters(Keeper *self, int64_t now_ms);
+void DurableCaller_ExpireWaiters(DurableJobs *self, int64_t now_ms);
 
-/* Owned jobs: keeper_jobs.c. */
+/* Owned jobs: durable_jobs_owned.c. */
 
 void DurableOwned_Free(gpointer item);
 
 /** Hands a job to the dispatcher; @p recovery has the runs of it that were
  * found at companions, or is NULL. */
-void DurableOwned_Start(Keeper *self, int64_t now_ms, DurableLog_Job *job,
+void DurableOwned_Start(DurableJobs *self, int64_t now_ms, DurableLog_Job *job,
                         const DurableJobs_Recovery *recovery);
 
 /** Starts owned jobs that are not waiting for a recovery. */
-void DurableOwned_StartAll(Keeper *self, int64_t now_ms);
+void DurableOwned_StartAll(DurableJobs *self, int64_t now_ms);
 
 /** Queues an end for release at its companion. */
-void DurableOwned_QueueRelease(Keeper *self, const DurableJobs_RunEnd *end);
+void DurableOwned_QueueRelease(DurableJobs *self,
+                               const DurableJobs_RunEnd *end);
 
 /** Sends RELEASE calls for all ends whose records are written. */
-void DurableOwned_SendReleases(Keeper *self);
+void DurableOwned_SendReleases(DurableJobs *self);
 
 /** A RELEASE call has ended; @p taken if the companion answered it. */
-void DurableOwned_OnReleaseReply(Keeper *self, const DurableJobs_Call *call,
-                                 bool taken);
+void DurableOwned_OnReleaseReply(DurableJobs *self,
+                                 const DurableJobs_Call *call, bool taken);
 
 /** Puts the progress record of a job. */
-void DurableOwned_PutProgress(Keeper *self, const DurableJobs_OwnJob *row);
+void DurableOwned_PutProgress(DurableJobs *self,
+                              const DurableJobs_OwnJob *row);
 
 /** Removes a job whose outcome is in the log; queues its ends for release. */
-void DurableOwned_Remove(Keeper *self, DurableJobs_OwnJob *row);
+void DurableOwned_Remove(DurableJobs *self, DurableJobs_OwnJob *row);
 
-/* Takeover of failed owners: keeper_owners.c. */
+/* Takeover of failed owners: durable_jobs_takeover.c. */
 
 /** Claims the jobs of owners that have been silent for too long. */
-void DurableTakeover_ClaimSilentOwners(Keeper *self, int64_t now_ms);
+void DurableTakeover_ClaimSilentOwners(DurableJobs *self, int64_t now_ms);
 
 /** Puts a claim that hands the jobs of @p claimed_owner to @p successor. */
-void DurableTakeover_PutClaim(Keeper *self, int64_t now_ms,
+void DurableTakeover_PutClaim(DurableJobs *self, int64_t now_ms,
                               const lc_node *claimed_owner,
                               const lc_node *successor);
 
 /** Another entry that can take over jobs; zeros if there is none. */
-lc_node DurableTakeover_PickSuccessor(const Keeper *self, int64_t now_ms);
+lc_node DurableTakeover_PickSuccessor(const DurableJobs *self, int64_t now_ms);
 
 /** An owner has written a record, so it is alive even if its messages do not
  * arrive. */
-void DurableTakeover_OnOwnerRecord(Keeper *self, int64_t now_ms,
+void DurableTakeover_OnOwnerRecord(DurableJobs *self, int64_t now_ms,
                                    lc_node writer);
 
 /** Puts a heartbeat record if this owner has jobs and has written nothing
  * recently. */
-void DurableTakeover_PutHeartbeat(Keeper *self, int64_t now_ms);
+void DurableTakeover_PutHeartbeat(DurableJobs *self, int64_t now_ms);
 
 /** A claim that takes effect was read. */
-void DurableTakeover_OnClaim(Keeper *self, int64_t now_ms,
+void DurableTakeover_OnClaim(DurableJobs *self, int64_t now_ms,
                              lc_node claimed_owner, lc_node successor);
 
 /** Sends FENCE calls to companions; starts the jobs of a recovery once all
  * companions have answered. */
-void DurableTakeover_AdvanceRecoveries(Keeper *self, int64_t now_ms);
+void DurableTakeover_AdvanceRecoveries(DurableJobs *self, int64_t now_ms);
 
 /** Releases ends whose job is unknown to a log that was read after the end was
  * reported. */
-void DurableTakeover_OnLogRead(Keeper *self);
+void DurableTakeover_OnLogRead(DurableJobs *self);
 
 /** Fetches ends that companions have held for long. */
-void DurableTakeover_FetchHeldEnds(Keeper *self, int64_t now_ms);
+void DurableTakeover_FetchHeldEnds(DurableJobs *self, int64_t now_ms);
 
 /** A companion has answered a FENCE with the runs it holds. */
-void DurableTakeover_OnFenceReply(Keeper *self, int64_t now_ms,
+void DurableTakeover_OnFenceReply(DurableJobs *self, int64_t now_ms,
                                   const DurableJobs_Call *call,
                                   const lc_fence_res *result);
 
 /** The recovery of the last claim that gave @p job to this entry; NULL if none
  * is pending. Borrowed. */
 const DurableJobs_Recovery *
-DurableTakeover_RecoveryOf(const Keeper *self, const DurableLog_Job *job);
+DurableTakeover_RecoveryOf(const DurableJobs *self, const DurableLog_Job *job);
 
 /** Sends a FENCE call for the runs of an owner; zeros in @p claimed_owner ask
  * for all held ends. */
-void DurableTakeover_SendFence(Keeper *self, lc_node host,
+void DurableTakeover_SendFence(DurableJobs *self, lc_node host,
                                lc_node claimed_owner);
 
 /** Frees the members of a recovery. */
--- a/lease/keeper_owners.c
+++ b/lease/durable_jobs_takeover.c
@@ -1,7 +1,7 @@
 #include <string.h>
 
-#include "lease/choice.h"
-#include "lease/keeper_state.h"
+#include "lease/durable_jobs_state.h"
+#include "lease/placement.h"
 #include "lease/run_id.h"
 
 /* An owner silent for this long is regarded as failed. Entries claim its jobs
@@ -27,7 +27,7 @@
 #define COMPANION_DEAD_MS 30000
 
 static DurableJobs_Peer *
-find_peer(const Keeper *self, Address address)
+find_peer(const DurableJobs *self, Address address)
 {
     guint i;
 
@@ -43,8 +43,8 @@
 
 /* An entry that reports it cannot manage its jobs counts as silent at once. */
 void
-Keeper_OnPeer(Keeper *self, int64_t now_ms, Address address,
-              uint64_t owner_incarnation)
+DurableJobs_OnPeer(DurableJobs *self, int64_t now_ms, Address address,
+                   uint64_t owner_incarnation)
 {
     DurableJobs_Peer *peer = find_peer(self, address);
     DurableJobs_Peer fresh = {.address = address};
@@ -62,7 +62,7 @@
 }
 
 Address
-Keeper_SomePeer(const Keeper *self, int64_t now_ms)
+DurableJobs_LivePeer(const DurableJobs *self, int64_t now_ms)
 {
     guint start = self->peers->len == 0 ? 0
                                         : (guint)(now_ms % self->peers->len);
@@ -79,9 +79,9 @@
 }
 
 lc_node
-DurableTakeover_PickSuccessor(const Keeper *self, int64_t now_ms)
+DurableTakeover_PickSuccessor(const DurableJobs *self, int64_t now_ms)
 {
-    Address address = Keeper_SomePeer(self, now_ms);
+    Address address = DurableJobs_LivePeer(self, now_ms);
     const DurableJobs_Peer *peer = find_peer(self, address);
     lc_node other = {0, 0};
 
@@ -95,7 +95,7 @@
 /* Number of live entries whose turn to claim an owner comes before this one's.
  */
 static uint32_t
-claim_rank(const Keeper *self, int64_t now_ms)
+claim_rank(const DurableJobs *self, int64_t now_ms)
 {
     uint32_t before = 0;
     guint i;
@@ -112,7 +112,7 @@
 /* When an owner of open jobs was first seen in the log, or last wrote to it:
  * it may have changed its identity and not yet announced the new one. */
 static int64_t
-owner_seen_ms(Keeper *self, int64_t now_ms, const lc_node *owner)
+owner_seen_ms(DurableJobs *self, int64_t now_ms, const lc_node *owner)
 {
     DurableJobs_SeenOwner fresh = {*owner, now_ms};
     guint i;
@@ -141,7 +141,8 @@
 }
 
 void
-DurableTakeover_OnOwnerRecord(Keeper *self, int64_t now_ms, lc_node writer)
+DurableTakeover_OnOwnerRecord(DurableJobs *self, int64_t now_ms,
+                              lc_node writer)
 {
     guint i;
 
@@ -159,7 +160,7 @@
 }
 
 void
-DurableTakeover_PutHeartbeat(Keeper *self, int64_t now_ms)
+DurableTakeover_PutHeartbeat(DurableJobs *self, int64_t now_ms)
 {
     lc_kept_record record = {.job = 0};
     char key[DURABLE_LOG_KEY_SIZE];
@@ -177,7 +178,7 @@
 }
 
 static bool
-may_be_claimed(Keeper *self, int64_t now_ms, const lc_node *owner)
+may_be_claimed(DurableJobs *self, int64_t now_ms, const lc_node *owner)
 {
     const DurableJobs_Peer *peer = find_peer(self, owner->address);
     int64_t heard_ms = owner_seen_ms(self, now_ms, owner);
@@ -194,7 +195,7 @@
 }
 
 void
-DurableTakeover_PutClaim(Keeper *self, int64_t now_ms,
+DurableTakeover_PutClaim(DurableJobs *self, int64_t now_ms,
                          const lc_node *claimed_owner,
                          const lc_node *successor)
 {
@@ -212,7 +213,7 @@
 }
 
 void
-DurableTakeover_ClaimSilentOwners(Keeper *self, int64_t now_ms)
+DurableTakeover_ClaimSilentOwners(DurableJobs *self, int64_t now_ms)
 {
     GPtrArray *open;
     guint i;
@@ -220,13 +221,14 @@
     if (now_ms - self->claimed_ms >= CLAIM_RETRY_MS) {
         g_array_set_size(self->claims, 0);
     }
-    if (Keeper_Identity(self, now_ms) == 0 ||
+    if (DurableJobs_OwnerIncarnation(self, now_ms) == 0 ||
         now_ms - self->log_read_ms > CLAIM_MAX_LOG_AGE_MS) {
         return; /* this entry itself may have been claimed */
     }
     open = DurableLog_OpenJobs(self->log);
     for (i = 0; i < open->len; i++) {
-        lc_node owner = Kept_OwnerOf(self->log, g_ptr_array_index(open, i));
+        lc_node owner = DurableLog_OwnerOf(self->log,
+                                           g_ptr_array_index(open, i));
         if (!Msg_SameNode(&owner, &self->node) &&
             !Msg_HasNode(self->claims, &owner) &&
             may_be_claimed(self, now_ms, &owner)) {
@@ -246,7 +248,7 @@
 /* Another entry has claimed the jobs of this one. Their active runs continue
  * under the new owner; this entry continues under a new identity. */
 static void
-reset_identity(Keeper *self)
+reset_identity(DurableJobs *self)
 {
     self->ports->event(self->context, EVENT_KEPT_LOST,
                        "another entry has claimed the kept jobs of this "
@@ -254,12 +256,12 @@
     g_hash_table_remove_all(self->changed);
     g_hash_table_remove_all(self->jobs);
     self->node.incarnation++;
-    Dispatcher_OwnKept(self->dispatcher, self->node.incarnation);
+    Dispatcher_SetDurableOwner(self->dispatcher, self->node.incarnation);
 }
 
 void
-DurableTakeover_OnClaim(Keeper *self, int64_t now_ms, lc_node claimed_owner,
-                        lc_node successor)
+DurableTakeover_OnClaim(DurableJobs *self, int64_t now_ms,
+                        lc_node claimed_owner, lc_node successor)
 {
     DurableJobs_Recovery recovery = {.claimed_owner = claimed_owner,
                                      .claimed_ms = now_ms};
@@ -281,7 +283,7 @@
 }
 
 const DurableJobs_Recovery *
-DurableTakeover_RecoveryOf(const Keeper *self, const DurableLog_Job *job)
+DurableTakeover_RecoveryOf(const DurableJobs *self, const DurableLog_Job *job)
 {
     guint i;
 
@@ -299,7 +301,8 @@
 }
 
 void
-DurableTakeover_SendFence(Keeper *self, lc_node host, lc_node claimed_owner)
+DurableTakeover_SendFence(DurableJobs *self, lc_node host,
+                          lc_node claimed_owner)
 {
     DurableJobs_Call *pending = g_new0(DurableJobs_Call, 1);
     Msg_Call call = {.kind = MSG_FENCE};
@@ -321,13 +324,13 @@
 }
 
 static bool
-is_fence_pending(const Keeper *self, const lc_node *host,
+is_fence_pending(const DurableJobs *self, const lc_node *host,
                  const lc_node *claimed_owner)
 {
     uint32_t i;
 
-    for (i = 0; i < Handle_Size(self->calls); i++) {
-        const DurableJobs_Call *call = Handle_At(self->calls, i);
+    for (i = 0; i < Handle_RowCount(self->calls); i++) {
+        const DurableJobs_Call *call = Handle_ItemAt(self->calls, i);
         if (call != NULL && call->kind == MSG_FENCE &&
             Msg_SameNode(&call->host, host) &&
             Msg_SameNode(&call->claimed_owner, claimed_owner)) {
@@ -340,7 +343,7 @@
 /* Sends a FENCE to companions that have not answered; returns whether all
  * have. */
 static bool
-fence_companions(Keeper *self, int64_t now_ms,
+fence_companions(DurableJobs *self, int64_t now_ms,
                  const DurableJobs_Recovery *recovery)
 {
     const Fleet *fleet = Dispatcher_Fleet(self->dispatcher);
@@ -355,7 +358,7 @@
             continue;
         }
         all = false;
-        if (Choice_IsHeard(host, now_ms) &&
+        if (Placement_IsLive(host, now_ms) &&
             !is_fence_pending(self, &host->node, &recovery->claimed_owner)) {
             DurableTakeover_SendFence(self, host->node,
                                       recovery->claimed_owner);
@@ -365,7 +368,7 @@
 }
 
 static void
-start_recovered(Keeper *self, int64_t now_ms,
+start_recovered(DurableJobs *self, int64_t now_ms,
                 const DurableJobs_Recovery *recovery)
 {
     GPtrArray *open = DurableLog_OpenJobs(self->log);
@@ -373,7 +376,7 @@
 
     for (i = 0; i < open->len; i++) {
         DurableLog_Job *job = g_ptr_array_index(open, i);
-        lc_node owner = Kept_OwnerOf(self->log, job);
+        lc_node owner = DurableLog_OwnerOf(self->log, job);
         if (Msg_SameNode(&owner, &self->node) &&
             !g_hash_table_contains(self->jobs, &job->id) &&
             DurableTakeover_RecoveryOf(self, job) == recovery) {
@@ -384,10 +387,11 @@
 }
 
 void
-DurableTakeover_AdvanceRecoveries(Keeper *self, int64_t now_ms)
+DurableTakeover_AdvanceRecoveries(DurableJobs *self, int64_t now_ms)
 {
     int64_t certain_ms = DURABLE_JOBS_LOG_TIMEOUT_MS +
-                         self->config.resubmit_ms + TERM_KEPT_MS;
+                         self->config.resubmit_ms +
+                         LEASE_TIMING_DURABLE_GRACE_MS;
     guint i = 0;
 
     while (i < self->recoveries->len) {
@@ -412,7 +416,7 @@
 }
 
 static bool
-is_end_recorded(const Keeper *self, const DurableLog_Job *durable,
+is_end_recorded(const DurableJobs *self, const DurableLog_Job *durable,
                 const lc_run_id *id)
 {
     Status status = {ERR_OK, ""};
@@ -428,15 +432,16 @@
                            &status) != ERR_OK) {
         return false;
     }
-    number = LeasedJob_EndNumber(&job, id);
+    number = LeasedJob_RecordedEndNumber(&job, id);
     done = number == DURABLE_JOBS_NO_TASK ||
-           Kept_IsDone(durable->done, number);
+           DurableLog_IsDone(durable->done, number);
     LeasedJob_Clear(&job);
     return done;
 }
 
 static void
-add_unknown_end(Keeper *self, int64_t now_ms, const DurableJobs_RunEnd *end)
+add_unknown_end(DurableJobs *self, int64_t now_ms,
+                const DurableJobs_RunEnd *end)
 {
     DurableJobs_UnknownEnd unknown = {.end = *end, .heard_ms = now_ms};
     guint i;
@@ -455,7 +460,7 @@
 }
 
 void
-DurableTakeover_OnLogRead(Keeper *self)
+DurableTakeover_OnLogRead(DurableJobs *self)
 {
     guint i = 0;
 
@@ -477,7 +482,7 @@
 /* Releases ends that are no longer needed. A run starts only after its job was
  * written, so a log that is read after the end was reported has the job. */
 static void
-release_unneeded(Keeper *self, int64_t now_ms, lc_node host,
+release_unneeded(DurableJobs *self, int64_t now_ms, lc_node host,
                  const lc_fence_res *result)
 {
     u_int i;
@@ -499,7 +504,7 @@
 }
 
 void
-DurableTakeover_OnFenceReply(Keeper *self, int64_t now_ms,
+DurableTakeover_OnFenceReply(DurableJobs *self, int64_t now_ms,
                              const DurableJobs_Call *call,
                              const lc_fence_res *result)
 {
@@ -528,7 +533,7 @@
 /* The entry that should have released such ends has died, or its call was
  * lost. */
 void
-DurableTakeover_FetchHeldEnds(Keeper *self, int64_t now_ms)
+DurableTakeover_FetchHeldEnds(DurableJobs *self, int64_t now_ms)
 {
     const Fleet *fleet = Dispatcher_Fleet(self->dispatcher);
     lc_node nobody = {0, 0};
@@ -537,16 +542,16 @@
     for (i = 0; i < fleet->hosts->len; i++) {
         Fleet_Host *host = g_ptr_array_index(fleet->hosts, i);
         if (host->held_long > 0 &&
-            now_ms - host->held_asked_ms > FETCH_HELD_INTERVAL_MS &&
-            Choice_IsHeard(host, now_ms)) {
-            host->held_asked_ms = now_ms;
+            now_ms - host->held_queried_ms > FETCH_HELD_INTERVAL_MS &&
+            Placement_IsLive(host, now_ms)) {
+            host->held_queried_ms = now_ms;
             DurableTakeover_SendFence(self, host->node, nobody);
         }
     }
 }
 
 void
-Keeper_OnHost(Keeper *self, int64_t now_ms)
+DurableJobs_OnHost(DurableJobs *self, int64_t now_ms)
 {
     DurableTakeover_AdvanceRecoveries(self, now_ms);
 }
--- a/lease/kept.c
+++ b/lease/durable_log.c
@@ -1,4 +1,4 @@
-#include "lease/kept.h"
+#include "lease/durable_log.h"
 
 #include <inttypes.h>
 #include <stdlib.h>
@@ -17,7 +17,7 @@
     bool effective;
 } kept_claim;
 
-struct Kept {
+struct DurableLog {
     GHashTable *jobs; /* id -> DurableLog_Job */
     GHashTable *open; /* ids of submitted jobs that have not ended */
     GArray *claims;   /* kept_claim, by offset */
@@ -37,10 +37,10 @@
     g_free(job);
 }
 
-Kept *
-Kept_New(void)
+DurableLog *
+DurableLog_New(void)
 {
-    Kept *log = g_new0(Kept, 1);
+    DurableLog *log = g_new0(DurableLog, 1);
 
     log->jobs = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
                                       free_job);
@@ -50,7 +50,7 @@
 }
 
 void
-Kept_Free(Kept *log)
+DurableLog_Free(DurableLog *log)
 {
     g_hash_table_unref(log->open);
     g_hash_table_unref(log->jobs);
@@ -113,7 +113,7 @@
 }
 
 bool
-Kept_IsDone(const GByteArray *done, uint32_t task)
+DurableLog_IsDone(const GByteArray *done, uint32_t task)
 {
     return task / BITS_PER_BYTE < done->len &&
            (done->data[task / BITS_PER_BYTE] >> task % BITS_PER_BYTE & 1) != 0;
@@ -131,13 +131,13 @@
 }
 
 DurableLog_Job *
-DurableLog_Find(const Kept *log, uint64_t id)
+DurableLog_Find(const DurableLog *log, uint64_t id)
 {
     return g_hash_table_lookup(log->jobs, &id);
 }
 
 static DurableLog_Job *
-find_or_add(Kept *log, uint64_t id, const char *queue)
+find_or_add(DurableLog *log, uint64_t id, const char *queue)
 {
     DurableLog_Job *job = DurableLog_Find(log, id);
 
@@ -164,7 +164,7 @@
 }
 
 lc_node
-DurableLog_Writer(const Kept_Record *record)
+DurableLog_Writer(const DurableLog_Record *record)
 {
     char text[DURABLE_LOG_KEY_SIZE];
     lc_node writer = {0, 0};
@@ -183,12 +183,12 @@
     return writer;
 }
 
-static Kept_Change
-apply_submit(Kept *log, const Kept_Record *record, uint64_t id,
+static DurableLog_Change
+apply_submit(DurableLog *log, const DurableLog_Record *record, uint64_t id,
              const lc_kept_submit *submit)
 {
     DurableLog_Job *job = find_or_add(log, id, submit->queue);
-    Kept_Change change = {.kind = DURABLE_LOG_UNCHANGED, .job = job};
+    DurableLog_Change change = {.kind = DURABLE_LOG_UNCHANGED, .job = job};
 
     note_writer(job->submitters, DurableLog_Writer(record));
     if (job->submitted && job->offset <= record->offset) {
@@ -242,12 +242,13 @@
     }
 }
 
-static Kept_Change
-apply_progress(Kept *log, int64_t now_ms, const Kept_Record *record,
-               uint64_t id, const lc_kept_progress *progress)
+static DurableLog_Change
+apply_progress(DurableLog *log, int64_t now_ms,
+               const DurableLog_Record *record, uint64_t id,
+               const lc_kept_progress *progress)
 {
     DurableLog_Job *job = find_or_add(log, id, progress->queue);
-    Kept_Change change = {.kind = DURABLE_LOG_PROGRESSED, .job = job};
+    DurableLog_Change change = {.kind = DURABLE_LOG_PROGRESSED, .job = job};
 
     note_writer(job->writers, DurableLog_Writer(record));
     merge_progress(job, progress);
@@ -266,7 +267,7 @@
 }
 
 static kept_claim *
-find_claim(const Kept *log, const lc_node *claimed_owner)
+find_claim(const DurableLog *log, const lc_node *claimed_owner)
 {
     guint i;
 
@@ -292,7 +293,7 @@
 /* The first claim of an owner is effective, unless its successor was claimed
  * earlier, so that of two owners that claim each other one remains. */
 static void
-select_effective_claims(Kept *log)
+select_effective_claims(DurableLog *log)
 {
     guint i;
 
@@ -308,7 +309,7 @@
 }
 
 static bool
-is_claim_known(const Kept *log, uint64_t offset)
+is_claim_known(const DurableLog *log, uint64_t offset)
 {
     guint i;
 
@@ -320,10 +321,10 @@
     return false;
 }
 
-static Kept_Change
-apply_claim(Kept *log, uint64_t offset, const lc_kept_claim *taken)
+static DurableLog_Change
+apply_claim(DurableLog *log, uint64_t offset, const lc_kept_claim *taken)
 {
-    Kept_Change change = {.kind = DURABLE_LOG_UNCHANGED};
+    DurableLog_Change change = {.kind = DURABLE_LOG_UNCHANGED};
     kept_claim fresh = {offset, taken->gone, taken->successor, false};
     const kept_claim *effective;
 
@@ -342,10 +343,10 @@
 }
 
 /* The progress records of a job are deleted last, after its retention time. */
-static Kept_Change
-apply_drop(Kept *log, const Kept_Record *record)
+static DurableLog_Change
+apply_drop(DurableLog *log, const DurableLog_Record *record)
 {
-    Kept_Change change = {.kind = DURABLE_LOG_UNCHANGED};
+    DurableLog_Change change = {.kind = DURABLE_LOG_UNCHANGED};
     char digits[HEX_DIGITS + 1] = "";
     DurableLog_Job *job;
 
@@ -362,16 +363,17 @@
     return change;
 }
 
-Kept_Change
-Kept_Take(Kept *log, int64_t now_ms, const Kept_Record *record)
+DurableLog_Change
+DurableLog_Apply(DurableLog *log, int64_t now_ms,
+                 const DurableLog_Record *record)
 {
-    Kept_Change change = {.kind = DURABLE_LOG_UNCHANGED};
+    DurableLog_Change change = {.kind = DURABLE_LOG_UNCHANGED};
     lc_kept_record read;
 
     if (record->length == 0) {
         return apply_drop(log, record);
     }
-    if (!Msg_DecodeKept(record->value, record->length, &read)) {
+    if (!Msg_DecodeDurableRecord(record->value, record->length, &read)) {
         return change;
     }
     switch (read.body.kind) {
@@ -398,13 +400,13 @@
                              &read.body.lc_kept_body_u.claim);
         break;
     }
-    Msg_FreeKept(&read);
+    Msg_FreeDurableRecord(&read);
     return change;
 }
 
 /* Advances @p node along effective claims; returns their number. */
 static uint32_t
-follow_claims(const Kept *log, lc_node *node)
+follow_claims(const DurableLog *log, lc_node *node)
 {
     uint32_t count = 0;
     const kept_claim *claim = find_claim(log, node);
@@ -418,7 +420,7 @@
 }
 
 lc_node
-Kept_OwnerOf(const Kept *log, const DurableLog_Job *job)
+DurableLog_OwnerOf(const DurableLog *log, const DurableLog_Job *job)
 {
     lc_node node = job->owner;
 
@@ -427,7 +429,7 @@
 }
 
 uint32_t
-DurableLog_TakeoverCount(const Kept *log, const DurableLog_Job *job)
+DurableLog_TakeoverCount(const DurableLog *log, const DurableLog_Job *job)
 {
     lc_node node = job->owner;
 
@@ -435,7 +437,7 @@
 }
 
 static bool
-claims_lead_to(const Kept *log, lc_node from, const lc_node *node)
+claims_lead_to(const DurableLog *log, lc_node from, const lc_node *node)
 {
     uint32_t count;
 
@@ -453,14 +455,14 @@
 }
 
 bool
-DurableLog_HasOwned(const Kept *log, const DurableLog_Job *job,
+DurableLog_HasOwned(const DurableLog *log, const DurableLog_Job *job,
                     const lc_node *node)
 {
     return claims_lead_to(log, job->owner, node);
 }
 
 GArray *
-DurableLog_Predecessors(const Kept *log, const lc_node *node)
+DurableLog_Predecessors(const DurableLog *log, const lc_node *node)
 {
     GArray *predecessors = g_array_new(FALSE, TRUE, sizeof(lc_node));
     guint i;
@@ -479,7 +481,7 @@
 }
 
 GPtrArray *
-DurableLog_OpenJobs(const Kept *log)
+DurableLog_OpenJobs(const DurableLog *log)
 {
     GPtrArray *list = g_ptr_array_new();
     GHashTableIter iter;
@@ -493,7 +495,7 @@
 }
 
 GPtrArray *
-DurableLog_EndedJobs(const Kept *log, int64_t until_ms)
+DurableLog_EndedJobs(const DurableLog *log, int64_t until_ms)
 {
     GPtrArray *list = g_ptr_array_new();
     GHashTableIter iter;
@@ -510,7 +512,7 @@
 }
 
 uint32_t
-DurableLog_OpenCount(const Kept *log)
+DurableLog_OpenCount(const DurableLog *log)
 {
     return g_hash_table_size(log->open);
 }
--- a/lease/kept.h
+++ b/lease/durable_log.h
@@ -1,5 +1,5 @@
 /**
- * @file kept.h
+ * @file durable_log.h
  * @brief Replicated table of durable jobs: every entry applies the same log
  * records in the same order and so has the same jobs, owners and outcomes.
  *
@@ -9,8 +9,8 @@
  * was claimed earlier is void, completed tasks stay completed, and the first
  * outcome stays. No I/O. Times are monotonic, in ms.
  */
-#ifndef LC_LEASE_KEPT_H
-#define LC_LEASE_KEPT_H
+#ifndef LC_LEASE_DURABLE_LOG_H
+#define LC_LEASE_DURABLE_LOG_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -22,7 +22,7 @@
 /** Flag in the task number of a failures row: the row counts upstream crashes
  * under the task instead. Versions without crash counting ignore such rows,
  * because no task has that number. */
-#define KEPT_CRASHES (1U << 31)
+#define DURABLE_LOG_CRASH_COUNT (1U << 31)
 /** Buffer size of a key, including the NUL. */
 #define DURABLE_LOG_KEY_SIZE 64
 
@@ -33,8 +33,9 @@
     bool submitted;  /**< its submission record was applied */
     char *body;      /**< as submitted; NULL once the job has ended */
     uint64_t offset; /**< of the effective submission */
-    lc_node owner;   /**< first owner; see Kept_OwnerOf for the current one */
-    bool cancelled;  /**< a caller has cancelled it */
+    lc_node
+        owner; /**< first owner; see DurableLog_OwnerOf for the current one */
+    bool cancelled; /**< a caller has cancelled it */
     lc_kept_outcome outcome;
     uint64_t over_offset; /**< of the effective outcome */
     int64_t over_ms;      /**< when an outcome was first applied */
@@ -62,7 +63,7 @@
     DurableLog_Job *job;   /**< or NULL */
     lc_node claimed_owner; /**< of a claim; sender of a heartbeat */
     lc_node successor;
-} Kept_Change;
+} DurableLog_Change;
 
 /** A record as stored. All pointers are borrowed. */
 typedef struct {
@@ -71,47 +72,49 @@
     size_t key_length;
     const uint8_t *value;
     size_t length; /**< 0: the key was deleted */
-} Kept_Record;
+} DurableLog_Record;
 
 /** Opaque table. */
-typedef struct Kept Kept;
+typedef struct DurableLog DurableLog;
 
-Kept *Kept_New(void);
-void Kept_Free(Kept *log);
+DurableLog *DurableLog_New(void);
+void DurableLog_Free(DurableLog *log);
 
 /** Applies a record; one that cannot be decoded changes nothing. */
-Kept_Change Kept_Take(Kept *log, int64_t now_ms, const Kept_Record *record);
+DurableLog_Change DurableLog_Apply(DurableLog *log, int64_t now_ms,
+                                   const DurableLog_Record *record);
 
 /** Finds a job by its ID; NULL if there is none. */
-DurableLog_Job *DurableLog_Find(const Kept *log, uint64_t id);
+DurableLog_Job *DurableLog_Find(const DurableLog *log, uint64_t id);
 
 /** Current owner of a job: its first owner or the last successor. */
-lc_node Kept_OwnerOf(const Kept *log, const DurableLog_Job *job);
+lc_node DurableLog_OwnerOf(const DurableLog *log, const DurableLog_Job *job);
 
 /** How many takeovers a job has been through. */
-uint32_t DurableLog_TakeoverCount(const Kept *log, const DurableLog_Job *job);
+uint32_t DurableLog_TakeoverCount(const DurableLog *log,
+                                  const DurableLog_Job *job);
 
 /** Whether a node is the first owner of a job or among its successors. */
-bool DurableLog_HasOwned(const Kept *log, const DurableLog_Job *job,
+bool DurableLog_HasOwned(const DurableLog *log, const DurableLog_Job *job,
                          const lc_node *node);
 
 /** An owner and all owners whose jobs it had taken over, LC_MAX_PEERS at most,
  * as an array of lc_node; the caller frees it. */
-GArray *DurableLog_Predecessors(const Kept *log, const lc_node *node);
+GArray *DurableLog_Predecessors(const DurableLog *log, const lc_node *node);
 
 /** Jobs that have not ended, as DurableLog_Job pointers owned by the table;
  * the caller frees the array. */
-GPtrArray *DurableLog_OpenJobs(const Kept *log);
+GPtrArray *DurableLog_OpenJobs(const DurableLog *log);
 
 /** Jobs that ended at or before @p until_ms; the caller frees the array. */
-GPtrArray *DurableLog_EndedJobs(const Kept *log, int64_t until_ms);
+GPtrArray *DurableLog_EndedJobs(const DurableLog *log, int64_t until_ms);
 
 /** Number of jobs that have not ended. */
-uint32_t DurableLog_OpenCount(const Kept *log);
+uint32_t DurableLog_OpenCount(const DurableLog *log);
 
 /** Writer of a record, parsed from its key. The incarnation is 0 if the key
  * names no writer; the address is 0 in keys of versions that omitted it. */
-lc_node DurableLog_Writer(const Kept_Record *record);
+lc_node DurableLog_Writer(const DurableLog_Record *record);
 
 /** Format the key of a record. Keys hold the writer's address as well as its
  * incarnation, because two processes that start at the same moment may have
@@ -127,7 +130,7 @@
                          char key[DURABLE_LOG_KEY_SIZE]);
 
 /** Whether a task is marked in a bitmap of completed tasks. */
-bool Kept_IsDone(const GByteArray *done, uint32_t task);
+bool DurableLog_IsDone(const GByteArray *done, uint32_t task);
 
 /** Marks a task in the bitmap, which grows as needed. */
 void DurableLog_MarkDone(GByteArray *done, uint32_t task);
--- a/lease/registry.c
+++ b/lease/entry_registry.c
@@ -1,4 +1,4 @@
-#include "lease/registry.h"
+#include "lease/entry_registry.h"
 
 /* Delay after a failed call, doubled up to the maximum: several tries within
  * the second that a restart of the whole fleet should take, then a call every
@@ -17,7 +17,7 @@
 #define GONE_MS 60000
 
 void
-Registry_Init(Registry *registry, Address self, int64_t now_ms)
+EntryRegistry_Init(Entry_Registry *registry, Address self, int64_t now_ms)
 {
     registry->self = self;
     registry->call_pending = false;
@@ -29,7 +29,7 @@
 }
 
 void
-Registry_Clear(Registry *registry)
+EntryRegistry_Clear(Entry_Registry *registry)
 {
     g_hash_table_unref(registry->silent_since);
 }
@@ -64,7 +64,7 @@
 }
 
 static bool
-find_gone(const Registry *registry, int64_t now_ms, const Peers *peers,
+find_gone(const Entry_Registry *registry, int64_t now_ms, const Peers *peers,
           Address *gone)
 {
     GHashTableIter iter;
@@ -82,35 +82,35 @@
     return false;
 }
 
-Registry_Step
-Registry_Next(Registry *registry, int64_t now_ms, const Peers *peers,
-              Address *gone)
+EntryRegistry_Step
+EntryRegistry_Next(Entry_Registry *registry, int64_t now_ms,
+                   const Peers *peers, Address *gone)
 {
     bool has_live = has_live_peer(peers, now_ms);
     int64_t due_ms = registry->next_read_ms;
 
     if (registry->call_pending) {
-        return REGISTRY_WAIT;
+        return ENTRY_REGISTRY_WAIT;
     }
     registry->call_pending = true;
     if (registry->record_missing) {
         registry->record_missing = false;
-        return REGISTRY_PUT;
+        return ENTRY_REGISTRY_WRITE;
     }
     if (registry->self != 0 && has_live &&
         find_gone(registry, now_ms, peers, gone)) {
         g_hash_table_remove(registry->silent_since, gone);
-        return REGISTRY_DROP;
+        return ENTRY_REGISTRY_DELETE;
     }
     if (now_ms >= due_ms && (registry->self != 0 || !has_live)) {
-        return REGISTRY_READ;
+        return ENTRY_REGISTRY_READ;
     }
     registry->call_pending = false;
-    return REGISTRY_WAIT;
+    return ENTRY_REGISTRY_WAIT;
 }
 
 static void
-update_silent(Registry *registry, int64_t now_ms, Address address,
+update_silent(Entry_Registry *registry, int64_t now_ms, Address address,
               const Peers *peers)
 {
     const Peers_Row *row = Peers_Find(peers, address);
@@ -126,8 +126,8 @@
 }
 
 void
-Registry_OnRead(Registry *registry, int64_t now_ms, const GArray *entries,
-                Peers *peers)
+EntryRegistry_OnRead(Entry_Registry *registry, int64_t now_ms,
+                     const GArray *entries, Peers *peers)
 {
     bool found = false;
     guint i;
@@ -141,11 +141,12 @@
     }
     registry->retry_delay_ms = RETRY_MS;
     for (i = 0; i < entries->len; i++) {
-        const Peers_Named *named = &g_array_index(entries, Peers_Named, i);
+        const Peers_RegistryRecord *named = &g_array_index(
+            entries, Peers_RegistryRecord, i);
         Address address = named->address;
         found |= address == registry->self;
         if (address != registry->self) {
-            Peers_Name(peers, address, now_ms);
+            Peers_Add(peers, address, now_ms);
             Peers_SetHall(peers, address, named->hall);
             update_silent(registry, now_ms, address, peers);
         }
@@ -157,7 +158,8 @@
 }
 
 void
-Registry_OnWritten(Registry *registry, int64_t now_ms, bool confirmed)
+EntryRegistry_OnWritten(Entry_Registry *registry, int64_t now_ms,
+                        bool confirmed)
 {
     registry->call_pending = false;
     if (!confirmed) {
--- a/lease/registry.h
+++ b/lease/entry_registry.h
@@ -1,5 +1,5 @@
 /**
- * @file registry.h
+ * @file entry_registry.h
  * @brief Decides when a process reads the registry of entries in the
  * platform's store, and when an entry writes its own record or deletes the
  * record of an entry that is gone.
@@ -11,8 +11,8 @@
  * only a hint: an entry that it names is called, but never counts as live or
  * gone because of it. Times are monotonic, in ms.
  */
-#ifndef LC_LEASE_REGISTRY_H
-#define LC_LEASE_REGISTRY_H
+#ifndef LC_LEASE_ENTRY_REGISTRY_H
+#define LC_LEASE_ENTRY_REGISTRY_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -22,11 +22,11 @@
 
 /** What the caller has to do next. */
 typedef enum {
-    REGISTRY_WAIT, /**< nothing */
-    REGISTRY_READ, /**< read all records */
-    REGISTRY_PUT,  /**< write our own record */
-    REGISTRY_DROP  /**< delete the record of an entry that is gone */
-} Registry_Step;
+    ENTRY_REGISTRY_WAIT,  /**< nothing */
+    ENTRY_REGISTRY_READ,  /**< read all records */
+    ENTRY_REGISTRY_WRITE, /**< write our own record */
+    ENTRY_REGISTRY_DELETE /**< delete the record of an entry that is gone */
+} EntryRegistry_Step;
 
 /** A process's use of the registry. */
 typedef struct {
@@ -36,24 +36,27 @@
     int64_t next_read_ms;     /**< when the next read is due */
     int64_t retry_delay_ms;   /**< delay after the next failed call */
     GHashTable *silent_since; /**< Address -> int64_t, not live since */
-} Registry;
+} Entry_Registry;
 
 /** @p self is the entry to register, or 0 for a process that only reads. */
-void Registry_Init(Registry *registry, Address self, int64_t now_ms);
-void Registry_Clear(Registry *registry);
+void EntryRegistry_Init(Entry_Registry *registry, Address self,
+                        int64_t now_ms);
+void EntryRegistry_Clear(Entry_Registry *registry);
 
 /** Returns the next call, which counts as pending from now on. For
- * REGISTRY_DROP, @p gone is set to the entry whose record to delete. */
-Registry_Step Registry_Next(Registry *registry, int64_t now_ms,
-                            const Peers *peers, Address *gone);
+ * ENTRY_REGISTRY_DELETE, @p gone is set to the entry whose record to delete.
+ */
+EntryRegistry_Step EntryRegistry_Next(Entry_Registry *registry, int64_t now_ms,
+                                      const Peers *peers, Address *gone);
 
 /** The registry was read; adds all its entries to @p peers. @p entries is an
- * array of Peers_Named, or NULL if the read failed. */
-void Registry_OnRead(Registry *registry, int64_t now_ms, const GArray *entries,
-                     Peers *peers);
+ * array of Peers_RegistryRecord, or NULL if the read failed. */
+void EntryRegistry_OnRead(Entry_Registry *registry, int64_t now_ms,
+                          const GArray *entries, Peers *peers);
 
 /** A record was written or deleted; @p confirmed is false if the store did not
  * confirm it. */
-void Registry_OnWritten(Registry *registry, int64_t now_ms, bool confirmed);
+void EntryRegistry_OnWritten(Entry_Registry *registry, int64_t now_ms,
+                             bool confirmed);
 
 #endif
--- a/lease/fleet.c
+++ b/lease/fleet.c
@@ -75,8 +75,8 @@
     host->stamp_ms = 0;
     host->valid_until_ms = 0;
     host->held_ms = 0;
-    host->renewing = 0;
-    host->renew_ms = 0;
+    host->renew_call_id = 0;
+    host->renew_sent_ms = 0;
     host->suspect = false;
     host->avoid_until_ms = 0;
 }
@@ -85,18 +85,18 @@
 compare_incarnation(const Fleet_Host *host, const lc_report_args *report)
 {
     if (host->node.incarnation == report->host.node.incarnation) {
-        return FLEET_KNOWN;
+        return FLEET_SAME_INCARNATION;
     }
     if (report->host.node.incarnation < host->node.incarnation ||
         report->host.state == LC_UPSTREAM_ABSENT) {
         return FLEET_STALE;
     }
-    return FLEET_REBORN;
+    return FLEET_RESTARTED;
 }
 
 Fleet_Change
-Fleet_TakeReport(Fleet *fleet, int64_t now_ms, const lc_report_args *report,
-                 Fleet_Host **host_out)
+Fleet_ApplyReport(Fleet *fleet, int64_t now_ms, const lc_report_args *report,
+                  Fleet_Host **host_out)
 {
     Fleet_Host *host = Fleet_Find(fleet, report->host.node.address);
     Fleet_Change change = FLEET_NEW;
@@ -111,7 +111,7 @@
     if (change == FLEET_STALE) {
         return change;
     }
-    if (change == FLEET_REBORN) {
+    if (change == FLEET_RESTARTED) {
         begin_incarnation(host, &report->host.node);
     }
     replace_text(&host->hall, report->hall);
@@ -121,12 +121,12 @@
     host->capacity = report->capacity;
     host->next_ms = report->next_ms;
     host->reported_ms = now_ms;
-    Fleet_TakeState(host, now_ms, &report->host);
+    Fleet_ApplyState(host, now_ms, &report->host);
     return change;
 }
 
 bool
-Fleet_TakeState(Fleet_Host *host, int64_t now_ms, const lc_host_state *state)
+Fleet_ApplyState(Fleet_Host *host, int64_t now_ms, const lc_host_state *state)
 {
     if (state->node.incarnation != host->node.incarnation) {
         return false;
@@ -146,10 +146,10 @@
 }
 
 int64_t
-Fleet_Hold(Fleet_Host *host, const Term *term, int64_t now_ms)
+Fleet_ExtendHold(Fleet_Host *host, const LeaseTiming *term, int64_t now_ms)
 {
-    int64_t until = Term_ValidUntil(term, host->stamp_ms, host->received_ms,
-                                    now_ms);
+    int64_t until = LeaseTiming_ValidUntil(term, host->stamp_ms,
+                                           host->received_ms, now_ms);
 
     host->valid_until_ms = MAX(host->valid_until_ms, until);
     host->held_ms = now_ms;
@@ -157,9 +157,10 @@
 }
 
 int64_t
-Fleet_CertainEnd(const Fleet_Host *host, const Term *term)
+Fleet_CertainEnd(const Fleet_Host *host, const LeaseTiming *term)
 {
-    return host->held_ms == 0 ? 0 : Term_CertainEnd(term, host->held_ms);
+    return host->held_ms == 0 ? 0
+                              : LeaseTiming_CertainEnd(term, host->held_ms);
 }
 
 bool
--- a/lease/fleet.h
+++ b/lease/fleet.h
@@ -15,7 +15,7 @@
 #include <stdint.h>
 
 #include "base/address.h"
-#include "lease/term.h"
+#include "lease/lease_timing.h"
 #include "wire/msg.h"
 
 /** One companion. */
@@ -33,16 +33,17 @@
                              there */
     uint32_t held_long; /**< those of them that have waited for long */
 
-    int64_t held_asked_ms; /**< when this entry last requested the held ends */
-    int64_t stamp_ms;      /**< on its clock: when its last message was sent */
-    int64_t received_ms;   /**< when that message arrived */
-    int64_t reported_ms;   /**< when its last report arrived */
+    int64_t
+        held_queried_ms; /**< when this entry last requested the held ends */
+    int64_t stamp_ms;    /**< on its clock: when its last message was sent */
+    int64_t received_ms; /**< when that message arrived */
+    int64_t reported_ms; /**< when its last report arrived */
     uint32_t next_ms; /**< interval within which it promised the next report */
     int64_t valid_until_ms; /**< on its clock: end of the latest hold sent */
     int64_t held_ms;        /**< when that hold was sent; 0 for never */
     uint32_t running;       /**< runs of this entry that have not ended */
-    uint64_t renewing;      /**< call id of the pending RENEW, or 0 */
-    int64_t renew_ms;       /**< when the last RENEW was sent */
+    uint64_t renew_call_id; /**< call id of the pending RENEW, or 0 */
+    int64_t renew_sent_ms;  /**< when the last RENEW was sent */
     bool suspect;           /**< a RENEW was not answered in time */
     bool closed;            /**< operators have closed its hall */
     int64_t avoid_until_ms; /**< set by refusals other than for lack of room */
@@ -56,9 +57,9 @@
 
 /** Incarnation of a message compared with the one known. */
 typedef enum {
-    FLEET_KNOWN,  /**< the known incarnation */
-    FLEET_NEW,    /**< companion was not known */
-    FLEET_REBORN, /**< newer one: all runs of the last one have ended */
+    FLEET_SAME_INCARNATION, /**< the known incarnation */
+    FLEET_NEW,              /**< companion was not known */
+    FLEET_RESTARTED, /**< newer one: all runs of the last one have ended */
     FLEET_STALE /**< ignored: an older incarnation, or a newer one that is not
                    ready */
 } Fleet_Change;
@@ -71,23 +72,24 @@
 
 /** Applies a report. A new incarnation is ignored (STALE) until it knows which
  * tasks its upstream runs. @p host_out is set in every case. */
-Fleet_Change Fleet_TakeReport(Fleet *fleet, int64_t now_ms,
-                              const lc_report_args *report,
-                              Fleet_Host **host_out);
+Fleet_Change Fleet_ApplyReport(Fleet *fleet, int64_t now_ms,
+                               const lc_report_args *report,
+                               Fleet_Host **host_out);
 
 /** Applies the state that a companion sent with an answer; false if it is from
  * another incarnation than the known one. A state older than the last one is
  * ignored. */
-bool Fleet_TakeState(Fleet_Host *host, int64_t now_ms,
-                     const lc_host_state *state);
+bool Fleet_ApplyState(Fleet_Host *host, int64_t now_ms,
+                      const lc_host_state *state);
 
 /** Records that a message with a new hold is sent now; returns the end of the
  * hold in ms on the companion's clock. */
-int64_t Fleet_Hold(Fleet_Host *host, const Term *term, int64_t now_ms);
+int64_t Fleet_ExtendHold(Fleet_Host *host, const LeaseTiming *term,
+                         int64_t now_ms);
 
 /** Time by which every run held there has certainly ended; 0 if nothing is
  * held. */
-int64_t Fleet_CertainEnd(const Fleet_Host *host, const Term *term);
+int64_t Fleet_CertainEnd(const Fleet_Host *host, const LeaseTiming *term);
 
 /** Whether the upstream has @p label; the empty label always matches. */
 bool Fleet_HasLabel(const Fleet_Host *host, const char *label);
--- a/lease/forward_choice.c
+++ b/lease/forward_choice.c
@@ -16,8 +16,8 @@
 #define MIN_SAVED_PERCENT 20
 
 void
-ForwardChoice_NoteStarts(ForwardChoice_Sends *sends, int64_t now_ms,
-                         uint32_t starts)
+ForwardChoice_CountStarts(ForwardChoice_Sends *sends, int64_t now_ms,
+                          uint32_t starts)
 {
     if (now_ms - sends->since_ms >= PERIOD_MS) {
         uint32_t accepted = sends->starts > sends->refused
@@ -33,7 +33,7 @@
 }
 
 void
-ForwardChoice_NoteRefused(ForwardChoice_Sends *sends)
+ForwardChoice_CountRefused(ForwardChoice_Sends *sends)
 {
     sends->refused++;
 }
@@ -59,8 +59,8 @@
 }
 
 int64_t
-ForwardChoice_KeptBytes(const ForwardChoice_Sends *sends,
-                        const Active_Job *job, const lc_resources *largest)
+ForwardChoice_LocalBytes(const ForwardChoice_Sends *sends,
+                         const Active_Job *job, const lc_resources *largest)
 {
     int64_t spec = (int64_t)job->spec_bytes;
     int64_t bytes = start_calls(job, largest) *
