--- a/lease/forward_choice.h
+++ b/lease/forward_choice.h
@@ -14,7 +14,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "lease/active.h"
+#include "lease/active_job.h"
 
 /** Encoded sizes by wire/levercove.x, in bytes: a call that starts tasks,
  * without its rows and spec, and each of its rows. */
@@ -32,15 +32,15 @@
 } ForwardChoice_Sends;
 
 /** Count starts that were sent, and one that was refused. */
-void ForwardChoice_NoteStarts(ForwardChoice_Sends *sends, int64_t now_ms,
-                              uint32_t starts);
-void ForwardChoice_NoteRefused(ForwardChoice_Sends *sends);
+void ForwardChoice_CountStarts(ForwardChoice_Sends *sends, int64_t now_ms,
+                               uint32_t starts);
+void ForwardChoice_CountRefused(ForwardChoice_Sends *sends);
 
 /** Expected bytes for starting the job's waiting tasks from here, if the
  * largest free room of a host is @p largest. */
-int64_t ForwardChoice_KeptBytes(const ForwardChoice_Sends *sends,
-                                const Active_Job *job,
-                                const lc_resources *largest);
+int64_t ForwardChoice_LocalBytes(const ForwardChoice_Sends *sends,
+                                 const Active_Job *job,
+                                 const lc_resources *largest);
 
 /** Bytes for forwarding the job. */
 int64_t ForwardChoice_ForwardBytes(const Active_Job *job);
--- a/lease/closures.c
+++ b/lease/hall_closures.c
@@ -1,10 +1,10 @@
-#include "lease/closures.h"
+#include "lease/hall_closures.h"
 
 #include <inttypes.h>
 #include <string.h>
 
 void
-Closures_Init(Closures *closures, int64_t now_ms)
+HallClosures_Init(Hall_Closures *closures, int64_t now_ms)
 {
     closures->as_of = -1;
     closures->confirmed_ms = now_ms;
@@ -13,7 +13,7 @@
 }
 
 void
-Closures_Clear(Closures *closures)
+HallClosures_Clear(Hall_Closures *closures)
 {
     g_ptr_array_unref(closures->halls);
 }
@@ -54,41 +54,42 @@
 }
 
 static void
-update_confirmed(Closures *closures, int64_t requested_ms, uint32_t age_ms)
+update_confirmed(Hall_Closures *closures, int64_t requested_ms,
+                 uint32_t age_ms)
 {
-    if (requested_ms != CLOSURES_UNASKED) {
+    if (requested_ms != HALL_CLOSURES_UNSOLICITED) {
         closures->confirmed_ms = MAX(closures->confirmed_ms,
                                      requested_ms - (int64_t)age_ms);
     }
 }
 
-Closures_Change
-Closures_Take(Closures *closures, int64_t now_ms, int64_t requested_ms,
-              const lc_closures *message)
+HallClosures_Change
+HallClosures_Merge(Hall_Closures *closures, int64_t now_ms,
+                   int64_t requested_ms, const lc_closures *message)
 {
     GPtrArray *names;
 
     if (message->as_of < closures->as_of || message->as_of < 0) {
-        return CLOSURES_OLDER;
+        return HALL_CLOSURES_STALE;
     }
     update_confirmed(closures, requested_ms, message->age_ms);
     if (message->as_of == closures->as_of) {
-        return CLOSURES_SAME;
+        return HALL_CLOSURES_UNCHANGED;
     }
     closures->as_of = message->as_of;
     names = sorted_names(message);
     if (same_names(names, closures->halls)) {
         g_ptr_array_unref(names);
-        return CLOSURES_SAME;
+        return HALL_CLOSURES_UNCHANGED;
     }
     g_ptr_array_unref(closures->halls);
     closures->halls = names;
     closures->changed_ms = now_ms;
-    return CLOSURES_DIFFERENT;
+    return HALL_CLOSURES_CHANGED;
 }
 
 bool
-Closures_Has(const Closures *closures, const char *hall)
+HallClosures_Contains(const Hall_Closures *closures, const char *hall)
 {
     guint i;
 
@@ -101,28 +102,30 @@
 }
 
 bool
-Closures_Refuses(const Closures *closures, const char *hall, int64_t as_of)
+HallClosures_RejectsStart(const Hall_Closures *closures, const char *hall,
+                          int64_t as_of)
 {
-    return as_of <= closures->as_of && Closures_Has(closures, hall);
+    return as_of <= closures->as_of && HallClosures_Contains(closures, hall);
 }
 
 int64_t
-Closures_AgeMs(const Closures *closures, int64_t now_ms)
+HallClosures_AgeMs(const Hall_Closures *closures, int64_t now_ms)
 {
     return MAX(now_ms - closures->confirmed_ms, 0);
 }
 
 void
-Closures_Tell(const Closures *closures, int64_t now_ms, lc_closures *out)
+HallClosures_FillMessage(const Hall_Closures *closures, int64_t now_ms,
+                         lc_closures *out)
 {
     out->as_of = closures->as_of;
-    out->age_ms = (u_int)MIN(Closures_AgeMs(closures, now_ms), UINT32_MAX);
+    out->age_ms = (u_int)MIN(HallClosures_AgeMs(closures, now_ms), UINT32_MAX);
     out->halls.halls_len = MIN(closures->halls->len, LC_MAX_HALLS);
     out->halls.halls_val = (lc_hall *)closures->halls->pdata;
 }
 
 char *
-Closures_Text(const Closures *closures)
+HallClosures_Text(const Hall_Closures *closures)
 {
     GString *text = g_string_new(NULL);
     guint i;
@@ -135,7 +138,7 @@
 }
 
 json_t *
-Closures_Dump(const Closures *closures, int64_t now_ms)
+HallClosures_Dump(const Hall_Closures *closures, int64_t now_ms)
 {
     json_t *halls = json_array();
     guint i;
@@ -145,18 +148,19 @@
     }
     return json_pack("{s:o, s:I, s:I, s:I}", "halls", halls, "as_of",
                      (json_int_t)closures->as_of, "age_ms",
-                     (json_int_t)Closures_AgeMs(closures, now_ms),
+                     (json_int_t)HallClosures_AgeMs(closures, now_ms),
                      "since_ms_ago",
                      (json_int_t)(now_ms - closures->changed_ms));
 }
 
 void
-Closures_Metrics(const Closures *closures, int64_t now_ms, GString *out)
+HallClosures_Metrics(const Hall_Closures *closures, int64_t now_ms,
+                     GString *out)
 {
     g_string_append_printf(out,
                            "levercove_halls_closed %u\n"
                            "levercove_halls_as_of %" PRId64 "\n"
                            "levercove_halls_age_milliseconds %" PRId64 "\n",
                            closures->halls->len, closures->as_of,
-                           Closures_AgeMs(closures, now_ms));
+                           HallClosures_AgeMs(closures, now_ms));
 }
--- a/lease/closures.h
+++ b/lease/hall_closures.h
@@ -1,5 +1,5 @@
 /**
- * @file closures.h
+ * @file hall_closures.h
  * @brief The set of halls that operators have closed, as known to this
  * process. No task is started in a closed hall; tasks that already run there
  * finish normally.
@@ -9,8 +9,8 @@
  * read up to an earlier record, whichever process sent it, and never the
  * reverse. Times are monotonic, in ms.
  */
-#ifndef LC_LEASE_CLOSURES_H
-#define LC_LEASE_CLOSURES_H
+#ifndef LC_LEASE_HALL_CLOSURES_H
+#define LC_LEASE_HALL_CLOSURES_H
 
 #include <glib.h>
 #include <jansson.h>
@@ -19,61 +19,63 @@
 
 #include "wire/msg.h"
 
-/** The closed halls. Set up by Closures_Init. */
+/** The closed halls. Set up by HallClosures_Init. */
 typedef struct {
     int64_t as_of;        /**< number of records read; -1: none */
     int64_t confirmed_ms; /**< latest time the set is known to be in force */
     int64_t changed_ms;   /**< when the set below last changed */
     GPtrArray *halls;     /**< names of the closed halls, sorted */
-} Closures;
+} Hall_Closures;
 
 /** Effect of a message. */
 typedef enum {
-    CLOSURES_OLDER,    /**< older than what is known; ignored */
-    CLOSURES_SAME,     /**< the same halls, possibly confirmed */
-    CLOSURES_DIFFERENT /**< the set of closed halls has changed */
-} Closures_Change;
+    HALL_CLOSURES_STALE,     /**< older than what is known; ignored */
+    HALL_CLOSURES_UNCHANGED, /**< the same halls, possibly confirmed */
+    HALL_CLOSURES_CHANGED    /**< the set of closed halls has changed */
+} HallClosures_Change;
 
 /** Starts with nothing known: no hall counts as closed. */
-void Closures_Init(Closures *closures, int64_t now_ms);
-void Closures_Clear(Closures *closures);
+void HallClosures_Init(Hall_Closures *closures, int64_t now_ms);
+void HallClosures_Clear(Hall_Closures *closures);
 
 /** Request time of an unsolicited message. It may have been delayed for any
  * time and therefore confirms nothing. */
-#define CLOSURES_UNASKED INT64_MIN
+#define HALL_CLOSURES_UNSOLICITED INT64_MIN
 
 /** Merges a set that was received. @p requested_ms is when it was requested,
- * or CLOSURES_UNASKED if it was not: the set counts as confirmed at @p
- * requested_ms less the age given in the message, which holds however long the
- * answer took to arrive. */
-Closures_Change Closures_Take(Closures *closures, int64_t now_ms,
-                              int64_t requested_ms,
-                              const lc_closures *message);
+ * or HALL_CLOSURES_UNSOLICITED if it was not: the set counts as confirmed at
+ * @p requested_ms less the age given in the message, which holds however long
+ * the answer took to arrive. */
+HallClosures_Change HallClosures_Merge(Hall_Closures *closures, int64_t now_ms,
+                                       int64_t requested_ms,
+                                       const lc_closures *message);
 
 /** Whether @p hall is closed, so that no task may be started in it. */
-bool Closures_Has(const Closures *closures, const char *hall);
+bool HallClosures_Contains(const Hall_Closures *closures, const char *hall);
 
 /** Whether to reject a start in @p hall from a sender that knew the records up
  * to @p as_of and took the hall as open. A sender that knows later records
  * than this process is trusted. */
-bool Closures_Refuses(const Closures *closures, const char *hall,
-                      int64_t as_of);
+bool HallClosures_RejectsStart(const Hall_Closures *closures, const char *hall,
+                               int64_t as_of);
 
 /** Fills a message. Its names are borrowed from @p closures and valid until
  * the next call that changes it. */
-void Closures_Tell(const Closures *closures, int64_t now_ms, lc_closures *out);
+void HallClosures_FillMessage(const Hall_Closures *closures, int64_t now_ms,
+                              lc_closures *out);
 
 /** Time since the latest confirmation, in ms. */
-int64_t Closures_AgeMs(const Closures *closures, int64_t now_ms);
+int64_t HallClosures_AgeMs(const Hall_Closures *closures, int64_t now_ms);
 
 /** Comma-separated names of the closed halls, for log lines; the caller frees
  * the result. */
-char *Closures_Text(const Closures *closures);
+char *HallClosures_Text(const Hall_Closures *closures);
 
 /** State for operators; the caller owns the result. */
-json_t *Closures_Dump(const Closures *closures, int64_t now_ms);
+json_t *HallClosures_Dump(const Hall_Closures *closures, int64_t now_ms);
 
 /** Appends metrics in the text format of scrapers. */
-void Closures_Metrics(const Closures *closures, int64_t now_ms, GString *out);
+void HallClosures_Metrics(const Hall_Closures *closures, int64_t now_ms,
+                          GString *out);
 
 #endif
--- a/lease/health.c
+++ b/lease/health.c
@@ -57,7 +57,7 @@
 }
 
 bool
-Health_Good(Health *health, uint32_t ran_ms, uint32_t estimate_ms)
+Health_NoteSuccess(Health *health, uint32_t ran_ms, uint32_t estimate_ms)
 {
     health->consecutive_failures = 0;
     if (estimate_ms > 0) {
@@ -76,7 +76,7 @@
 }
 
 bool
-Health_Bad(Health *health, int64_t now_ms, uint64_t job)
+Health_NoteFailure(Health *health, int64_t now_ms, uint64_t job)
 {
     if (health->consecutive_failures > 0 && health->last_failed_job == job) {
         return false;
@@ -90,7 +90,7 @@
 }
 
 bool
-Health_Stalled(Health *health, int64_t now_ms)
+Health_NoteStall(Health *health, int64_t now_ms)
 {
     health->consecutive_failures++;
     if (health->trial || health->consecutive_failures >= STALL_LIMIT) {
@@ -106,7 +106,7 @@
 }
 
 void
-Health_Started(Health *health, int64_t now_ms)
+Health_NoteStart(Health *health, int64_t now_ms)
 {
     if (health->trial) {
         health->next_trial_ms = now_ms + TRIAL_INTERVAL_MS;
@@ -181,7 +181,7 @@
 }
 
 void
-Health_Fade(Health *health, int64_t now_ms)
+Health_Decay(Health *health, int64_t now_ms)
 {
     uint32_t excess;
 
--- a/lease/job.c
+++ b/lease/job.c
@@ -11,7 +11,7 @@
 }
 
 uint32_t
-LeasedJob_Tasks(const LeasedJob *job)
+LeasedJob_TaskCount(const LeasedJob *job)
 {
     uint32_t count = 0;
     uint32_t i;
@@ -23,7 +23,7 @@
 }
 
 uint32_t
-LeasedJob_Times(const LeasedJob *job)
+LeasedJob_OccurrenceCount(const LeasedJob *job)
 {
     return MAX(job->repeat_count, 1);
 }
@@ -40,7 +40,7 @@
 uint32_t
 LeasedJob_TaskNumber(const LeasedJob *job, const lc_run_id *id)
 {
-    uint32_t number = id->occurrence * LeasedJob_Tasks(job) + id->index;
+    uint32_t number = id->occurrence * LeasedJob_TaskCount(job) + id->index;
     uint32_t i;
 
     for (i = 0; i < id->step && i < job->step_count; i++) {
@@ -50,7 +50,7 @@
 }
 
 uint32_t
-LeasedJob_EndNumber(const LeasedJob *job, const lc_run_id *id)
+LeasedJob_RecordedEndNumber(const LeasedJob *job, const lc_run_id *id)
 {
     if (id->step < job->step_count && job->steps[id->step].long_running) {
         return UINT32_MAX;
@@ -59,7 +59,7 @@
 }
 
 uint32_t
-LeasedJob_ChainMs(const LeasedJob *job)
+LeasedJob_CriticalPathMs(const LeasedJob *job)
 {
     uint32_t path_ms[LEASED_JOB_MAX_STEPS] = {0};
     uint32_t longest_ms = 0;
@@ -83,7 +83,7 @@
 {
     uint32_t i;
 
-    if (job->repeat_count > 0 && !job->needs_keeping) {
+    if (job->repeat_count > 0 && !job->needs_durability) {
         return "jobs at set times that need not be kept";
     }
     for (i = 0; i < job->step_count; i++) {
@@ -93,7 +93,7 @@
         if (job->steps[i].fills) {
             return "tasks that take what others leave";
         }
-        if (job->steps[i].long_running && !job->needs_keeping) {
+        if (job->steps[i].long_running && !job->needs_durability) {
             return "tasks that last and need not be kept";
         }
     }
@@ -101,7 +101,7 @@
 }
 
 Err_Kind
-LeasedJob_Check(const LeasedJob *job, Status *status)
+LeasedJob_CheckSupported(const LeasedJob *job, Status *status)
 {
     const char *feature = unsupported_feature(job);
 
--- a/lease/job.h
+++ b/lease/job.h
@@ -15,7 +15,7 @@
 
 /** Most tasks of one job over all its occurrences: a bit for each is recorded.
  */
-#define LEASED_JOB_MAX_TIMED (8 * LC_MAX_TASKS)
+#define LEASED_JOB_MAX_RECORDED_ENDS (8 * LC_MAX_TASKS)
 /** Most tasks of one job, the largest size that its developers state. */
 #define LEASED_JOB_MAX_TASKS 1500
 /** Most steps of one job. */
@@ -39,7 +39,7 @@
 typedef struct {
     uint64_t id;
     char *spec;            /**< passed to the upstream unchanged */
-    bool needs_keeping;    /**< must survive the loss of all processes */
+    bool needs_durability; /**< must survive the loss of all processes */
     uint32_t repeat_count; /**< number of scheduled occurrences; 0: runs once,
                                 immediately */
     int64_t start_at_ms;   /**< wall clock, of the first occurrence */
@@ -52,10 +52,10 @@
 void LeasedJob_Clear(LeasedJob *job);
 
 /** Number of tasks of all steps in one occurrence. */
-uint32_t LeasedJob_Tasks(const LeasedJob *job);
+uint32_t LeasedJob_TaskCount(const LeasedJob *job);
 
 /** Number of occurrences; 1 for a job that is not scheduled. */
-uint32_t LeasedJob_Times(const LeasedJob *job);
+uint32_t LeasedJob_OccurrenceCount(const LeasedJob *job);
 
 /** Start time of an occurrence, in ms of the wall clock; INT64_MIN for a job
  * that is not scheduled. */
@@ -66,13 +66,14 @@
 
 /** The same number for recording the end of a run; UINT32_MAX for a
  * long-running task, as it is restarted in any case. */
-uint32_t LeasedJob_EndNumber(const LeasedJob *job, const lc_run_id *id);
+uint32_t LeasedJob_RecordedEndNumber(const LeasedJob *job,
+                                     const lc_run_id *id);
 
 /** Length of the critical path by the steps' estimates, in ms. */
-uint32_t LeasedJob_ChainMs(const LeasedJob *job);
+uint32_t LeasedJob_CriticalPathMs(const LeasedJob *job);
 
 /** Checks whether this kind of job is supported. Errors: UNSUPPORTED with the
  * feature that is not. */
-Err_Kind LeasedJob_Check(const LeasedJob *job, Status *status);
+Err_Kind LeasedJob_CheckSupported(const LeasedJob *job, Status *status);
 
 #endif
--- a/lease/job_wire.c
+++ b/lease/job_wire.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 void
-JobWire_Put(const LeasedJob *job, lc_forward_args *args)
+JobWire_Encode(const LeasedJob *job, lc_forward_args *args)
 {
     uint32_t i;
 
@@ -46,7 +46,7 @@
 }
 
 Err_Kind
-JobWire_Get(const lc_forward_args *args, LeasedJob *job, Status *status)
+JobWire_Decode(const lc_forward_args *args, LeasedJob *job, Status *status)
 {
     uint64_t tasks = 0;
     u_int i;
--- a/lease/job_wire.h
+++ b/lease/job_wire.h
@@ -9,11 +9,11 @@
 
 /** Fills in the job's id, spec and steps in @p args. They borrow from @p job,
  * except the array of steps, which the caller frees. */
-void JobWire_Put(const LeasedJob *job, lc_forward_args *args);
+void JobWire_Encode(const LeasedJob *job, lc_forward_args *args);
 
 /** Makes a job from received arguments; the caller owns it. Errors:
  * BAD_REQUEST with the step that is not valid. */
-Err_Kind JobWire_Get(const lc_forward_args *args, LeasedJob *job,
-                     Status *status);
+Err_Kind JobWire_Decode(const lc_forward_args *args, LeasedJob *job,
+                        Status *status);
 
 #endif
--- a/lease/term.c
+++ b/lease/lease_timing.c
@@ -1,4 +1,4 @@
-#include "lease/term.h"
+#include "lease/lease_timing.h"
 
 #include <glib.h>
 
@@ -10,19 +10,19 @@
 #define MIN_LEASE_MS 100
 
 int64_t
-Term_HoldAtMost(int64_t hold_ms)
+LeaseTiming_MaxHoldMs(int64_t hold_ms)
 {
     return hold_ms * PERCENT / (PERCENT - MAX_CLOCK_DRIFT_PERCENT) + 1;
 }
 
 int64_t
-Term_UpstreamElapsed(int64_t elapsed_ms)
+LeaseTiming_MinUpstreamElapsedMs(int64_t elapsed_ms)
 {
     return elapsed_ms * (PERCENT - MAX_CLOCK_DRIFT_PERCENT) / PERCENT;
 }
 
 bool
-Term_Plan(const Term_Bounds *bounds, Term *term)
+LeaseTiming_Derive(const LeaseTiming_Bounds *bounds, LeaseTiming *term)
 {
     int64_t left = bounds->resubmit_ms - bounds->stop_ms - bounds->tick_ms -
                    ROUNDING_MS;
@@ -32,21 +32,21 @@
     term->stop_ms = bounds->stop_ms;
     term->tick_ms = bounds->tick_ms;
     term->hold_ms = MIN(each, bounds->hold_max_ms);
-    term->hold_most_ms = bounds->hold_max_ms;
+    term->hold_limit_ms = bounds->hold_max_ms;
     term->lease_ms = each;
     return each >= MIN_LEASE_MS;
 }
 
 int64_t
-Term_ValidUntil(const Term *term, int64_t stamp_ms, int64_t received_ms,
-                int64_t now_ms)
+LeaseTiming_ValidUntil(const LeaseTiming *term, int64_t stamp_ms,
+                       int64_t received_ms, int64_t now_ms)
 {
     return stamp_ms + (now_ms - received_ms) + term->lease_ms;
 }
 
 int64_t
-Term_CertainEnd(const Term *term, int64_t sent_ms)
+LeaseTiming_CertainEnd(const LeaseTiming *term, int64_t sent_ms)
 {
-    return sent_ms + term->lease_ms + Term_HoldAtMost(term->hold_ms) +
+    return sent_ms + term->lease_ms + LeaseTiming_MaxHoldMs(term->hold_ms) +
            term->stop_ms + term->tick_ms + ROUNDING_MS;
 }
--- a/lease/link_budget.c
+++ b/lease/link_budget.c
@@ -81,14 +81,14 @@
 }
 
 void
-LinkBudget_NoteWait(LinkBudget *budget, int64_t now_ms)
+LinkBudget_RecordWait(LinkBudget *budget, int64_t now_ms)
 {
     budget->waits++;
     budget->congested_until_ms = now_ms + CONGESTED_MS;
 }
 
 bool
-LinkBudget_IsShort(const LinkBudget *budget, int64_t now_ms)
+LinkBudget_IsCongested(const LinkBudget *budget, int64_t now_ms)
 {
     return now_ms < budget->congested_until_ms;
 }
@@ -99,14 +99,14 @@
     if (budget->bytes_per_s == 0) {
         return INT64_MAX;
     }
-    if (LinkBudget_IsShort(budget, now_ms)) {
+    if (LinkBudget_IsCongested(budget, now_ms)) {
         return 0;
     }
     return MAX(budget->bytes_per_s - budget->rate, 0);
 }
 
 int64_t
-LinkBudget_DueMs(const LinkBudget *budget)
+LinkBudget_NextStartMs(const LinkBudget *budget)
 {
     if (budget->available_bytes > 0 || budget->bytes_per_s == 0) {
         return budget->refilled_ms;
--- a/lease/link_budget.h
+++ b/lease/link_budget.h
@@ -40,11 +40,11 @@
 void LinkBudget_Spend(LinkBudget *budget, int64_t bytes);
 
 /** Records that starts wait for the link alone. */
-void LinkBudget_NoteWait(LinkBudget *budget, int64_t now_ms);
+void LinkBudget_RecordWait(LinkBudget *budget, int64_t now_ms);
 
 /** Whether the link is congested, as starts have waited for it lately: saving
  * bytes then takes precedence over spreading load evenly over the hosts. */
-bool LinkBudget_IsShort(const LinkBudget *budget, int64_t now_ms);
+bool LinkBudget_IsCongested(const LinkBudget *budget, int64_t now_ms);
 
 /** Unused rate of the link in bytes per second; INT64_MAX if there is no
  * limit, 0 while it is congested. */
@@ -52,6 +52,6 @@
 
 /** Time at which the next start may be sent, if nothing else is sent before.
  */
-int64_t LinkBudget_DueMs(const LinkBudget *budget);
+int64_t LinkBudget_NextStartMs(const LinkBudget *budget);
 
 #endif
--- a/lease/peers.c
+++ b/lease/peers.c
@@ -61,7 +61,7 @@
 }
 
 bool
-Peers_Name(Peers *peers, Address address, int64_t now_ms)
+Peers_Add(Peers *peers, Address address, int64_t now_ms)
 {
     Peers_Row *row = Peers_Find(peers, address);
     bool is_new = row == NULL;
@@ -74,7 +74,7 @@
         row->address = address;
         row->since_ms = now_ms;
         row->routes_version = -1;
-        row->waiting = g_array_new(FALSE, TRUE, sizeof(Peers_Count));
+        row->waiting = g_array_new(FALSE, TRUE, sizeof(Peers_QueueCount));
         g_ptr_array_add(peers->rows, row);
     }
     row->last_named_ms = now_ms;
@@ -92,8 +92,8 @@
 }
 
 void
-Peers_TakeList(Peers *peers, const u_quad_t *entries, u_int count,
-               int64_t now_ms)
+Peers_ReplaceList(Peers *peers, const u_quad_t *entries, u_int count,
+                  int64_t now_ms)
 {
     uint64_t digest = 0;
     guint i;
@@ -104,7 +104,7 @@
     for (i = 0; i < count; i++) {
         Peers_Row *row;
         digest ^= digest_of(entries[i]);
-        Peers_Name(peers, entries[i], now_ms);
+        Peers_Add(peers, entries[i], now_ms);
         row = Peers_Find(peers, entries[i]);
         if (row != NULL) {
             row->listed = true;
@@ -121,12 +121,12 @@
 }
 
 bool
-Peers_Hear(Peers *peers, Address address, int64_t now_ms)
+Peers_MarkAlive(Peers *peers, Address address, int64_t now_ms)
 {
     Peers_Row *row;
     bool was_live;
 
-    Peers_Name(peers, address, now_ms);
+    Peers_Add(peers, address, now_ms);
     row = Peers_Find(peers, address);
     if (row == NULL) {
         return false;
@@ -147,7 +147,7 @@
     }
     for (i = 0; i < count; i++) {
         Peers_Row *row;
-        Peers_Name(peers, seeds[i], now_ms);
+        Peers_Add(peers, seeds[i], now_ms);
         row = Peers_Find(peers, seeds[i]);
         if (row != NULL) {
             row->seed = true;
@@ -156,7 +156,7 @@
 }
 
 Peers_Row *
-Peers_OfCall(const Peers *peers, uint64_t call_id)
+Peers_FindByCall(const Peers *peers, uint64_t call_id)
 {
     guint i;
 
@@ -170,7 +170,7 @@
 }
 
 void
-Peers_Forget(Peers *peers, int64_t now_ms)
+Peers_Expire(Peers *peers, int64_t now_ms)
 {
     guint i = 0;
 
@@ -197,7 +197,7 @@
 }
 
 int64_t
-Peers_PatienceMs(const Peers_Row *row, int64_t now_ms)
+Peers_CallTimeoutMs(const Peers_Row *row, int64_t now_ms)
 {
     int64_t silent_ms = now_ms - MAX(row->heard_ms, row->since_ms);
 
@@ -208,7 +208,7 @@
 }
 
 GArray *
-Peers_Live(const Peers *peers, int64_t now_ms, Address extra)
+Peers_ListLive(const Peers *peers, int64_t now_ms, Address extra)
 {
     GArray *live = g_array_new(FALSE, FALSE, sizeof(Address));
     guint i;
@@ -250,8 +250,8 @@
 }
 
 int64_t
-Peers_SpacedMs(const Peers *peers, int64_t per_peer_ms, int64_t min_ms,
-               int64_t max_ms)
+Peers_CallIntervalMs(const Peers *peers, int64_t per_peer_ms, int64_t min_ms,
+                     int64_t max_ms)
 {
     return CLAMP(per_peer_ms * (int64_t)peers->rows->len, min_ms, max_ms);
 }
--- a/lease/choice.c
+++ b/lease/placement.c
@@ -1,4 +1,4 @@
-#include "lease/choice.h"
+#include "lease/placement.h"
 
 #include <string.h>
 
@@ -27,7 +27,7 @@
 #define REMOTE_DATA_PERCENT 50
 
 bool
-Choice_IsHeard(const Fleet_Host *host, int64_t now_ms)
+Placement_IsLive(const Fleet_Host *host, int64_t now_ms)
 {
     int64_t promised_ms = host->reported_ms + host->next_ms;
 
@@ -35,18 +35,18 @@
 }
 
 bool
-Choice_IsWell(const Fleet_Host *host, int64_t now_ms)
+Placement_IsHealthy(const Fleet_Host *host, int64_t now_ms)
 {
     return (host->state == LC_UPSTREAM_READY ||
             host->state == LC_UPSTREAM_TRIAL) &&
-           !host->suspect && Choice_IsHeard(host, now_ms) &&
+           !host->suspect && Placement_IsLive(host, now_ms) &&
            now_ms >= host->avoid_until_ms;
 }
 
 bool
-Choice_IsOpen(const Fleet_Host *host, int64_t now_ms)
+Placement_IsSchedulable(const Fleet_Host *host, int64_t now_ms)
 {
-    return !host->closed && Choice_IsWell(host, now_ms);
+    return !host->closed && Placement_IsHealthy(host, now_ms);
 }
 
 /* Number of other tasks of the same step and occurrence that were placed at an
@@ -73,7 +73,7 @@
 /* Whether the task would miss its objective there, but meet it on a host of
  * normal pace. */
 static bool
-is_too_slow(const Choice *context, const Active_Job *job,
+is_too_slow(const Placement_Context *context, const Active_Job *job,
             const LeasedJob_Step *step, const Fleet_Host *host)
 {
     int64_t remaining_ms = job->objective_ms - context->now_ms;
@@ -85,18 +85,18 @@
 }
 
 static bool
-may_run(const Choice *context, const Active_Job *job, const Active_Task *task,
-        const Fleet_Host *host)
+may_run(const Placement_Context *context, const Active_Job *job,
+        const Active_Task *task, const Fleet_Host *host)
 {
     const LeasedJob_Step *step = Active_Step(job, task);
 
-    if (!Choice_IsOpen(host, context->now_ms) ||
+    if (!Placement_IsSchedulable(host, context->now_ms) ||
         !Resources_Fit(&step->need, &host->room) ||
         g_strcmp0(host->service, job->service) != 0 ||
         !Fleet_HasLabel(host, step->requirement)) {
         return false;
     }
-    if (job->kept && host->held >= RUNNER_MOST_HELD) {
+    if (job->kept && host->held >= RUNNER_MAX_HELD_ENDS) {
         return false; /* it could not hold their ends */
     }
     if (is_too_slow(context, job, step, host)) {
@@ -108,7 +108,7 @@
 
 /* Cost of running the task there, in ms: its expected time and penalties. */
 static int64_t
-placement_cost_ms(const Choice *context, const Active_Job *job,
+placement_cost_ms(const Placement_Context *context, const Active_Job *job,
                   const Active_Task *task, const Fleet_Host *host)
 {
     const LeasedJob_Step *step = Active_Step(job, task);
@@ -149,11 +149,11 @@
  * then found no room, and 0.04 with sampling (55 entries, 240 companions,
  * tests/fleet_load). */
 static void
-sample_host(host_sample *sample, const Choice *context, Fleet_Host *host,
-            int64_t cost_ms, uint32_t fits)
+sample_host(host_sample *sample, const Placement_Context *context,
+            Fleet_Host *host, int64_t cost_ms, uint32_t fits)
 {
-    uint32_t calls = context->together / fits +
-                     (context->together % fits != 0);
+    uint32_t calls = context->packed_tasks / fits +
+                     (context->packed_tasks % fits != 0);
 
     if (cost_ms > sample->cost_ms ||
         (cost_ms == sample->cost_ms && calls > sample->calls)) {
@@ -171,14 +171,14 @@
 }
 
 Fleet_Host *
-Choice_Host(const Choice *context, const Active_Job *job,
-            const Active_Task *task)
+Placement_ChooseHost(const Placement_Context *context, const Active_Job *job,
+                     const Active_Task *task)
 {
     const lc_resources *need = &Active_Step(job, task)->need;
     host_sample sample = {.cost_ms = INT64_MAX};
     guint i;
 
-    if (context->together > 0 && context->with != NULL &&
+    if (context->packed_tasks > 0 && context->with != NULL &&
         context->with->node.address != task->avoid &&
         may_run(context, job, task, context->with)) {
         return context->with;
--- a/lease/choice.h
+++ b/lease/placement.h
@@ -1,11 +1,11 @@
 /**
- * @file choice.h
+ * @file placement.h
  * @brief Placement: chooses the companion that runs a task.
  */
-#ifndef LC_LEASE_CHOICE_H
-#define LC_LEASE_CHOICE_H
+#ifndef LC_LEASE_PLACEMENT_H
+#define LC_LEASE_PLACEMENT_H
 
-#include "lease/active.h"
+#include "lease/active_job.h"
 #include "lease/fleet.h"
 
 /** Inputs of a placement decision; all pointers are borrowed. */
@@ -16,22 +16,23 @@
     uint64_t *random; /**< generator state */
     /** Tasks of the job, including this one, that are to be placed on as few
      * hosts as possible; 0 if each is placed independently. */
-    uint32_t together;
+    uint32_t packed_tasks;
     Fleet_Host *with; /**< host of the previous one of them, or NULL */
-} Choice;
+} Placement_Context;
 
 /** Returns the companion that should run @p task now, or NULL if none can. */
-Fleet_Host *Choice_Host(const Choice *context, const Active_Job *job,
-                        const Active_Task *task);
+Fleet_Host *Placement_ChooseHost(const Placement_Context *context,
+                                 const Active_Job *job,
+                                 const Active_Task *task);
 
 /** Whether a companion has sent a message within the liveness timeout. */
-bool Choice_IsHeard(const Fleet_Host *host, int64_t now_ms);
+bool Placement_IsLive(const Fleet_Host *host, int64_t now_ms);
 
 /** Whether a companion and its upstream are healthy as far as is known: heard
  * from lately, not suspect and not avoided after refusals. */
-bool Choice_IsWell(const Fleet_Host *host, int64_t now_ms);
+bool Placement_IsHealthy(const Fleet_Host *host, int64_t now_ms);
 
 /** Whether a companion is healthy and operators have not closed its hall. */
-bool Choice_IsOpen(const Fleet_Host *host, int64_t now_ms);
+bool Placement_IsSchedulable(const Fleet_Host *host, int64_t now_ms);
 
 #endif
--- a/lease/reserve.c
+++ b/lease/priority_reserve.c
@@ -1,6 +1,6 @@
-#include "lease/reserve.h"
+#include "lease/priority_reserve.h"
 
-#include "lease/choice.h"
+#include "lease/placement.h"
 #include "lease/resources.h"
 
 /* Nothing is reserved for a priority that no job has had for this time. It is
@@ -22,8 +22,8 @@
 }
 
 void
-Reserve_Note(Reserve *reserve, int64_t now_ms, int32_t priority,
-             uint32_t tasks)
+Reserve_RecordJob(Reserve *reserve, int64_t now_ms, int32_t priority,
+                  uint32_t tasks)
 {
     bool recent = is_recent(reserve, now_ms);
 
@@ -40,7 +40,7 @@
 }
 
 uint32_t
-Reserve_Tasks(const Reserve *reserve, int64_t now_ms)
+Reserve_TaskCount(const Reserve *reserve, int64_t now_ms)
 {
     if (!is_recent(reserve, now_ms)) {
         return 0;
@@ -52,7 +52,7 @@
 Reserve_Allows(const Reserve *reserve, const Fleet *fleet, int64_t now_ms,
                int32_t priority, const lc_resources *need)
 {
-    uint64_t reserved_tasks = Reserve_Tasks(reserve, now_ms);
+    uint64_t reserved_tasks = Reserve_TaskCount(reserve, now_ms);
     uint64_t free_tasks = 0;
     uint64_t capacity_tasks = 0;
     guint i;
@@ -62,7 +62,7 @@
     }
     for (i = 0; i < fleet->hosts->len && free_tasks <= reserved_tasks; i++) {
         const Fleet_Host *host = g_ptr_array_index(fleet->hosts, i);
-        if (Choice_IsOpen(host, now_ms)) {
+        if (Placement_IsSchedulable(host, now_ms)) {
             free_tasks += Resources_CountFits(need, &host->room);
             capacity_tasks += Resources_CountFits(need, &host->capacity);
         }
--- a/lease/reserve.h
+++ b/lease/priority_reserve.h
@@ -1,5 +1,5 @@
 /**
- * @file reserve.h
+ * @file priority_reserve.h
  * @brief Capacity reserved for jobs of the highest priority (trunk
  * reservation): a job of a lower priority is started only while the companions
  * have room for more than a reserved number of its tasks, so that the next job
@@ -9,8 +9,8 @@
  * the reserve follows the mean task count of those jobs. Times are monotonic,
  * in ms.
  */
-#ifndef LC_LEASE_RESERVE_H
-#define LC_LEASE_RESERVE_H
+#ifndef LC_LEASE_PRIORITY_RESERVE_H
+#define LC_LEASE_PRIORITY_RESERVE_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -25,12 +25,12 @@
 } Reserve;
 
 /** Records the arrival of a job. */
-void Reserve_Note(Reserve *reserve, int64_t now_ms, int32_t priority,
-                  uint32_t tasks);
+void Reserve_RecordJob(Reserve *reserve, int64_t now_ms, int32_t priority,
+                       uint32_t tasks);
 
 /** Number of tasks for which room is reserved, before the limit by the total
  * capacity. */
-uint32_t Reserve_Tasks(const Reserve *reserve, int64_t now_ms);
+uint32_t Reserve_TaskCount(const Reserve *reserve, int64_t now_ms);
 
 /** Whether the reserve allows a job to start that has not started yet; @p need
  * is that of one of its tasks. */
--- a/lease/queue_counts.c
+++ b/lease/queue_counts.c
@@ -7,7 +7,7 @@
 }
 
 uint32_t
-QueueCounts_Of(QueueCounts *counts, const char *queue)
+QueueCounts_Get(QueueCounts *counts, const char *queue)
 {
     return GPOINTER_TO_UINT(g_hash_table_lookup(counts, queue));
 }
@@ -15,7 +15,7 @@
 void
 QueueCounts_Add(QueueCounts *counts, const char *queue)
 {
-    uint32_t count = QueueCounts_Of(counts, queue) + 1;
+    uint32_t count = QueueCounts_Get(counts, queue) + 1;
 
     g_hash_table_insert(counts, (gpointer)(uintptr_t)queue,
                         GUINT_TO_POINTER(count));
--- a/lease/queue_counts.h
+++ b/lease/queue_counts.h
@@ -20,6 +20,6 @@
 void QueueCounts_Add(QueueCounts *counts, const char *queue);
 
 /** Returns the number of jobs of a queue; 0 if none was counted. */
-uint32_t QueueCounts_Of(QueueCounts *counts, const char *queue);
+uint32_t QueueCounts_Get(QueueCounts *counts, const char *queue);
 
 #endif
--- a/lease/queue_stats.c
+++ b/lease/queue_stats.c
@@ -3,32 +3,32 @@
 #include <inttypes.h>
 
 void
-QueueStats_Init(Queue_Table *table)
+QueueStats_Init(QueueStats_Table *table)
 {
     table->queues = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                           g_free);
 }
 
 void
-QueueStats_Clear(Queue_Table *table)
+QueueStats_Clear(QueueStats_Table *table)
 {
     g_hash_table_unref(table->queues);
 }
 
-Queue_Stats *
-QueueStats_Of(Queue_Table *table, const char *queue)
+QueueStats *
+QueueStats_Get(QueueStats_Table *table, const char *queue)
 {
-    Queue_Stats *stats = g_hash_table_lookup(table->queues, queue);
+    QueueStats *stats = g_hash_table_lookup(table->queues, queue);
 
     if (stats == NULL) {
-        stats = g_new0(Queue_Stats, 1);
+        stats = g_new0(QueueStats, 1);
         g_hash_table_insert(table->queues, g_strdup(queue), stats);
     }
     return stats;
 }
 
 void
-QueueStats_Print(const Queue_Table *table, GString *out)
+QueueStats_Print(const QueueStats_Table *table, GString *out)
 {
     static const char *const labels[QUEUE_OUTCOME_COUNT] = {
 #define X(name, label) label,
@@ -43,7 +43,7 @@
 
     g_hash_table_iter_init(&iter, table->queues);
     while (g_hash_table_iter_next(&iter, &name, &value)) {
-        const Queue_Stats *stats = value;
+        const QueueStats *stats = value;
         g_snprintf(label, sizeof(label), "queue=\"%s\"", (const char *)name);
         Histogram_Print(&stats->wait, "job_wait", label, out);
         Histogram_Print(&stats->answer, "job_answer", label, out);
--- a/lease/queue_stats.h
+++ b/lease/queue_stats.h
@@ -26,27 +26,27 @@
     QUEUE_OUTCOME_LIST(X)
 #undef X
         QUEUE_OUTCOME_COUNT
-} Queue_Outcome;
+} QueueStats_Outcome;
 
 /** Statistics of one queue. */
 typedef struct {
     Histogram wait;   /**< ms from arrival to the first run sent */
     Histogram answer; /**< ms from arrival to the answer */
     uint64_t outcomes[QUEUE_OUTCOME_COUNT];
-} Queue_Stats;
+} QueueStats;
 
 /** Statistics of all queues by name. */
 typedef struct {
-    GHashTable *queues; /**< name -> Queue_Stats, both owned */
-} Queue_Table;
+    GHashTable *queues; /**< name -> QueueStats, both owned */
+} QueueStats_Table;
 
-void QueueStats_Init(Queue_Table *table);
-void QueueStats_Clear(Queue_Table *table);
+void QueueStats_Init(QueueStats_Table *table);
+void QueueStats_Clear(QueueStats_Table *table);
 
 /** Returns the statistics of a queue, created on first use. */
-Queue_Stats *QueueStats_Of(Queue_Table *table, const char *queue);
+QueueStats *QueueStats_Get(QueueStats_Table *table, const char *queue);
 
 /** Appends all statistics in the text format of metrics. */
-void QueueStats_Print(const Queue_Table *table, GString *out);
+void QueueStats_Print(const QueueStats_Table *table, GString *out);
 
 #endif
--- a/lease/resources.c
+++ b/lease/resources.c
@@ -19,7 +19,7 @@
 }
 
 void
-Resources_Take(lc_resources *sum, const lc_resources *less)
+Resources_Subtract(lc_resources *sum, const lc_resources *less)
 {
     sum->cpu_milli -= MIN(sum->cpu_milli, less->cpu_milli);
     sum->memory_mb -= MIN(sum->memory_mb, less->memory_mb);
@@ -27,7 +27,7 @@
 }
 
 bool
-Resources_IsNone(const lc_resources *resources)
+Resources_IsZero(const lc_resources *resources)
 {
     return resources->cpu_milli == 0 && resources->memory_mb == 0 &&
            resources->accelerators == 0;
--- a/lease/resources.h
+++ b/lease/resources.h
@@ -17,10 +17,10 @@
 void Resources_Add(lc_resources *sum, const lc_resources *more);
 
 /** Subtracts @p less from @p sum; no component goes below zero. */
-void Resources_Take(lc_resources *sum, const lc_resources *less);
+void Resources_Subtract(lc_resources *sum, const lc_resources *less);
 
 /** Whether all components are zero. */
-bool Resources_IsNone(const lc_resources *resources);
+bool Resources_IsZero(const lc_resources *resources);
 
 /** How many times @p need fits into @p room; UINT32_MAX if @p need is zero. */
 uint32_t Resources_CountFits(const lc_resources *need,
--- a/lease/route.c
+++ b/lease/route_table.c
@@ -1,4 +1,4 @@
-#include "lease/route.h"
+#include "lease/route_table.h"
 
 #include <string.h>
 
@@ -56,14 +56,14 @@
 }
 
 Err_Kind
-Route_Check(const Route *route, const LeasedJob *job, Status *status)
+Route_CheckJob(const Route *route, const LeasedJob *job, Status *status)
 {
-    if (route->advised) {
+    if (route->needs_ticket) {
         return Err_Set(
             status, ERR_UNSUPPORTED,
             "not supported yet: queues whose starts need an admission ticket");
     }
-    return LeasedJob_Check(job, status);
+    return LeasedJob_CheckSupported(job, status);
 }
 
 static gint
@@ -114,12 +114,12 @@
 int64_t
 Route_ObjectiveMs(const Route *route, const LeasedJob *job)
 {
-    return route->target_ms +
-           (int64_t)LeasedJob_ChainMs(job) * route->stretch_percent / PERCENT;
+    return route->target_ms + (int64_t)LeasedJob_CriticalPathMs(job) *
+                                  route->stretch_percent / PERCENT;
 }
 
 const Route *
-Route_Named(const Route_Table *table, const char *name)
+Route_FindByName(const Route_Table *table, const char *name)
 {
     guint i;
 
@@ -133,7 +133,7 @@
 }
 
 const Route *
-Route_Find(Route_Table *table, const char *authority, const char *path)
+Route_FindByPrefix(Route_Table *table, const char *authority, const char *path)
 {
     char *host = g_ascii_strdown(authority, (gssize)strcspn(authority, ":"));
     GString *key = g_string_new(host);
--- a/lease/route.h
+++ b/lease/route_table.h
@@ -1,13 +1,13 @@
 /**
- * @file route.h
+ * @file route_table.h
  * @brief The route table that operators configure: which requests belong to
  * which queue, the service that runs the queue's tasks, and its policy.
  *
  * Queues of a table in use are never changed: a newer table replaces the whole
  * one. Errors: BAD_RECORD.
  */
-#ifndef LC_LEASE_ROUTE_H
-#define LC_LEASE_ROUTE_H
+#ifndef LC_LEASE_ROUTE_TABLE_H
+#define LC_LEASE_ROUTE_TABLE_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -26,7 +26,7 @@
     uint32_t timeout_ms;
     uint32_t target_ms;       /**< added to the stretched critical path */
     uint32_t stretch_percent; /**< percentage of a job's critical path */
-    bool advised;             /**< starts need an admission ticket */
+    bool needs_ticket;        /**< starts need an admission ticket */
 } Route;
 
 /** All queues of one version. */
@@ -50,18 +50,19 @@
 
 /** Whether the queue can serve @p job. Errors: UNSUPPORTED, with the feature
  * that is not supported. */
-Err_Kind Route_Check(const Route *route, const LeasedJob *job, Status *status);
+Err_Kind Route_CheckJob(const Route *route, const LeasedJob *job,
+                        Status *status);
 
 /** Latency objective of the job in ms, from its submission: an answer within
  * it has its full value. */
 int64_t Route_ObjectiveMs(const Route *route, const LeasedJob *job);
 
 /** Queue of that name, or NULL. */
-const Route *Route_Named(const Route_Table *table, const char *name);
+const Route *Route_FindByName(const Route_Table *table, const char *name);
 
 /** Queue with the longest prefix of @p path at @p authority (a port in it is
  * ignored), or NULL. */
-const Route *Route_Find(Route_Table *table, const char *authority,
-                        const char *path);
+const Route *Route_FindByPrefix(Route_Table *table, const char *authority,
+                                const char *path);
 
 #endif
--- a/lease/routes_fetch.c
+++ b/lease/routes_fetch.c
@@ -96,7 +96,7 @@
     const Peers_Row *peer;
 
     if (fetch->asking && now_ms - fetch->sent_ms >= CHUNK_TIMEOUT_MS) {
-        RoutesFetch_Fail(fetch);
+        RoutesFetch_OnFailure(fetch);
     }
     peer = choose_peer(fetch, now_ms, version, peers);
     if (peer == NULL) {
@@ -130,7 +130,8 @@
 is_usable(const Routes_Fetch *fetch, const lc_routes_res *reply)
 {
     return reply->routes_version == fetch->version &&
-           reply->data.data_len > 0 && reply->total <= ROUTES_FETCH_MOST &&
+           reply->data.data_len > 0 &&
+           reply->total <= ROUTES_FETCH_MAX_BYTES &&
            reply->offset == fetch->bytes->len &&
            reply->offset <= reply->total &&
            reply->data.data_len <= reply->total - reply->offset &&
@@ -138,26 +139,26 @@
 }
 
 void
-RoutesFetch_Fail(Routes_Fetch *fetch)
+RoutesFetch_OnFailure(Routes_Fetch *fetch)
 {
     fetch->asking = false;
     fetch->failed = true;
     fetch->next_peer++;
 }
 
-RoutesFetch_Step
-RoutesFetch_Take(Routes_Fetch *fetch, const lc_routes_res *reply)
+RoutesFetch_Result
+RoutesFetch_OnReply(Routes_Fetch *fetch, const lc_routes_res *reply)
 {
     fetch->asking = false;
     if (reply->routes_version > fetch->version) {
         restart(fetch, reply->routes_version);
     }
     if (!is_usable(fetch, reply)) {
-        RoutesFetch_Fail(fetch);
+        RoutesFetch_OnFailure(fetch);
         return ROUTES_FETCH_FAILED;
     }
     fetch->total = reply->total;
     g_byte_array_append(fetch->bytes, (const guint8 *)reply->data.data_val,
                         reply->data.data_len);
-    return is_complete(fetch) ? ROUTES_FETCH_WHOLE : ROUTES_FETCH_MORE;
+    return is_complete(fetch) ? ROUTES_FETCH_COMPLETE : ROUTES_FETCH_PARTIAL;
 }
--- a/lease/routes_fetch.h
+++ b/lease/routes_fetch.h
@@ -20,7 +20,7 @@
 
 /** Maximum length of a record that is fetched, in bytes: the limit of the
  * store client for one answer. */
-#define ROUTES_FETCH_MOST (32U * 1024 * 1024)
+#define ROUTES_FETCH_MAX_BYTES (32U * 1024 * 1024)
 
 /** State of a fetch. Set to zero, then RoutesFetch_Init. */
 typedef struct {
@@ -43,10 +43,10 @@
 
 /** Result of a reply. */
 typedef enum {
-    ROUTES_FETCH_FAILED, /**< unusable reply; another peer is asked */
-    ROUTES_FETCH_MORE,   /**< a chunk was added; more are needed */
-    ROUTES_FETCH_WHOLE   /**< `bytes` hold the whole record */
-} RoutesFetch_Step;
+    ROUTES_FETCH_FAILED,  /**< unusable reply; another peer is asked */
+    ROUTES_FETCH_PARTIAL, /**< a chunk was added; more are needed */
+    ROUTES_FETCH_COMPLETE /**< `bytes` hold the whole record */
+} RoutesFetch_Result;
 
 /** @p next_peer is where the round-robin begins; it should differ between
  * processes, so that they do not all ask the same peer. */
@@ -61,10 +61,10 @@
                       RoutesFetch_Call *call);
 
 /** The last call failed: its peer is unreachable or too slow. */
-void RoutesFetch_Fail(Routes_Fetch *fetch);
+void RoutesFetch_OnFailure(Routes_Fetch *fetch);
 
 /** Processes the reply to the last call. */
-RoutesFetch_Step RoutesFetch_Take(Routes_Fetch *fetch,
-                                  const lc_routes_res *reply);
+RoutesFetch_Result RoutesFetch_OnReply(Routes_Fetch *fetch,
+                                       const lc_routes_res *reply);
 
 #endif
--- a/lease/answer_time.c
+++ b/lease/rto_estimator.c
@@ -1,4 +1,4 @@
-#include "lease/answer_time.h"
+#include "lease/rto_estimator.h"
 
 #include <glib.h>
 
@@ -23,7 +23,7 @@
 #define LOSSY_PERMILLE 50
 
 void
-AnswerTime_Take(AnswerTime *times, int64_t answer_ms)
+RtoEstimator_AddSample(RtoEstimator *times, int64_t answer_ms)
 {
     int64_t sample_us = MAX(answer_ms, 0) * US_PER_MS;
     int64_t error_us = sample_us - times->mean_us;
@@ -40,19 +40,19 @@
 }
 
 void
-AnswerTime_Hit(AnswerTime *times)
+RtoEstimator_OnAnswered(RtoEstimator *times)
 {
     times->lost_permille -= times->lost_permille / LOST_DIVISOR;
 }
 
 void
-AnswerTime_Miss(AnswerTime *times)
+RtoEstimator_OnTimeout(RtoEstimator *times)
 {
     times->lost_permille += (PERMILLE - times->lost_permille) / LOST_DIVISOR;
 }
 
 int64_t
-AnswerTime_TimeoutMs(const AnswerTime *times)
+RtoEstimator_TimeoutMs(const RtoEstimator *times)
 {
     int64_t timeout_us = times->mean_us +
                          TIMEOUT_DEVIATIONS * times->deviation_us;
@@ -65,7 +65,7 @@
 }
 
 bool
-AnswerTime_IsLossy(const AnswerTime *times)
+RtoEstimator_IsLossy(const RtoEstimator *times)
 {
     return times->lost_permille >= LOSSY_PERMILLE;
 }
--- a/lease/run_id.c
+++ b/lease/run_id.c
@@ -34,7 +34,7 @@
 }
 
 bool
-RunId_IsKept(const lc_run_id *id)
+RunId_IsDurable(const lc_run_id *id)
 {
-    return id->run > RUN_ID_KEPT_BASE;
+    return id->run > RUN_ID_DURABLE_BASE;
 }
--- a/lease/run_id.h
+++ b/lease/run_id.h
@@ -16,12 +16,12 @@
 /** Runs of durable jobs are numbered from here, others below, so that a
  * companion that finds the end of a run can tell whether its job is durable.
  */
-#define RUN_ID_KEPT_BASE 1024
+#define RUN_ID_DURABLE_BASE 1024
 /** Each owner of a durable job numbers its runs from a multiple of this. */
 #define RUN_ID_OWNER_STEP 1024
 
 /** Whether a run belongs to a durable job. */
-bool RunId_IsKept(const lc_run_id *id);
+bool RunId_IsDurable(const lc_run_id *id);
 
 /** Formats a job ID in hexadecimal, as callers write it. */
 void RunId_FormatJob(uint64_t job, char text[RUN_ID_JOB_SIZE]);
--- a/lease/runner.c
+++ b/lease/runner.c
@@ -29,8 +29,8 @@
     runner->fenced = g_array_new(FALSE, TRUE, sizeof(lc_node));
     runner->token = config->first_token;
     runner->up.instance = g_strdup("");
-    Incarnations_Init(&runner->ended_incarnations);
-    Closures_Init(&runner->closures, now_ms);
+    DeadIncarnations_Init(&runner->ended_incarnations);
+    HallClosures_Init(&runner->closures, now_ms);
     runner->up.service = g_strdup("");
     runner->up.labels = g_new0(char *, 1);
     runner->next_poll_ms = now_ms;
@@ -44,8 +44,8 @@
 {
     uint32_t i;
 
-    for (i = 0; i < Handle_Size(runner->orders); i++) {
-        g_free(Handle_At(runner->orders, i));
+    for (i = 0; i < Handle_RowCount(runner->orders); i++) {
+        g_free(Handle_ItemAt(runner->orders, i));
     }
     Handle_FreeTable(runner->orders);
     g_hash_table_unref(runner->tasks);
@@ -53,7 +53,7 @@
     g_array_unref(runner->owners);
     g_array_unref(runner->fenced);
     RunnerUpstream_Clear(runner);
-    Closures_Clear(&runner->closures);
+    HallClosures_Clear(&runner->closures);
     g_free(runner);
 }
 
@@ -62,7 +62,7 @@
 {
     lc_resources room = runner->up.capacity;
 
-    Resources_Take(&room, &runner->used);
+    Resources_Subtract(&room, &runner->used);
     return room;
 }
 
@@ -144,8 +144,8 @@
         RunnerDurable_IsFenced(runner, &args->owner)) {
         return LC_RUN_EXPIRED;
     }
-    if (Closures_Refuses(&runner->closures, runner->config.hall,
-                         args->closures_as_of)) {
+    if (HallClosures_RejectsStart(&runner->closures, runner->config.hall,
+                                  args->closures_as_of)) {
         return LC_RUN_CLOSED;
     }
     switch (current_state(runner, now_ms)) {
@@ -156,7 +156,8 @@
     default:
         break;
     }
-    if (RunId_IsKept(&args->id) && runner->unreleased >= RUNNER_MOST_HELD) {
+    if (RunId_IsDurable(&args->id) &&
+        runner->unreleased >= RUNNER_MAX_HELD_ENDS) {
         return LC_RUN_NO_ROOM;
     }
     if (!Resources_Fit(&args->need, &room) ||
@@ -170,7 +171,8 @@
 static int64_t
 lease_until(const lc_run_args *args)
 {
-    return args->valid_until_ms + (RunId_IsKept(&args->id) ? TERM_KEPT_MS : 0);
+    return args->valid_until_ms +
+           (RunId_IsDurable(&args->id) ? LEASE_TIMING_DURABLE_GRACE_MS : 0);
 }
 
 /* Records a run as ended without having started it, so that a late copy of its
@@ -228,7 +230,7 @@
     Resources_Add(&runner->used, &row->need);
     runner->active_tasks++;
     runner->version++;
-    Health_Started(&runner->health, now_ms);
+    Health_NoteStart(&runner->health, now_ms);
     Counter_Add(&runner->counters, COUNTER_TASKS_STARTED, 1);
     RunnerOrder_Start(runner, now_ms, row, args->valid_until_ms);
 }
@@ -269,7 +271,8 @@
         RunnerOwner_Extend(runner, &args->owner, args->valid_until_ms);
         if (args->kept != 0 && !RunnerDurable_IsFenced(runner, &keeper)) {
             RunnerOwner_Extend(runner, &keeper,
-                               args->valid_until_ms + TERM_KEPT_MS);
+                               args->valid_until_ms +
+                                   LEASE_TIMING_DURABLE_GRACE_MS);
         }
     }
     Runner_State(runner, now_ms, &reply.u.renew.host);
@@ -346,7 +349,7 @@
                            runner->up.refused && !runner->up.draining);
     }
     RunnerOwner_RemoveExpired(runner, now_ms);
-    Health_Fade(&runner->health, now_ms);
+    Health_Decay(&runner->health, now_ms);
     RunnerPoll_Send(runner, now_ms);
 }
 
@@ -367,7 +370,7 @@
 }
 
 void
-Runner_Wake(Runner *runner, int64_t now_ms)
+Runner_CheckOverdue(Runner *runner, int64_t now_ms)
 {
     RunnerOrder_CheckOverdue(runner, now_ms);
     RunnerPoll_CheckOverdue(runner, now_ms);
@@ -405,35 +408,36 @@
     }
     report->labels.labels_len = i;
     report->labels.labels_val = mutable_runner->label_row;
-    Closures_Tell(&runner->closures, now_ms, &report->closures);
+    HallClosures_FillMessage(&runner->closures, now_ms, &report->closures);
     return runner->up.known;
 }
 
 void
-Runner_TakeClosures(Runner *runner, int64_t now_ms, int64_t asked_ms,
-                    const lc_closures *told, const char *source)
+Runner_MergeClosures(Runner *runner, int64_t now_ms, int64_t asked_ms,
+                     const lc_closures *told, const char *source)
 {
     char *names;
 
-    if (Closures_Take(&runner->closures, now_ms, asked_ms, told) !=
-        CLOSURES_DIFFERENT) {
+    if (HallClosures_Merge(&runner->closures, now_ms, asked_ms, told) !=
+        HALL_CLOSURES_CHANGED) {
         return;
     }
     runner->version++;
-    names = Closures_Text(&runner->closures);
+    names = HallClosures_Text(&runner->closures);
     if (Event_Admit(EVENT_HALLS)) {
         runner->ports->event(
             runner->context, EVENT_HALLS,
-            json_pack("{s:s, s:I, s:s, s:b, s:i}", "closed", names, "as_of",
-                      (json_int_t)runner->closures.as_of, "source", source,
-                      "own_hall_closed",
-                      Closures_Has(&runner->closures, runner->config.hall),
-                      "tasks", (int)runner->active_tasks));
+            json_pack(
+                "{s:s, s:I, s:s, s:b, s:i}", "closed", names, "as_of",
+                (json_int_t)runner->closures.as_of, "source", source,
+                "own_hall_closed",
+                HallClosures_Contains(&runner->closures, runner->config.hall),
+                "tasks", (int)runner->active_tasks));
     }
     g_free(names);
 }
 
-const Closures *
+const Hall_Closures *
 Runner_Closures(const Runner *runner)
 {
     return &runner->closures;
@@ -457,7 +461,7 @@
     int i;
 
     Runner_State(runner, now_ms, &state);
-    Closures_Metrics(&runner->closures, now_ms, out);
+    HallClosures_Metrics(&runner->closures, now_ms, out);
     Histogram_Print(&runner->orders_time, "order", "", out);
     Histogram_Print(&runner->runs, "task_run", "", out);
     for (i = 0; i < RUN_STATUS_COUNT; i++) {
@@ -481,8 +485,9 @@
         "levercove_ends_held_for_starts %u\n",
         runner->active_tasks, state.room.cpu_milli, state.room.memory_mb,
         state.pace_percent, (int)state.state,
-        AnswerTime_TimeoutMs(&runner->answers), runner->answers.lost_permille,
-        (now_ms - runner->up.heard_ms) / 1000, runner->held_for_starts);
+        RtoEstimator_TimeoutMs(&runner->answers),
+        runner->answers.lost_permille, (now_ms - runner->up.heard_ms) / 1000,
+        runner->held_for_starts);
 }
 
 Counters *
@@ -507,5 +512,5 @@
         "doubtful", runner->up.doubtful, "inventoried", runner->up.inventoried,
         "idle_ms",
         (json_int_t)(runner->active_tasks > 0 ? 0 : now_ms - runner->idle_ms),
-        "closed", Closures_Dump(&runner->closures, now_ms));
+        "closed", HallClosures_Dump(&runner->closures, now_ms));
 }
--- a/lease/runner.h
+++ b/lease/runner.h
@@ -18,8 +18,8 @@
 
 #include "base/counter.h"
 #include "base/event.h"
-#include "lease/closures.h"
-#include "lease/term.h"
+#include "lease/hall_closures.h"
+#include "lease/lease_timing.h"
 #include "wire/msg.h"
 
 /** Maximum number of ended runs in one answer of an upstream. Later ones are
@@ -27,7 +27,7 @@
 #define RUNNER_MAX_LISTED_ENDS 500
 /** Maximum number of ends of durable jobs that a companion holds until their
  * owners have stored and released them. */
-#define RUNNER_MOST_HELD 300
+#define RUNNER_MAX_HELD_ENDS 300
 
 /** X(NAME, text): results of a run in the answers of an upstream. */
 #define RUNNER_END_LIST(X)                                                    \
@@ -46,18 +46,19 @@
 
 /** Results of an order (start, stop or poll) sent to the upstream. */
 typedef enum {
-    RUNNER_ORDER_TAKEN,
+    RUNNER_ORDER_ACCEPTED,
     RUNNER_ORDER_NO_ROOM,
-    RUNNER_ORDER_OLD,       /**< it knows a later run, or this one has ended */
-    RUNNER_ORDER_LATE,      /**< the deadline of the order had passed */
-    RUNNER_ORDER_FENCED,    /**< it has seen a higher fencing token */
-    RUNNER_ORDER_UNWELL,    /**< not executed: the upstream is unhealthy */
-    RUNNER_ORDER_REFUSED,   /**< not executed: the upstream considers the
-                                 order invalid */
-    RUNNER_ORDER_OTHER,     /**< another incarnation answered */
-    RUNNER_ORDER_UNSENT,    /**< not a byte was delivered */
-    RUNNER_ORDER_UNANSWERED /**< may be executed, now or later */
-} Runner_OrderEnd;
+    RUNNER_ORDER_SUPERSEDED, /**< it knows a later run, or this one has ended
+                              */
+    RUNNER_ORDER_EXPIRED,    /**< the deadline of the order had passed */
+    RUNNER_ORDER_FENCED,     /**< it has seen a higher fencing token */
+    RUNNER_ORDER_UNHEALTHY,  /**< not executed: the upstream is unhealthy */
+    RUNNER_ORDER_REFUSED,    /**< not executed: the upstream considers the
+                                  order invalid */
+    RUNNER_ORDER_OTHER_INCARNATION, /**< another incarnation answered */
+    RUNNER_ORDER_UNSENT,            /**< not a byte was delivered */
+    RUNNER_ORDER_UNANSWERED         /**< may be executed, now or later */
+} Runner_OrderResult;
 
 /** State that an upstream reports in its heartbeats. */
 typedef enum {
@@ -73,12 +74,12 @@
                             name; 0 if not reported */
     uint64_t sequence; /**< number of the heartbeat; rises with each one */
     const char *service;
-    Runner_ReportedState says;
+    Runner_ReportedState reported_state;
     lc_resources capacity;
     const char *const *labels; /**< NULL-terminated */
     int64_t clock_ms;          /**< the upstream's own clock in ms; 0 if not
                                     reported */
-} Runner_Upstream;
+} Runner_Heartbeat;
 
 /** An order to start a run. */
 typedef struct {
@@ -98,30 +99,30 @@
     uint64_t last_seen;   /**< acknowledges ends up to this number */
     uint32_t wait_ms;     /**< longest time in ms that the upstream may wait
                                for an end before it answers */
-} Runner_Look;
+} Runner_Poll;
 
 /** A run in progress. */
 typedef struct {
     lc_run_id id;
     uint32_t percent;
-} Runner_Row;
+} Runner_ActiveRun;
 
 /** An ended run. */
 typedef struct {
     uint64_t number; /**< of the end, as counted by the upstream */
     lc_run_id id;
     Runner_End end;
-} Runner_EndRow;
+} Runner_EndedRun;
 
 /** Answer to a poll. */
 typedef struct {
-    Runner_OrderEnd end; /**< the lists are empty unless this is
-                              RUNNER_ORDER_TAKEN */
-    int64_t clock_ms;    /**< as in Runner_Upstream */
-    int64_t born_ms;     /**< as in Runner_Upstream */
-    const Runner_Row *running;
+    Runner_OrderResult end; /**< the lists are empty unless this is
+                              RUNNER_ORDER_ACCEPTED */
+    int64_t clock_ms;       /**< as in Runner_Heartbeat */
+    int64_t born_ms;        /**< as in Runner_Heartbeat */
+    const Runner_ActiveRun *running;
     uint32_t running_count;
-    const Runner_EndRow *ended;
+    const Runner_EndedRun *ended;
     uint32_t ended_count;
 } Runner_Listing;
 
@@ -131,7 +132,7 @@
     void (*stop)(void *context, uint64_t order_id, const lc_run_id *id,
                  const char *instance, int64_t token);
     /** Polls the upstream. */
-    void (*look)(void *context, uint64_t look_id, const Runner_Look *look);
+    void (*poll)(void *context, uint64_t poll_id, const Runner_Poll *poll);
     void (*reply)(void *context, uint64_t reply_id, const Msg_Reply *reply);
     /** Writes an event that Event_Admit has admitted; takes ownership of the
      * fields. */
@@ -143,7 +144,7 @@
     lc_node node;
     const char *hall; /**< of this companion; borrowed for the lifetime of the
                            runner */
-    Term term;
+    LeaseTiming term;
     int64_t first_token; /**< initial fencing token; higher than any used
                               before, as far as known */
     int64_t beat_ms;     /**< heartbeat interval of the upstream, in ms */
@@ -159,11 +160,11 @@
 void Runner_Free(Runner *runner);
 
 /** Handles a heartbeat of the upstream. */
-void Runner_OnUpstream(Runner *runner, int64_t now_ms,
-                       const Runner_Upstream *upstream);
+void Runner_OnHeartbeat(Runner *runner, int64_t now_ms,
+                        const Runner_Heartbeat *upstream);
 
 /** Handles the upstream's announcement that it terminates; @p born_ms as in
- * Runner_Upstream. */
+ * Runner_Heartbeat. */
 void Runner_OnUpstreamGone(Runner *runner, int64_t now_ms,
                            const char *instance, int64_t born_ms);
 
@@ -181,25 +182,25 @@
 /** Handles the result of a start order. @p clock_ms is the upstream's clock,
  * or 0 if not reported. */
 void Runner_OnStarted(Runner *runner, int64_t now_ms, uint64_t order_id,
-                      Runner_OrderEnd result, int64_t clock_ms);
+                      Runner_OrderResult result, int64_t clock_ms);
 
 /** Handles the result of a stop order; @p clock_ms as in Runner_OnStarted. */
 void Runner_OnStopped(Runner *runner, int64_t now_ms, uint64_t order_id,
-                      Runner_OrderEnd result, int64_t clock_ms);
+                      Runner_OrderResult result, int64_t clock_ms);
 
 /** Handles the result of a poll. */
-void Runner_OnLook(Runner *runner, int64_t now_ms, uint64_t look_id,
-                   const Runner_Listing *listing);
+void Runner_OnPollAnswer(Runner *runner, int64_t now_ms, uint64_t poll_id,
+                         const Runner_Listing *listing);
 
 /** Performs periodic work; must be called every `term.tick_ms`. */
 void Runner_Tick(Runner *runner, int64_t now_ms);
 
 /** Time at which the next answer of the upstream becomes overdue, or INT64_MAX
- * if none is awaited. Runner_Wake must be called then. */
+ * if none is awaited. Runner_CheckOverdue must be called then. */
 int64_t Runner_DueMs(const Runner *runner);
 
 /** Handles overdue answers. */
-void Runner_Wake(Runner *runner, int64_t now_ms);
+void Runner_CheckOverdue(Runner *runner, int64_t now_ms);
 
 /** Stops accepting new tasks. */
 void Runner_Drain(Runner *runner);
@@ -216,12 +217,12 @@
                    lc_report_args *report);
 
 /** Merges the halls that operators have closed, as received from @p source;
- * see Closures_Take for @p asked_ms. */
-void Runner_TakeClosures(Runner *runner, int64_t now_ms, int64_t asked_ms,
-                         const lc_closures *told, const char *source);
+ * see HallClosures_Merge for @p asked_ms. */
+void Runner_MergeClosures(Runner *runner, int64_t now_ms, int64_t asked_ms,
+                          const lc_closures *told, const char *source);
 
 /** The closed halls as known to this companion. */
-const Closures *Runner_Closures(const Runner *runner);
+const Hall_Closures *Runner_Closures(const Runner *runner);
 
 /** Incremented whenever the free resources or the state that entries see
  * change. */
--- a/lease/runner_kept.c
+++ b/lease/runner_durable.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "lease/kept.h"
+#include "lease/durable_log.h"
 #include "lease/run_id.h"
 #include "lease/runner_state.h"
 
@@ -97,7 +97,7 @@
 RunnerDurable_CheckStartHold(Runner *runner, int64_t now_ms, Runner_Task *row)
 {
     if (now_ms >= hold_expiry(runner, row) ||
-        runner->up.last_seen - row->end_number >= RUNNER_MOST_HELD) {
+        runner->up.last_seen - row->end_number >= RUNNER_MAX_HELD_ENDS) {
         clear_start_hold(runner, row);
     }
 }
@@ -105,7 +105,7 @@
 /* A previous process of this companion may have sent several copies of the
  * start, so one copy is assumed to be unanswered. */
 static Runner_Task *
-add_unknown_end(Runner *runner, int64_t now_ms, const Runner_EndRow *ended)
+add_unknown_end(Runner *runner, int64_t now_ms, const Runner_EndedRun *ended)
 {
     lc_run_args found = {.id = ended->id, .spec = (char *)(uintptr_t) ""};
     Runner_Task *row = RunnerTask_Add(runner, now_ms, &found);
@@ -120,7 +120,7 @@
 
 void
 RunnerDurable_HoldEnd(Runner *runner, int64_t now_ms, Runner_Task *row,
-                      const Runner_EndRow *ended)
+                      const Runner_EndedRun *ended)
 {
     bool stopped = row != NULL && row->state == TASK_STOPPING &&
                    ended->end != RUNNER_END_DONE;
@@ -191,7 +191,7 @@
 RunnerDurable_IsDisposable(const Runner *runner, const Runner_Task *row,
                            int64_t now_ms)
 {
-    bool start_expired = !RunId_IsKept(&row->id) ||
+    bool start_expired = !RunId_IsDurable(&row->id) ||
                          now_ms >= start_expiry(runner, row);
 
     return start_expired &&
@@ -232,7 +232,7 @@
 }
 
 /* Transfers a run to the successor of its owner, with a new lease plus
- * TERM_KEPT_MS from now. */
+ * LEASE_TIMING_DURABLE_GRACE_MS from now. */
 static void
 transfer_run(Runner *runner, int64_t now_ms, Runner_Task *row,
              const lc_node *successor)
@@ -244,7 +244,8 @@
     }
     row->owner = *successor;
     RunnerOwner_Extend(runner, successor,
-                       now_ms + runner->config.term.lease_ms + TERM_KEPT_MS)
+                       now_ms + runner->config.term.lease_ms +
+                           LEASE_TIMING_DURABLE_GRACE_MS)
         ->running++;
 }
 
@@ -275,7 +276,7 @@
         lc_held_run held = {.id = row->id,
                             .running = row->state != TASK_ENDED,
                             .status = row->status};
-        if (!RunId_IsKept(&row->id) || !is_affected(row, args) ||
+        if (!RunId_IsDurable(&row->id) || !is_affected(row, args) ||
             runs->len >= LC_MAX_PAGE) {
             continue;
         }
--- a/lease/runner_orders.c
+++ b/lease/runner_orders.c
@@ -23,14 +23,14 @@
 {
     runner->consecutive_misses = 0;
     if (in_time) {
-        AnswerTime_Hit(&runner->answers);
+        RtoEstimator_OnAnswered(&runner->answers);
     }
 }
 
 void
 RunnerOrder_NoteMiss(Runner *runner, int64_t now_ms, int64_t sent_ms)
 {
-    AnswerTime_Miss(&runner->answers);
+    RtoEstimator_OnTimeout(&runner->answers);
     if (runner->consecutive_misses++ == 0) {
         runner->first_miss_sent_ms = sent_ms;
     }
@@ -46,7 +46,7 @@
     uint32_t doublings = copies > COPIES_BEFORE_BACKOFF
                              ? copies - COPIES_BEFORE_BACKOFF
                              : 0;
-    int64_t timeout_ms = AnswerTime_TimeoutMs(&runner->answers);
+    int64_t timeout_ms = RtoEstimator_TimeoutMs(&runner->answers);
 
     return MIN(timeout_ms << MIN(doublings, MAX_COPIES), MAX_RETRY_DELAY_MS);
 }
@@ -101,7 +101,7 @@
 may_resend(const Runner *runner)
 {
     return !runner->up.doubtful &&
-           Handle_Count(runner->orders) < MAX_PENDING_ORDERS;
+           Handle_ItemCount(runner->orders) < MAX_PENDING_ORDERS;
 }
 
 static bool
@@ -159,8 +159,8 @@
     int64_t due_ms = INT64_MAX;
     uint32_t i;
 
-    for (i = 0; i < Handle_Size(runner->orders); i++) {
-        const Runner_Order *order = Handle_At(runner->orders, i);
+    for (i = 0; i < Handle_RowCount(runner->orders); i++) {
+        const Runner_Order *order = Handle_ItemAt(runner->orders, i);
         if (order != NULL) {
             due_ms = MIN(due_ms, order->due_ms);
         }
@@ -173,8 +173,8 @@
 {
     uint32_t i;
 
-    for (i = 0; i < Handle_Size(runner->orders); i++) {
-        Runner_Order *order = Handle_At(runner->orders, i);
+    for (i = 0; i < Handle_RowCount(runner->orders); i++) {
+        Runner_Order *order = Handle_ItemAt(runner->orders, i);
         Runner_Task *row;
         if (order == NULL || now_ms < order->due_ms) {
             continue;
@@ -192,7 +192,7 @@
  * ended or is unknown. A broken connection counts as a miss at once. */
 static Runner_Task *
 take_answer(Runner *runner, int64_t now_ms, uint64_t order_id,
-            Runner_OrderEnd result, int64_t clock_ms)
+            Runner_OrderResult result, int64_t clock_ms)
 {
     Runner_Order *order = Handle_Remove(runner->orders, order_id);
     Runner_Task *row;
@@ -203,12 +203,12 @@
     }
     row = Handle_Get(runner->by_handle, order->task);
     in_time = order->due_ms != INT64_MAX;
-    if (result != RUNNER_ORDER_OTHER && row != NULL &&
+    if (result != RUNNER_ORDER_OTHER_INCARNATION && row != NULL &&
         !RunnerTask_IsOfEarlierIncarnation(runner, row)) {
         RunnerUpstream_CheckClock(runner, now_ms, order->sent_ms, clock_ms);
     }
     if (result != RUNNER_ORDER_UNSENT && result != RUNNER_ORDER_UNANSWERED) {
-        AnswerTime_Take(&runner->answers, now_ms - order->sent_ms);
+        RtoEstimator_AddSample(&runner->answers, now_ms - order->sent_ms);
         RunnerOrder_NoteAnswer(runner, in_time);
     }
     else if (in_time) {
@@ -261,23 +261,23 @@
 
 static void
 take_start(Runner *runner, int64_t now_ms, Runner_Task *row,
-           Runner_OrderEnd result)
+           Runner_OrderResult result)
 {
     switch (result) {
-    case RUNNER_ORDER_TAKEN:
+    case RUNNER_ORDER_ACCEPTED:
         confirm_start(now_ms, row);
         break;
     case RUNNER_ORDER_UNANSWERED:
         RunnerOrder_Retry(runner, now_ms, row);
         break;
-    case RUNNER_ORDER_OTHER:
+    case RUNNER_ORDER_OTHER_INCARNATION:
         RunnerUpstream_OnOtherIncarnation(runner, now_ms);
         break;
-    case RUNNER_ORDER_OLD:
+    case RUNNER_ORDER_SUPERSEDED:
         take_superseded(runner, now_ms, row);
         break;
-    case RUNNER_ORDER_UNWELL:
-        Health_Bad(&runner->health, now_ms, row->id.job);
+    case RUNNER_ORDER_UNHEALTHY:
+        Health_NoteFailure(&runner->health, now_ms, row->id.job);
         refuse_copy(runner, now_ms, row, LC_RUN_REJECTED);
         break;
     case RUNNER_ORDER_UNSENT:
@@ -302,9 +302,9 @@
  * to, unless another incarnation answered. */
 static void
 take_clock(Runner *runner, int64_t now_ms, const Runner_Task *row,
-           Runner_OrderEnd result, int64_t clock_ms)
+           Runner_OrderResult result, int64_t clock_ms)
 {
-    if (result != RUNNER_ORDER_OTHER &&
+    if (result != RUNNER_ORDER_OTHER_INCARNATION &&
         !RunnerTask_IsOfEarlierIncarnation(runner, row)) {
         RunnerUpstream_TakeClock(runner, now_ms, clock_ms);
     }
@@ -312,7 +312,8 @@
 
 /* A copy that was answered or never delivered cannot be executed later. */
 static void
-count_answer(const Runner *runner, uint64_t order_id, Runner_OrderEnd result)
+count_answer(const Runner *runner, uint64_t order_id,
+             Runner_OrderResult result)
 {
     const Runner_Order *order = Handle_Get(runner->orders, order_id);
     Runner_Task *row = order == NULL
@@ -321,13 +322,13 @@
 
     if (row != NULL && result != RUNNER_ORDER_UNANSWERED) {
         row->answered_copies++;
-        row->start_taken |= result == RUNNER_ORDER_TAKEN;
+        row->start_taken |= result == RUNNER_ORDER_ACCEPTED;
     }
 }
 
 void
 Runner_OnStarted(Runner *runner, int64_t now_ms, uint64_t order_id,
-                 Runner_OrderEnd result, int64_t clock_ms)
+                 Runner_OrderResult result, int64_t clock_ms)
 {
     Runner_Task *row;
 
@@ -344,7 +345,7 @@
 
 void
 Runner_OnStopped(Runner *runner, int64_t now_ms, uint64_t order_id,
-                 Runner_OrderEnd result, int64_t clock_ms)
+                 Runner_OrderResult result, int64_t clock_ms)
 {
     Runner_Task *row = take_answer(runner, now_ms, order_id, result, clock_ms);
 
@@ -355,7 +356,7 @@
         return;
     }
     take_clock(runner, now_ms, row, result, clock_ms);
-    if (result == RUNNER_ORDER_TAKEN) {
+    if (result == RUNNER_ORDER_ACCEPTED) {
         row->stop_confirmed = true;
         row->stop_confirmed_ms = now_ms;
     }
--- a/lease/runner_look.c
+++ b/lease/runner_poll.c
@@ -40,7 +40,7 @@
 void
 RunnerPoll_NoteHold(Runner *runner, int64_t now_ms, int64_t ahead_ms)
 {
-    int64_t until = now_ms + Term_HoldAtMost(ahead_ms);
+    int64_t until = now_ms + LeaseTiming_MaxHoldMs(ahead_ms);
 
     runner->hold_until_ms = MAX(runner->hold_until_ms, until);
 }
@@ -53,8 +53,8 @@
         runner->successor.pending) {
         return 0;
     }
-    return AnswerTime_IsLossy(&runner->answers) ? POLL_WAIT_LOSSY_MS
-                                                : POLL_WAIT_MS;
+    return RtoEstimator_IsLossy(&runner->answers) ? POLL_WAIT_LOSSY_MS
+                                                  : POLL_WAIT_MS;
 }
 
 static void
@@ -67,7 +67,7 @@
 }
 
 static uint64_t
-add_poll(Runner *runner, int64_t now_ms, const Runner_Look *poll)
+add_poll(Runner *runner, int64_t now_ms, const Runner_Poll *poll)
 {
     Runner_PendingPoll pending = {.id = ++runner->last_poll_id,
                                   .sent_ms = now_ms,
@@ -75,7 +75,7 @@
                                   .waits = poll->wait_ms > 0};
 
     pending.due_ms = now_ms + poll->wait_ms +
-                     AnswerTime_TimeoutMs(&runner->answers);
+                     RtoEstimator_TimeoutMs(&runner->answers);
     if (runner->poll_count == RUNNER_MAX_PENDING_POLLS) {
         drop_poll(runner, 0);
     }
@@ -98,7 +98,7 @@
 void
 RunnerPoll_Send(Runner *runner, int64_t now_ms)
 {
-    Runner_Look poll = {.instance = runner->up.instance,
+    Runner_Poll poll = {.instance = runner->up.instance,
                         .token = runner->token};
     int64_t ahead;
 
@@ -113,7 +113,7 @@
         RunnerPoll_NoteHold(runner, now_ms, ahead);
     }
     poll.wait_ms = wait_ms(runner);
-    runner->ports->look(runner->context, add_poll(runner, now_ms, &poll),
+    runner->ports->poll(runner->context, add_poll(runner, now_ms, &poll),
                         &poll);
 }
 
@@ -153,12 +153,13 @@
 
     if (end == RUNNER_END_DONE) {
         Histogram_Add(&runner->runs, row->ran_ms);
-        if (Health_Good(&runner->health, row->ran_ms, row->estimate_ms)) {
+        if (Health_NoteSuccess(&runner->health, row->ran_ms,
+                               row->estimate_ms)) {
             log_trial(runner, false);
         }
     }
     else if (end == RUNNER_END_FAILED && row->state != TASK_STOPPING) {
-        begins = Health_Bad(&runner->health, now_ms, row->id.job);
+        begins = Health_NoteFailure(&runner->health, now_ms, row->id.job);
     }
     if (begins) {
         log_trial(runner, true);
@@ -166,12 +167,12 @@
 }
 
 static void
-take_end(Runner *runner, int64_t now_ms, const Runner_EndRow *ended)
+take_end(Runner *runner, int64_t now_ms, const Runner_EndedRun *ended)
 {
     Runner_Task *row = g_hash_table_lookup(runner->tasks, &ended->id);
 
     runner->up.last_seen = MAX(runner->up.last_seen, ended->number);
-    if (RunId_IsKept(&ended->id) && (row == NULL || row->end_number == 0)) {
+    if (RunId_IsDurable(&ended->id) && (row == NULL || row->end_number == 0)) {
         RunnerDurable_HoldEnd(runner, now_ms, row, ended);
     }
     if (row == NULL || row->state == TASK_ENDED) {
@@ -202,7 +203,7 @@
 
 static void
 take_running(Runner *runner, int64_t now_ms, const Runner_PendingPoll *poll,
-             const Runner_Row *running)
+             const Runner_ActiveRun *running)
 {
     Runner_Task *row = g_hash_table_lookup(runner->tasks, &running->id);
 
@@ -229,7 +230,7 @@
     }
     else if (row->state == TASK_RUNNING && row->estimate_ms > 0 &&
              Health_IsHung(now_ms - row->progress_ms, row->estimate_ms)) {
-        if (Health_Stalled(&runner->health, now_ms)) {
+        if (Health_NoteStall(&runner->health, now_ms)) {
             log_trial(runner, true);
         }
         stop_stalled(runner, now_ms, row, "it hangs");
@@ -407,7 +408,7 @@
 {
     RunnerOrder_NoteAnswer(runner, poll->due_ms != INT64_MAX);
     if (!poll->waits) {
-        AnswerTime_Take(&runner->answers, now_ms - poll->sent_ms);
+        RtoEstimator_AddSample(&runner->answers, now_ms - poll->sent_ms);
     }
     runner->next_poll_ms = now_ms;
 }
@@ -416,7 +417,7 @@
  * counts as one miss, and only once. */
 static void
 take_poll_failure(Runner *runner, int64_t now_ms,
-                  const Runner_PendingPoll *poll, Runner_OrderEnd end)
+                  const Runner_PendingPoll *poll, Runner_OrderResult end)
 {
     if (end == RUNNER_ORDER_UNSENT) {
         RunnerUpstream_NoteRefused(runner);
@@ -427,12 +428,12 @@
 }
 
 static bool
-remove_poll(Runner *runner, uint64_t look_id, Runner_PendingPoll *poll)
+remove_poll(Runner *runner, uint64_t poll_id, Runner_PendingPoll *poll)
 {
     uint32_t i;
 
     for (i = 0; i < runner->poll_count; i++) {
-        if (runner->polls[i].id == look_id) {
+        if (runner->polls[i].id == poll_id) {
             *poll = runner->polls[i];
             drop_poll(runner, i);
             return true;
@@ -442,16 +443,16 @@
 }
 
 void
-Runner_OnLook(Runner *runner, int64_t now_ms, uint64_t look_id,
-              const Runner_Listing *listing)
+Runner_OnPollAnswer(Runner *runner, int64_t now_ms, uint64_t poll_id,
+                    const Runner_Listing *listing)
 {
     Runner_PendingPoll poll;
 
-    if (!remove_poll(runner, look_id, &poll)) {
+    if (!remove_poll(runner, poll_id, &poll)) {
         return;
     }
     switch (listing->end) {
-    case RUNNER_ORDER_TAKEN:
+    case RUNNER_ORDER_ACCEPTED:
         take_poll_answer(runner, now_ms, &poll);
         if (RunnerUpstream_CheckStartTime(runner, now_ms, listing->born_ms)) {
             break;
@@ -463,7 +464,7 @@
         take_poll_answer(runner, now_ms, &poll);
         RunnerUpstream_RaiseToken(runner);
         break;
-    case RUNNER_ORDER_OTHER:
+    case RUNNER_ORDER_OTHER_INCARNATION:
         RunnerUpstream_OnOtherIncarnation(runner, now_ms);
         if (!runner->up.known) {
             runner->next_poll_ms = now_ms + OTHER_POLL_DELAY_MS;
--- a/lease/runner_state.h
+++ b/lease/runner_state.h
@@ -11,12 +11,12 @@
 
 #include <glib.h>
 
-#include "base/handle.h"
+#include "base/handle_table.h"
 #include "base/histogram.h"
-#include "lease/answer_time.h"
-#include "lease/closures.h"
+#include "lease/dead_incarnations.h"
+#include "lease/hall_closures.h"
 #include "lease/health.h"
-#include "lease/incarnations.h"
+#include "lease/rto_estimator.h"
 #include "lease/run_status.h"
 #include "lease/runner.h"
 
@@ -101,7 +101,7 @@
     char *instance;
     char *service;
     char **labels;
-    Runner_Upstream heartbeat; /* points to the strings above */
+    Runner_Heartbeat heartbeat; /* points to the strings above */
 } Runner_Successor;
 
 /* One copy of a start or stop whose result is awaited. */
@@ -136,15 +136,15 @@
     Health health;
     Runner_UpstreamInfo up;
     Runner_Successor successor;
-    Incarnations ended_incarnations;
-    Closures closures;
+    DeadIncarnations ended_incarnations;
+    Hall_Closures closures;
     lc_resources used;
     GHashTable *tasks; /* lc_run_id -> Runner_Task */
     Handle_Table *by_handle;
     GArray *owners;
     int64_t token;
     Handle_Table *orders; /* Runner_Order */
-    AnswerTime answers;
+    RtoEstimator answers;
     uint32_t consecutive_misses; /* orders and polls without a timely answer */
     int64_t first_miss_sent_ms;  /* when the first of these was sent */
     Runner_PendingPoll polls[RUNNER_MAX_PENDING_POLLS]; /* oldest first */
@@ -274,7 +274,7 @@
 /** Holds the end of a durable job's run until it is released. @p row is NULL
  * for a run that only the upstream knows, which has no owner. */
 void RunnerDurable_HoldEnd(Runner *runner, int64_t now_ms, Runner_Task *row,
-                           const Runner_EndRow *ended);
+                           const Runner_EndedRun *ended);
 
 /** Releases a held end. */
 void RunnerDurable_Release(Runner *runner, Runner_Task *row);
@@ -338,7 +338,7 @@
 
 /** The current incarnation has answered a poll: discards the pending successor
  * if the poll was sent after its heartbeat. */
-void RunnerUpstream_Confirm(Runner *runner, uint64_t look_id);
+void RunnerUpstream_Confirm(Runner *runner, uint64_t poll_id);
 
 /** Frees the state of the upstream. */
 void RunnerUpstream_Clear(Runner *runner);
--- a/lease/runner_tasks.c
+++ b/lease/runner_tasks.c
@@ -113,7 +113,7 @@
     row->state = TASK_ENDED;
     row->status = status;
     row->ended_ms = now_ms;
-    Resources_Take(&runner->used, &row->need);
+    Resources_Subtract(&runner->used, &row->need);
     runner->active_tasks--;
     runner->idle_ms = now_ms;
     runner->version++;
--- a/lease/runner_upstream.c
+++ b/lease/runner_upstream.c
@@ -23,7 +23,7 @@
 RunnerUpstream_Clock(const Runner *runner, int64_t now_ms)
 {
     return runner->up.clock_ms +
-           Term_UpstreamElapsed(now_ms - runner->up.clock_read_ms);
+           LeaseTiming_MinUpstreamElapsedMs(now_ms - runner->up.clock_read_ms);
 }
 
 void
@@ -65,7 +65,7 @@
  * name, so the new one executes none that were sent to the old one. */
 static void
 switch_instance(Runner *runner, int64_t now_ms,
-                const Runner_Upstream *upstream)
+                const Runner_Heartbeat *upstream)
 {
     bool first = !runner->up.known && runner->up.instance[0] == '\0';
 
@@ -91,7 +91,7 @@
     runner->token++;
     runner->up.known = false;
     if (runner->active_tasks > 0) {
-        RunnerPoll_NoteHold(runner, now_ms, runner->config.term.hold_most_ms);
+        RunnerPoll_NoteHold(runner, now_ms, runner->config.term.hold_limit_ms);
     }
     RunnerUpstream_Log(runner, EVENT_UPSTREAM_KNOWN,
                        "started again under its name");
@@ -112,7 +112,7 @@
 
 static void
 store_successor(Runner *runner, int64_t now_ms,
-                const Runner_Upstream *heartbeat)
+                const Runner_Heartbeat *heartbeat)
 {
     Runner_Successor *successor = &runner->successor;
 
@@ -131,7 +131,7 @@
 }
 
 static void
-ignore_heartbeat(Runner *runner, const Runner_Upstream *heartbeat,
+ignore_heartbeat(Runner *runner, const Runner_Heartbeat *heartbeat,
                  const char *reason)
 {
     Counter_Add(&runner->counters, COUNTER_HEARTBEATS_LATE, 1);
@@ -149,15 +149,15 @@
 }
 
 void
-RunnerUpstream_Confirm(Runner *runner, uint64_t look_id)
+RunnerUpstream_Confirm(Runner *runner, uint64_t poll_id)
 {
     Runner_Successor *successor = &runner->successor;
 
-    if (successor->pending && look_id > successor->after_poll) {
+    if (successor->pending && poll_id > successor->after_poll) {
         ignore_heartbeat(runner, &successor->heartbeat,
                          "another incarnation answers at this address");
-        Incarnations_NoteGone(&runner->ended_incarnations, successor->instance,
-                              successor->heartbeat.born_ms);
+        DeadIncarnations_Add(&runner->ended_incarnations, successor->instance,
+                             successor->heartbeat.born_ms);
         drop_successor(runner);
     }
 }
@@ -165,9 +165,9 @@
 /* ---- heartbeats ---- */
 
 static void
-take_state(Runner *runner, int64_t now_ms, const Runner_Upstream *upstream)
+take_state(Runner *runner, int64_t now_ms, const Runner_Heartbeat *upstream)
 {
-    bool draining = upstream->says == RUNNER_UPSTREAM_DRAINING;
+    bool draining = upstream->reported_state == RUNNER_UPSTREAM_DRAINING;
 
     if (draining != runner->up.draining) {
         RunnerUpstream_Log(runner, EVENT_UPSTREAM_DRAINING,
@@ -190,7 +190,7 @@
 
 static void
 adopt_incarnation(Runner *runner, int64_t now_ms,
-                  const Runner_Upstream *upstream)
+                  const Runner_Heartbeat *upstream)
 {
     if (strcmp(runner->up.instance, upstream->instance) == 0) {
         restart_instance(runner, now_ms, upstream->born_ms);
@@ -206,7 +206,7 @@
  * the heartbeat may be a late one of an incarnation that is dead. */
 static void
 take_other_heartbeat(Runner *runner, int64_t now_ms,
-                     const Runner_Upstream *upstream)
+                     const Runner_Heartbeat *upstream)
 {
     if (runner->up.known && !runner->up.doubtful) {
         store_successor(runner, now_ms, upstream);
@@ -217,7 +217,7 @@
 }
 
 static bool
-is_in_force(const Runner *runner, const Runner_Upstream *upstream)
+is_in_force(const Runner *runner, const Runner_Heartbeat *upstream)
 {
     return strcmp(runner->up.instance, upstream->instance) == 0 &&
            (upstream->born_ms == runner->up.born_ms ||
@@ -228,10 +228,10 @@
  * reported its start time continues to do so, and never changes its service
  * within one incarnation. */
 static const char *
-reason_to_ignore(const Runner *runner, const Runner_Upstream *upstream)
+reason_to_ignore(const Runner *runner, const Runner_Heartbeat *upstream)
 {
-    if (Incarnations_IsGone(&runner->ended_incarnations, upstream->instance,
-                            upstream->born_ms)) {
+    if (DeadIncarnations_Contains(&runner->ended_incarnations,
+                                  upstream->instance, upstream->born_ms)) {
         return "this incarnation is known to be gone";
     }
     if (strcmp(runner->up.instance, upstream->instance) == 0 &&
@@ -252,8 +252,8 @@
 }
 
 void
-Runner_OnUpstream(Runner *runner, int64_t now_ms,
-                  const Runner_Upstream *upstream)
+Runner_OnHeartbeat(Runner *runner, int64_t now_ms,
+                   const Runner_Heartbeat *upstream)
 {
     const char *reason = reason_to_ignore(runner, upstream);
 
@@ -302,7 +302,7 @@
         RunnerPoll_Send(runner, now_ms);
         return;
     }
-    Incarnations_NoteGone(&runner->ended_incarnations, instance, born_ms);
+    DeadIncarnations_Add(&runner->ended_incarnations, instance, born_ms);
     if (runner->up.known && same && born_ms == runner->up.born_ms) {
         lose_upstream(runner, now_ms, "the upstream has left", false);
     }
@@ -352,8 +352,8 @@
         runner->up.born_ms = born_ms;
         return false;
     }
-    Incarnations_NoteGone(&runner->ended_incarnations, runner->up.instance,
-                          runner->up.born_ms);
+    DeadIncarnations_Add(&runner->ended_incarnations, runner->up.instance,
+                         runner->up.born_ms);
     restart_instance(runner, now_ms, born_ms);
     if (next->pending && next->heartbeat.born_ms == born_ms &&
         strcmp(next->instance, runner->up.instance) == 0) {
@@ -375,8 +375,8 @@
     }
     lose_upstream(runner, now_ms, "another incarnation answers",
                   !runner->up.draining);
-    Incarnations_NoteGone(&runner->ended_incarnations, runner->up.instance,
-                          runner->up.born_ms);
+    DeadIncarnations_Add(&runner->ended_incarnations, runner->up.instance,
+                         runner->up.born_ms);
     if (next.pending && strcmp(next.instance, runner->up.instance) != 0) {
         switch_instance(runner, now_ms, &next.heartbeat);
         take_state(runner, now_ms, &next.heartbeat);
@@ -394,7 +394,7 @@
 RunnerUpstream_Clear(Runner *runner)
 {
     drop_successor(runner);
-    Incarnations_Clear(&runner->ended_incarnations);
+    DeadIncarnations_Clear(&runner->ended_incarnations);
     g_free(runner->up.instance);
     g_free(runner->up.service);
     g_strfreev(runner->up.labels);
--- a/lease/store_wait.c
+++ b/lease/store_poll.c
@@ -1,4 +1,4 @@
-#include "lease/store_wait.h"
+#include "lease/store_poll.h"
 
 #include <glib.h>
 #include <xxhash.h>
@@ -25,7 +25,7 @@
 #define IDLE_LOG_MAX_WAIT_MS 2000U
 
 bool
-StoreWait_IsWatcher(const Peers *peers, int64_t now_ms)
+StorePoll_IsWatcher(const Peers *peers, int64_t now_ms)
 {
     uint64_t own_hash = XXH3_64bits(&peers->self, sizeof(peers->self));
     uint32_t lower = 0;
@@ -40,19 +40,19 @@
 }
 
 uint32_t
-StoreWait_Watcher(void)
+StorePoll_WatcherWaitMs(void)
 {
     return MIN_WAIT_MS;
 }
 
 uint32_t
-StoreWait_Quiet(uint32_t live)
+StorePoll_IdleLogWaitMs(uint32_t live)
 {
     return MIN((live + 1) * IDLE_LOG_WAIT_PER_ENTRY_MS, IDLE_LOG_MAX_WAIT_MS);
 }
 
 uint32_t
-StoreWait_Draw(uint32_t live, uint64_t *random)
+StorePoll_RandomWaitMs(uint32_t live, uint64_t *random)
 {
     uint32_t wait_ms = CLAMP((live + 1) * WAIT_PER_ENTRY_MS, MIN_WAIT_MS,
                              MAX_WAIT_MS);
--- a/tests/case_table.h
+++ b/tests/case_table.h
@@ -1,7 +1,7 @@
 /**
  * @file case_table.h
- * @brief Table-driven tests from text files. Each file in tests/cases holds
- * the cases of one kind in the form
+ * @brief GroupTable-driven tests from text files. Each file in tests/cases
+ * holds the cases of one kind in the form
  *
  *     == name
  *     input lines
--- a/tests/cases.c
+++ b/tests/cases.c
@@ -6,11 +6,11 @@
 #include <string.h>
 #include <unistd.h>
 
-#include "base/key.h"
-#include "cli/csv.h"
-#include "core/arbiter.h"
-#include "core/fold.h"
+#include "base/idempotency_key.h"
+#include "cli/table_csv.h"
 #include "core/group.h"
+#include "core/replica.h"
+#include "core/slot_arbiter.h"
 #include "daemon/options.h"
 #include "tests/case_table.h"
 #include "wire/msg.h"
@@ -30,7 +30,7 @@
         }
         Key_Format(&key, text);
         g_string_append_printf(output, "%s minted at %lld\n", text,
-                               (long long)Key_Time(&key));
+                               (long long)Key_CreatedMs(&key));
     }
     g_strfreev(lines);
 }
@@ -68,27 +68,27 @@
 }
 
 static const char *const fold_texts[] = {
-    [FOLD_OLD] = "old",
-    [FOLD_GAP] = "gap",
-    [FOLD_SKIPPED] = "skipped",
-    [FOLD_VIEW] = "view",
-    [FOLD_VIEW_REFUSED] = "view refused",
-    [FOLD_EDIT] = "edit",
-    [FOLD_EDIT_REFUSED] = "edit refused",
-    [FOLD_SNAPSHOT] = "snapshot",
-    [FOLD_LOADED] = "loaded",
+    [REPLICA_ALREADY_APPLIED] = "old",
+    [REPLICA_GAP] = "gap",
+    [REPLICA_SKIPPED] = "skipped",
+    [REPLICA_VIEW] = "view",
+    [REPLICA_VIEW_REFUSED] = "view refused",
+    [REPLICA_EDIT] = "edit",
+    [REPLICA_EDIT_REFUSED] = "edit refused",
+    [REPLICA_SNAPSHOT] = "snapshot",
+    [REPLICA_LOADED] = "loaded",
 };
 
 static void
-describe_fold(const Fold *fold, GString *output)
+describe_fold(const Replica *replica, GString *output)
 {
-    const View *view = Fold_View(fold);
-    GPtrArray *rows = Table_Sorted(Fold_Table(fold), true);
+    const View *view = Replica_View(replica);
+    GPtrArray *rows = GroupTable_SortedRows(Replica_Table(replica), true);
     guint i;
 
     g_string_append_printf(output, "next %llu%s",
-                           (unsigned long long)Fold_Next(fold),
-                           Fold_Synced(fold) ? "" : ", out of step");
+                           (unsigned long long)Replica_NextOffset(replica),
+                           Replica_IsSynced(replica) ? "" : ", out of step");
     for (i = 0; i < view->members->len; i++) {
         const View_Member *member = &g_array_index(view->members, View_Member,
                                                    i);
@@ -97,7 +97,7 @@
                                member->leaving ? " leaving" : "");
     }
     for (i = 0; i < rows->len; i++) {
-        const Table_Row *row = g_ptr_array_index(rows, i);
+        const GroupTable_Row *row = g_ptr_array_index(rows, i);
         g_string_append_printf(output, ", %s", row->group);
         if (row->present) {
             g_string_append_printf(output, " weight %lld",
@@ -117,7 +117,7 @@
 static void
 run_fold(const char *input, GString *output)
 {
-    Fold *fold = Fold_New(600000);
+    Replica *replica = Replica_New(600000);
     char **lines = CaseTable_Lines(input);
     guint i;
 
@@ -127,29 +127,29 @@
         uint64_t offset = strtoull(lines[i], NULL, 10);
         char *snapshot_record = NULL;
         const char *text = space + 1;
-        Fold_Result result;
+        Replica_Result result;
         if (g_str_has_prefix(lines[i], "expired ")) {
-            Fold_Expired(fold, strtoull(text, NULL, 10));
+            Replica_OnRecordsExpired(replica, strtoull(text, NULL, 10));
             continue;
         }
         if (g_str_has_prefix(lines[i], "snapshot ")) {
             offset = strtoull(text, NULL, 10);
-            snapshot_record = Fold_SnapshotRecord(fold);
+            snapshot_record = Replica_EncodeSnapshot(replica);
             text = snapshot_record;
         }
-        result = Fold_Apply(fold, offset, text, &status);
+        result = Replica_Apply(replica, offset, text, &status);
         g_string_append(output, fold_texts[result]);
-        if (status.message[0] != '\0' && result != FOLD_EDIT &&
-            result != FOLD_VIEW && result != FOLD_SNAPSHOT &&
-            result != FOLD_LOADED) {
+        if (status.message[0] != '\0' && result != REPLICA_EDIT &&
+            result != REPLICA_VIEW && result != REPLICA_SNAPSHOT &&
+            result != REPLICA_LOADED) {
             g_string_append_printf(output, ": %s", status.message);
         }
         g_string_append_c(output, '\n');
         free(snapshot_record);
     }
-    describe_fold(fold, output);
+    describe_fold(replica, output);
     g_strfreev(lines);
-    Fold_Free(fold);
+    Replica_Free(replica);
 }
 
 static void
@@ -161,7 +161,8 @@
 
     g_string_append(output, errors);
     for (i = 0; rows != NULL && i < rows->len; i++) {
-        json_t *value = Table_RowToJson(&g_array_index(rows, Table_Row, i));
+        json_t *value = GroupTable_RowToJson(
+            &g_array_index(rows, GroupTable_Row, i));
         char *text = json_dumps(value, JSON_COMPACT);
         g_string_append_printf(output, "%s\n", text);
         free(text);
@@ -194,9 +195,9 @@
 run_rpc(const char *input, GString *output)
 {
     static const char *const texts[] = {
-        [MSG_IS_CALL] = "call",   [MSG_IS_NULL] = "null",
-        [MSG_IS_REPLY] = "reply", [MSG_IS_DENIED] = "denied",
-        [MSG_IS_BAD] = "refuse",  [MSG_IS_JUNK] = "junk",
+        [MSG_IS_CALL] = "call",           [MSG_IS_NULL] = "null",
+        [MSG_IS_REPLY] = "reply",         [MSG_IS_DENIED] = "denied",
+        [MSG_IS_INVALID_CALL] = "refuse", [MSG_IS_NOT_RPC] = "junk",
     };
     char **lines = CaseTable_Lines(input);
     guint i;
@@ -210,7 +211,7 @@
             g_string_append_printf(output, " %s", Msg_Name(record.call.kind));
             Msg_FreeCall(&record.call);
         }
-        else if (record.type == MSG_IS_BAD) {
+        else if (record.type == MSG_IS_INVALID_CALL) {
             g_string_append_printf(output, " with %d", (int)record.refusal);
         }
         g_string_append_c(output, '\n');
@@ -232,34 +233,34 @@
  * GROUP MS", "offer", "decline GRANT", "lapse MS" (expires grants), "free".
  */
 static void
-run_arbiter_line(Arbiter *arbiter, const Table *table, char **words,
+run_arbiter_line(SlotArbiter *arbiter, const GroupTable *table, char **words,
                  GString *output)
 {
     lc_demand demand;
-    Arbiter_Grant grant;
+    SlotArbiter_Grant grant;
     lc_node entry;
 
     if (strcmp(words[0], "demand") == 0) {
         entry = node_at_address(words[1]);
         demand.group = words[2];
         demand.waiting = (u_int)atoi(words[3]);
-        Arbiter_SetDemand(arbiter, &entry, &demand, 1);
+        SlotArbiter_SetDemand(arbiter, &entry, &demand, 1);
     }
     else if (strcmp(words[0], "take") == 0) {
         entry = node_at_address(words[1]);
         g_string_append(
-            output,
-            Arbiter_Take(arbiter, &entry,
-                         words[3] == NULL ? 0 : strtoull(words[3], NULL, 10),
-                         words[2], table)
-                ? "taken\n"
-                : "refused\n");
+            output, SlotArbiter_Acquire(
+                        arbiter, &entry,
+                        words[3] == NULL ? 0 : strtoull(words[3], NULL, 10),
+                        words[2], table)
+                        ? "taken\n"
+                        : "refused\n");
     }
     else if (strcmp(words[0], "release") == 0) {
-        Arbiter_Release(arbiter, words[1], atoi(words[2]), table);
+        SlotArbiter_Release(arbiter, words[1], atoi(words[2]), table);
     }
     else if (strcmp(words[0], "offer") == 0) {
-        if (Arbiter_Offer(arbiter, 0, &grant)) {
+        if (SlotArbiter_GrantFreeSlot(arbiter, 0, &grant)) {
             g_string_append_printf(output, "grant %llu to %llu for %s\n",
                                    (unsigned long long)grant.id,
                                    (unsigned long long)grant.entry.address,
@@ -270,40 +271,41 @@
         }
     }
     else if (strcmp(words[0], "decline") == 0) {
-        Arbiter_Decline(arbiter, strtoull(words[1], NULL, 10));
+        SlotArbiter_OnDecline(arbiter, strtoull(words[1], NULL, 10));
     }
     else if (strcmp(words[0], "lapse") == 0) {
-        g_string_append_printf(output, "%u lapsed\n",
-                               Arbiter_Lapse(arbiter, atoi(words[1])));
+        g_string_append_printf(
+            output, "%u lapsed\n",
+            SlotArbiter_ExpireGrants(arbiter, atoi(words[1])));
     }
     else {
         g_string_append_printf(output, "%u free\n",
-                               Arbiter_FreeSlots(arbiter));
+                               SlotArbiter_FreeSlots(arbiter));
     }
 }
 
 static void
 run_arbiter(const char *input, GString *output)
 {
-    Arbiter *arbiter = Arbiter_New(2, 100, 1);
-    Table *table = Table_New();
+    SlotArbiter *arbiter = SlotArbiter_New(2, 100, 1);
+    GroupTable *table = GroupTable_New();
     char **lines = CaseTable_Lines(input);
-    Table_Row row;
+    GroupTable_Row row;
     guint i;
 
     memset(&row, 0, sizeof(row));
     row.present = true;
     row.weight = 3;
     g_strlcpy(row.group, "heavy", sizeof(row.group));
-    Table_Put(table, &row);
+    GroupTable_Put(table, &row);
     for (i = 0; lines[i] != NULL; i++) {
         char **words = g_strsplit(lines[i], " ", 0);
         run_arbiter_line(arbiter, table, words, output);
         g_strfreev(words);
     }
     g_strfreev(lines);
-    Table_Free(table);
-    Arbiter_Free(arbiter);
+    GroupTable_Free(table);
+    SlotArbiter_Free(arbiter);
 }
 
 static bool
@@ -317,7 +319,7 @@
 static void
 queue_job(Groups *groups, Ledger *ledger, char **words, uint8_t number)
 {
-    Key key = Key_Mint(1, 0, number);
+    Key key = Key_Create(1, 0, number);
     Job *job = Ledger_Add(ledger, &key);
 
     job->group = g_intern_string(words[1]);
--- a/tests/choice_rules.c
+++ b/tests/choice_rules.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "base/random.h"
-#include "lease/choice.h"
+#include "lease/placement.h"
 
 #define NOW_MS 10000
 #define DRAWS 3000
@@ -30,9 +30,9 @@
     const char *name;
     const char *affinity;
     const char *requirement;
-    uint32_t refused;  /* consecutive refused starts */
-    int avoid;         /* host where the task failed, or -1 */
-    uint32_t together; /* tasks to be placed on few hosts */
+    uint32_t refused;      /* consecutive refused starts */
+    int avoid;             /* host where the task failed, or -1 */
+    uint32_t packed_tasks; /* tasks to be placed on few hosts */
     host_row hosts[MAX_HOSTS + 1];
 } choice_case;
 
@@ -64,7 +64,7 @@
     report.labels.labels_len = row->label == NULL ? 0 : 1;
     report.labels.labels_val = labels;
     report.next_ms = 500;
-    Fleet_TakeReport(fleet, NOW_MS, &report, &host);
+    Fleet_ApplyReport(fleet, NOW_MS, &report, &host);
 }
 
 static Active_Job *
@@ -102,11 +102,11 @@
     uint32_t drawn[MAX_HOSTS + 1] = {0}; /* the last one: no host */
     Active_Job *job = new_job(test);
     Fleet fleet;
-    Choice context = {.fleet = &fleet,
-                      .hall = "own",
-                      .now_ms = NOW_MS,
-                      .random = &random,
-                      .together = test->together};
+    Placement_Context context = {.fleet = &fleet,
+                                 .hall = "own",
+                                 .now_ms = NOW_MS,
+                                 .random = &random,
+                                 .packed_tasks = test->packed_tasks};
     int i;
 
     Fleet_Init(&fleet);
@@ -114,7 +114,8 @@
         add_host(&fleet, i, &test->hosts[i]);
     }
     for (i = 0; i < DRAWS; i++) {
-        const Fleet_Host *host = Choice_Host(&context, job, &job->tasks[0]);
+        const Fleet_Host *host = Placement_ChooseHost(&context, job,
+                                                      &job->tasks[0]);
         drawn[host == NULL ? MAX_HOSTS
                            : (int)(host->node.address >> 16) - 1]++;
     }
@@ -169,19 +170,19 @@
      .hosts = {{"own", 8000, 100, "small", 0}, {"own", 900, 100, "large", 0}}},
     {.name = "/choice/tasks placed together go to a host that fits all",
      .avoid = -1,
-     .together = 4,
+     .packed_tasks = 4,
      .hosts = {{"own", 3900, 100, NULL, 0},
                {"own", 4000, 100, NULL, 0.333},
                {"own", 8000, 100, NULL, 0.667}}},
     {.name = "/choice/tasks placed together go to hosts that fit most of them",
      .avoid = -1,
-     .together = 4,
+     .packed_tasks = 4,
      .hosts = {{"own", 1000, 100, NULL, 0},
                {"own", 2000, 100, NULL, 0.4},
                {"own", 3000, 100, NULL, 0.6}}},
     {.name = "/choice/placing together justifies no slow host or other hall",
      .avoid = -1,
-     .together = 4,
+     .packed_tasks = 4,
      .hosts = {{"own", 1000, 100, NULL, 1},
                {"own", 8000, 190, NULL, 0},
                {"other", 8000, 100, NULL, 0}}},
--- a/tests/entry_fixture.c
+++ b/tests/entry_fixture.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "tests/lease_fixture.h"
-#include "wire/runs.h"
+#include "wire/run_batch.h"
 
 #define TICK_MS 50
 #define TASK_MILLI 1000
@@ -83,7 +83,7 @@
 
     for (i = 0; i < runs->rows.rows_len; i++) {
         Msg_Call run;
-        Runs_Get(runs, i, &run);
+        RunBatch_DecodeRow(runs, i, &run);
         record_start(context, to, call_ids[i], &run.u.run,
                      runs->rows.rows_len);
     }
@@ -127,7 +127,7 @@
 
     memset(fix, 0, sizeof(*fix));
     fix->now_ms = ENTRY_FIX_START_MS;
-    fix->term = LeaseFix_Term();
+    fix->term = LeaseFix_Timing();
     config.term = fix->term;
     fix->dispatcher = Dispatcher_New(&config, &ports, fix, fix->now_ms);
     fix->routes = Route_NewTable(1);
@@ -178,7 +178,7 @@
     report.next_ms = 60000;
     report.closures.as_of = -1;
     Dispatcher_OnReport(fix->dispatcher, fix->now_ms, &report);
-    Dispatcher_Settle(fix->dispatcher, fix->now_ms);
+    Dispatcher_DispatchWaiting(fix->dispatcher, fix->now_ms);
 }
 
 void
@@ -189,14 +189,14 @@
 
     fix->route->priority = priority;
     submit.job.id = job;
-    submit.job.spec = g_strnfill(ENTRY_FIX_SPEC, 'x');
+    submit.job.spec = g_strnfill(ENTRY_FIX_SPEC_BYTES, 'x');
     submit.job.step_count = 1;
     submit.job.steps = g_new0(LeasedJob_Step, 1);
     submit.job.steps[0].count = tasks;
     submit.job.steps[0].need.cpu_milli = TASK_MILLI;
     submit.job.steps[0].estimate_ms = ESTIMATE_MS;
     Dispatcher_OnSubmit(fix->dispatcher, fix->now_ms, &submit);
-    Dispatcher_Settle(fix->dispatcher, fix->now_ms);
+    Dispatcher_DispatchWaiting(fix->dispatcher, fix->now_ms);
 }
 
 void
@@ -209,14 +209,14 @@
     fill_state(fix, (uint32_t)(start->to >> 16) - 1, tasks_left,
                &reply.u.run.host);
     Dispatcher_OnReply(fix->dispatcher, fix->now_ms, start->call_id, &reply);
-    Dispatcher_Settle(fix->dispatcher, fix->now_ms);
+    Dispatcher_DispatchWaiting(fix->dispatcher, fix->now_ms);
 }
 
 void
-EntryFix_Lose(EntryFix *fix, const EntryFix_Start *start)
+EntryFix_BreakConnection(EntryFix *fix, const EntryFix_Start *start)
 {
     Dispatcher_OnReply(fix->dispatcher, fix->now_ms, start->call_id, NULL);
-    Dispatcher_Settle(fix->dispatcher, fix->now_ms);
+    Dispatcher_DispatchWaiting(fix->dispatcher, fix->now_ms);
 }
 
 /* Answers the renewals among the calls from index @p from on. */
@@ -237,7 +237,7 @@
 }
 
 int
-EntryFix_Count(const EntryFix *fix, Msg_Kind kind)
+EntryFix_CountCalls(const EntryFix *fix, Msg_Kind kind)
 {
     int count = 0;
     int i;
@@ -249,7 +249,7 @@
 }
 
 const EntryFix_Call *
-EntryFix_Last(const EntryFix *fix, Msg_Kind kind)
+EntryFix_LastCall(const EntryFix *fix, Msg_Kind kind)
 {
     int i;
 
@@ -262,7 +262,7 @@
 }
 
 void
-EntryFix_Pass(EntryFix *fix, int64_t ms)
+EntryFix_Advance(EntryFix *fix, int64_t ms)
 {
     int64_t until_ms = fix->now_ms + ms;
 
@@ -273,6 +273,6 @@
             Dispatcher_Tick(fix->dispatcher, fix->now_ms);
         }
         answer_renewals(fix, calls);
-        Dispatcher_Settle(fix->dispatcher, fix->now_ms);
+        Dispatcher_DispatchWaiting(fix->dispatcher, fix->now_ms);
     }
 }
--- a/tests/entry_fixture.h
+++ b/tests/entry_fixture.h
@@ -11,7 +11,7 @@
 #define ENTRY_FIX_CAPACITY 2048
 #define ENTRY_FIX_START_MS 1000000
 /** Length of a job's spec, in bytes. */
-#define ENTRY_FIX_SPEC 1200
+#define ENTRY_FIX_SPEC_BYTES 1200
 
 /** A start of a task, by a RUN or as a row of a RUNS. */
 typedef struct {
@@ -57,7 +57,7 @@
     Dispatcher *dispatcher;
     Route_Table *routes;
     Route *route;
-    Term term;
+    LeaseTiming term;
     int64_t now_ms;
     EntryFix_Start starts[ENTRY_FIX_CAPACITY];
     int start_count;
@@ -92,14 +92,14 @@
                     lc_run_status status, uint32_t tasks_left);
 
 /** Breaks the connection of a start before its reply. */
-void EntryFix_Lose(EntryFix *fix, const EntryFix_Start *start);
+void EntryFix_BreakConnection(EntryFix *fix, const EntryFix_Start *start);
 
 /** Number of recorded calls of a kind, and the last of them. */
-int EntryFix_Count(const EntryFix *fix, Msg_Kind kind);
-const EntryFix_Call *EntryFix_Last(const EntryFix *fix, Msg_Kind kind);
+int EntryFix_CountCalls(const EntryFix *fix, Msg_Kind kind);
+const EntryFix_Call *EntryFix_LastCall(const EntryFix *fix, Msg_Kind kind);
 
 /** Advances the time by @p ms, with a tick every 50 ms and a dispatch of
  * waiting tasks every ms. */
-void EntryFix_Pass(EntryFix *fix, int64_t ms);
+void EntryFix_Advance(EntryFix *fix, int64_t ms);
 
 #endif
--- a/tests/fleet_load.c
+++ b/tests/fleet_load.c
@@ -9,7 +9,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "tests/fleet_world.h"
+#include "tests/fleet_sim.h"
 
 /* The users' large deployment. Load factor 1 takes 60% of all processors. */
 static const FleetSim_Deployment large = {
--- a/tests/fleet_world.c
+++ b/tests/fleet_sim.c
@@ -1,4 +1,4 @@
-#include "tests/fleet_world.h"
+#include "tests/fleet_sim.h"
 
 #include <glib.h>
 #include <math.h>
@@ -8,7 +8,7 @@
 #include "lease/dispatcher.h"
 #include "lease/run_id.h"
 #include "lease/runner.h"
-#include "wire/runs.h"
+#include "wire/run_batch.h"
 
 /* An upstream crashes within this time after it started a crashing task, and
  * is down for CRASH_DOWN_MS. */
@@ -70,9 +70,9 @@
     uint32_t capacity;
     uint32_t used;
     GHashTable *running; /* lc_run_id -> running_task */
-    GArray *ended;       /* Runner_EndRow */
+    GArray *ended;       /* Runner_EndedRun */
     uint64_t last_end;
-    uint64_t look_id;            /* id of a waiting poll, or 0 */
+    uint64_t poll_id;            /* id of a waiting poll, or 0 */
     GHashTable *pending_replies; /* reply id -> pending_reply */
     uint64_t next_reply;
     int64_t overdue_check_ms;
@@ -134,7 +134,7 @@
     GArray *jobs; /* job_record; job id = index + 1 */
     Route_Table *routes;
     Route *route_of[FLEET_SIM_KINDS];
-    Term term;
+    LeaseTiming term;
     uint32_t waits[MAX_WAIT_MS + 1];
     double busy_ms; /* millicores times ms, during the surge */
     double capacity_ms;
@@ -182,7 +182,7 @@
 typedef struct {
     uint32_t companion;
     uint64_t id;
-    Runner_OrderEnd end;
+    Runner_OrderResult end;
 } order_answer;
 
 typedef struct {
@@ -212,35 +212,35 @@
     GArray *rows;
     GHashTableIter iter;
     gpointer value;
-    Runner_Listing listing = {.end = RUNNER_ORDER_TAKEN,
+    Runner_Listing listing = {.end = RUNNER_ORDER_ACCEPTED,
                               .clock_ms = upstream_clock_ms(sim),
                               .born_ms = 1 + node->born_ms};
 
-    if (node->look_id != answer->id || node->runner == NULL) {
+    if (node->poll_id != answer->id || node->runner == NULL) {
         return;
     }
-    node->look_id = 0;
+    node->poll_id = 0;
     if (!node->up) {
         listing.end = RUNNER_ORDER_UNSENT;
-        Runner_OnLook(node->runner, sim->now_ms, answer->id, &listing);
+        Runner_OnPollAnswer(node->runner, sim->now_ms, answer->id, &listing);
         schedule_overdue_check(node);
         return;
     }
-    rows = g_array_new(FALSE, TRUE, sizeof(Runner_Row));
+    rows = g_array_new(FALSE, TRUE, sizeof(Runner_ActiveRun));
     g_hash_table_iter_init(&iter, node->running);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const running_task *task = value;
-        Runner_Row row = {task->id,
-                          (uint32_t)MIN((sim->now_ms - task->start_ms) * 100 /
-                                            MAX(task->work_ms, 1),
-                                        99)};
+        Runner_ActiveRun row = {task->id,
+                                (uint32_t)MIN((sim->now_ms - task->start_ms) *
+                                                  100 / MAX(task->work_ms, 1),
+                                              99)};
         g_array_append_val(rows, row);
     }
-    listing.running = (const Runner_Row *)(void *)rows->data;
+    listing.running = (const Runner_ActiveRun *)(void *)rows->data;
     listing.running_count = rows->len;
-    listing.ended = (const Runner_EndRow *)(void *)node->ended->data;
+    listing.ended = (const Runner_EndedRun *)(void *)node->ended->data;
     listing.ended_count = node->ended->len;
-    Runner_OnLook(node->runner, sim->now_ms, answer->id, &listing);
+    Runner_OnPollAnswer(node->runner, sim->now_ms, answer->id, &listing);
     g_array_unref(rows);
     schedule_overdue_check(node);
 }
@@ -257,7 +257,7 @@
     const task_end *end = item;
     companion_node *node = &sim->companions[end->companion];
     running_task *task = g_hash_table_lookup(node->running, &end->id);
-    Runner_EndRow row = {0, end->id, end->how};
+    Runner_EndedRun row = {0, end->id, end->how};
 
     if (task == NULL || (task->stopping && end->how == RUNNER_END_DONE &&
                          sim->now_ms < task->start_ms + task->work_ms)) {
@@ -267,8 +267,8 @@
     node->used -= cpu_of(sim, &end->id);
     row.number = ++node->last_end;
     g_array_append_val(node->ended, row);
-    if (node->look_id != 0) {
-        poll_answer answer = {node->index, node->look_id};
+    if (node->poll_id != 0) {
+        poll_answer answer = {node->index, node->poll_id};
         schedule(sim, sim->now_ms + 1, on_poll_answer, &answer,
                  sizeof(answer));
     }
@@ -385,7 +385,7 @@
 {
     companion_node *node = context;
     simulation *sim = node->sim;
-    order_answer answer = {node->index, order_id, RUNNER_ORDER_TAKEN};
+    order_answer answer = {node->index, order_id, RUNNER_ORDER_ACCEPTED};
 
     if (!node->up) {
         answer.end = RUNNER_ORDER_UNSENT;
@@ -416,7 +416,7 @@
     companion_node *node = context;
     simulation *sim = node->sim;
     running_task *task = g_hash_table_lookup(node->running, id);
-    order_answer answer = {node->index, order_id, RUNNER_ORDER_TAKEN};
+    order_answer answer = {node->index, order_id, RUNNER_ORDER_ACCEPTED};
     task_end end = {node->index, *id, RUNNER_END_STOPPED};
 
     (void)instance;
@@ -431,22 +431,22 @@
 }
 
 static void
-port_poll(void *context, uint64_t look_id, const Runner_Look *look)
+port_poll(void *context, uint64_t poll_id, const Runner_Poll *look)
 {
     companion_node *node = context;
     simulation *sim = node->sim;
-    poll_answer answer = {node->index, look_id};
+    poll_answer answer = {node->index, poll_id};
     guint seen = 0;
 
     while (seen < node->ended->len &&
-           g_array_index(node->ended, Runner_EndRow, seen).number <=
+           g_array_index(node->ended, Runner_EndedRun, seen).number <=
                look->last_seen) {
         seen++;
     }
     if (seen > 0) {
         g_array_remove_range(node->ended, 0, seen);
     }
-    node->look_id = look_id;
+    node->poll_id = poll_id;
     schedule(sim, sim->now_ms + 1 + (node->ended->len > 0 ? 0 : look->wait_ms),
              on_poll_answer, &answer, sizeof(answer));
 }
@@ -463,7 +463,7 @@
 static void
 dispatch_waiting(entry_node *entry)
 {
-    Dispatcher_Settle(entry->dispatcher, entry->sim->now_ms);
+    Dispatcher_DispatchWaiting(entry->dispatcher, entry->sim->now_ms);
 }
 
 static void
@@ -521,7 +521,7 @@
 
     node->overdue_check_ms = 0;
     if (node->runner != NULL) {
-        Runner_Wake(node->runner, sim->now_ms);
+        Runner_CheckOverdue(node->runner, sim->now_ms);
         schedule_overdue_check(node);
     }
 }
@@ -583,7 +583,7 @@
     message.args.closures.halls.halls_len = 0;
     report->sent_version = version;
     report->sent_ms = sim->now_ms;
-    report->interval_ms = Dispatcher_ReportGapMs(entry->dispatcher);
+    report->interval_ms = Dispatcher_ReportIntervalMs(entry->dispatcher);
     schedule(sim, sim->now_ms + sim->load->deployment->link_ms, on_report,
              &message, sizeof(message));
 }
@@ -607,17 +607,17 @@
 send_heartbeat(simulation *sim, companion_node *node)
 {
     static const char *const labels[] = {NULL};
-    Runner_Upstream heartbeat = {.instance = node->instance,
-                                 .born_ms = 1 + node->born_ms,
-                                 .sequence = ++node->sequence,
-                                 .service = "service",
-                                 .says = RUNNER_UPSTREAM_READY,
-                                 .capacity = {node->capacity, MEMORY_MB, 0},
-                                 .labels = labels,
-                                 .clock_ms = upstream_clock_ms(sim)};
+    Runner_Heartbeat heartbeat = {.instance = node->instance,
+                                  .born_ms = 1 + node->born_ms,
+                                  .sequence = ++node->sequence,
+                                  .service = "service",
+                                  .reported_state = RUNNER_UPSTREAM_READY,
+                                  .capacity = {node->capacity, MEMORY_MB, 0},
+                                  .labels = labels,
+                                  .clock_ms = upstream_clock_ms(sim)};
 
     if (node->up) {
-        Runner_OnUpstream(node->runner, sim->now_ms, &heartbeat);
+        Runner_OnHeartbeat(node->runner, sim->now_ms, &heartbeat);
         schedule_overdue_check(node);
     }
 }
@@ -648,7 +648,7 @@
         g_hash_table_remove_all(node->running);
         g_array_set_size(node->ended, 0);
         node->used = 0;
-        node->look_id = 0;
+        node->poll_id = 0;
         node->overdue_check_ms = 0;
     }
     node->up = true;
@@ -790,7 +790,7 @@
     count_bytes(entry, runs->job, bytes);
     for (i = 0; i < runs->rows.rows_len; i++) {
         Msg_Call run;
-        Runs_Get(runs, i, &run);
+        RunBatch_DecodeRow(runs, i, &run);
         send_call(entry, to, call_ids[i], &run, queued_ms);
     }
 }
@@ -1144,14 +1144,14 @@
     closures.halls.halls_len = closed;
     closures.halls.halls_val = &hall;
     for (i = 0; i < sim->load->deployment->entries; i++) {
-        Dispatcher_TakeClosures(sim->entries[i].dispatcher, sim->now_ms,
-                                sim->now_ms, &closures, "test");
+        Dispatcher_MergeClosures(sim->entries[i].dispatcher, sim->now_ms,
+                                 sim->now_ms, &closures, "test");
         dispatch_waiting(&sim->entries[i]);
     }
     for (i = 0; i < sim->load->deployment->companions; i++) {
         if (sim->companions[i].runner != NULL) {
-            Runner_TakeClosures(sim->companions[i].runner, sim->now_ms,
-                                sim->now_ms, &closures, "test");
+            Runner_MergeClosures(sim->companions[i].runner, sim->now_ms,
+                                 sim->now_ms, &closures, "test");
         }
     }
 }
@@ -1300,7 +1300,7 @@
         g_snprintf(node->instance, sizeof(node->instance), "u%u", i);
         node->running = g_hash_table_new_full(RunId_Hash, RunId_Equal, NULL,
                                               g_free);
-        node->ended = g_array_new(FALSE, TRUE, sizeof(Runner_EndRow));
+        node->ended = g_array_new(FALSE, TRUE, sizeof(Runner_EndedRun));
         node->pending_replies = g_hash_table_new_full(
             g_int64_hash, g_int64_equal, g_free, g_free);
         if (i <
@@ -1354,13 +1354,13 @@
 FleetSim_Run(const FleetSim_Load *load)
 {
     simulation sim = {.load = load};
-    Term_Bounds bounds = {RESUBMIT_MS, 1000, 50, TICK_MS};
+    LeaseTiming_Bounds bounds = {RESUBMIT_MS, 1000, 50, TICK_MS};
 
     sim.random = Random_Seed(load->seed * 2654435761U);
     sim.end_ms = WARM_UP_MS + load->length_ms + DRAIN_MS;
     sim.slots = g_new0(GArray *, sim.end_ms + 1);
     sim.jobs = g_array_new(FALSE, TRUE, sizeof(job_record));
-    Term_Plan(&bounds, &sim.term);
+    LeaseTiming_Derive(&bounds, &sim.term);
     make_routes(&sim);
     make_companions(&sim);
     make_entries(&sim);
--- a/tests/fleet_world.h
+++ b/tests/fleet_sim.h
@@ -1,13 +1,13 @@
 /**
- * @file fleet_world.h
+ * @file fleet_sim.h
  * @brief Simulation of a large fleet in one process and virtual time: entries,
  * companions with their upstreams, and callers with a given load.
  *
  * For scheduling decisions under load only: every message arrives. Lost
- * messages and failing nodes are simulated in lease_world.h.
+ * messages and failing nodes are simulated in lease_sim.h.
  */
-#ifndef LC_TESTS_FLEET_WORLD_H
-#define LC_TESTS_FLEET_WORLD_H
+#ifndef LC_TESTS_FLEET_SIM_H
+#define LC_TESTS_FLEET_SIM_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/tests/forward_rules.c
+++ b/tests/forward_rules.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "tests/entry_fixture.h"
-#include "tests/rule_table.h"
+#include "tests/test_table.h"
 
 #define ORIGIN 7000
 #define OTHER 7001
@@ -29,7 +29,7 @@
     reply.u.extend.stamp_ms = fix->now_ms + OTHER_CLOCK_MS;
     reply.u.extend.headroom = headroom;
     Dispatcher_OnReply(fix->dispatcher, fix->now_ms,
-                       EntryFix_Last(fix, MSG_EXTEND)->call_id, &reply);
+                       EntryFix_LastCall(fix, MSG_EXTEND)->call_id, &reply);
 }
 
 /* Opens an entry whose link is congested and that has queried the other one,
@@ -49,10 +49,10 @@
     }
     g_assert_true(Dispatcher_WantsDelegates(fix->dispatcher, fix->now_ms));
     Dispatcher_OfferDelegates(fix->dispatcher, &other, 1);
-    EntryFix_Pass(fix, 50);
-    g_assert_cmpint(EntryFix_Count(fix, MSG_EXTEND), ==, 1);
-    g_assert_cmpint(EntryFix_Last(fix, MSG_EXTEND)->extend.valid_until_ms, ==,
-                    0);
+    EntryFix_Advance(fix, 50);
+    g_assert_cmpint(EntryFix_CountCalls(fix, MSG_EXTEND), ==, 1);
+    g_assert_cmpint(EntryFix_LastCall(fix, MSG_EXTEND)->extend.valid_until_ms,
+                    ==, 0);
     answer_extend(fix, headroom);
     /* From now on no host has room for more than four tasks. */
     EntryFix_Report(fix, 2, 0);
@@ -71,8 +71,8 @@
     reply.u.forward.error = (char *)(uintptr_t)Err_Text(kind);
     reply.u.forward.message = (char *)(uintptr_t) "told";
     Dispatcher_OnReply(fix->dispatcher, fix->now_ms,
-                       EntryFix_Last(fix, MSG_FORWARD)->call_id, &reply);
-    Dispatcher_Settle(fix->dispatcher, fix->now_ms);
+                       EntryFix_LastCall(fix, MSG_FORWARD)->call_id, &reply);
+    Dispatcher_DispatchWaiting(fix->dispatcher, fix->now_ms);
 }
 
 static void
@@ -84,10 +84,10 @@
     EntryFix_Report(&fix, 0, 4);
     EntryFix_Report(&fix, 1, 4);
     EntryFix_Submit(&fix, 1, 8, 0);
-    EntryFix_Pass(&fix, 300);
+    EntryFix_Advance(&fix, 300);
     g_assert_false(Dispatcher_WantsDelegates(fix.dispatcher, fix.now_ms));
-    g_assert_cmpint(EntryFix_Count(&fix, MSG_EXTEND), ==, 0);
-    g_assert_cmpint(EntryFix_Count(&fix, MSG_FORWARD), ==, 0);
+    g_assert_cmpint(EntryFix_CountCalls(&fix, MSG_EXTEND), ==, 0);
+    g_assert_cmpint(EntryFix_CountCalls(&fix, MSG_FORWARD), ==, 0);
     g_assert_cmpint(fix.start_count, ==, 8);
     EntryFix_Close(&fix);
 }
@@ -102,9 +102,9 @@
     open_congested(&fix, HEADROOM);
     starts = fix.start_count;
     EntryFix_Submit(&fix, 100, 8, 0);
-    g_assert_cmpint(EntryFix_Count(&fix, MSG_FORWARD), ==, 1);
+    g_assert_cmpint(EntryFix_CountCalls(&fix, MSG_FORWARD), ==, 1);
     g_assert_cmpint(fix.start_count, ==, starts);
-    call = EntryFix_Last(&fix, MSG_FORWARD);
+    call = EntryFix_LastCall(&fix, MSG_FORWARD);
     g_assert_cmpuint(call->to, ==, OTHER);
     g_assert_cmpuint(call->forward.target, ==, OTHER_INCARNATION);
     g_assert_cmpuint(call->forward.job, ==, 100);
@@ -128,7 +128,7 @@
     open_congested(&fix, HEADROOM);
     starts = fix.start_count;
     EntryFix_Submit(&fix, 100, 4, 0);
-    g_assert_cmpint(EntryFix_Count(&fix, MSG_FORWARD), ==, 0);
+    g_assert_cmpint(EntryFix_CountCalls(&fix, MSG_FORWARD), ==, 0);
     g_assert_cmpint(fix.start_count, ==, starts + 4);
     EntryFix_Close(&fix);
 }
@@ -140,7 +140,7 @@
 
     open_congested(&fix, 0);
     EntryFix_Submit(&fix, 100, 8, 0);
-    g_assert_cmpint(EntryFix_Count(&fix, MSG_FORWARD), ==, 0);
+    g_assert_cmpint(EntryFix_CountCalls(&fix, MSG_FORWARD), ==, 0);
     EntryFix_Close(&fix);
 }
 
@@ -150,9 +150,9 @@
     EntryFix fix;
 
     open_congested(&fix, HEADROOM);
-    EntryFix_Pass(&fix, 600);
+    EntryFix_Advance(&fix, 600);
     EntryFix_Submit(&fix, 100, 8, 0);
-    g_assert_cmpint(EntryFix_Count(&fix, MSG_FORWARD), ==, 0);
+    g_assert_cmpint(EntryFix_CountCalls(&fix, MSG_FORWARD), ==, 0);
     EntryFix_Close(&fix);
 }
 
@@ -168,12 +168,12 @@
     EntryFix_Report(&fix, 0, 0);
     EntryFix_Report(&fix, 1, 0);
     reply_forward(&fix, false, DISPATCHER_SUCCEEDED, ERR_OK);
-    EntryFix_Pass(&fix, 300);
+    EntryFix_Advance(&fix, 300);
     answer_extend(&fix, HEADROOM);
     EntryFix_Report(&fix, 0, 4);
     EntryFix_Report(&fix, 1, 4);
-    EntryFix_Pass(&fix, 20);
-    g_assert_cmpint(EntryFix_Count(&fix, MSG_FORWARD), ==, 1);
+    EntryFix_Advance(&fix, 20);
+    g_assert_cmpint(EntryFix_CountCalls(&fix, MSG_FORWARD), ==, 1);
     g_assert_cmpint(fix.start_count, ==, starts + 8);
     EntryFix_Close(&fix);
 }
@@ -189,13 +189,13 @@
     open_congested(&fix, HEADROOM);
     EntryFix_Submit(&fix, 100, 8, 0);
     for (i = 0; i < 11; i++) {
-        EntryFix_Pass(&fix, 100);
+        EntryFix_Advance(&fix, 100);
         answer_extend(&fix, HEADROOM);
     }
     EntryFix_Report(&fix, 0, 4);
     EntryFix_Report(&fix, 1, 4);
     EntryFix_Submit(&fix, 101, 8, 0);
-    g_assert_cmpint(EntryFix_Count(&fix, MSG_FORWARD), ==, 1);
+    g_assert_cmpint(EntryFix_CountCalls(&fix, MSG_FORWARD), ==, 1);
     EntryFix_Close(&fix);
 }
 
@@ -224,12 +224,12 @@
     starts = fix.start_count;
     EntryFix_Submit(&fix, 100, 8, 0);
     Dispatcher_OnReply(fix.dispatcher, fix.now_ms,
-                       EntryFix_Last(&fix, MSG_FORWARD)->call_id, NULL);
-    EntryFix_Pass(&fix, 200);
+                       EntryFix_LastCall(&fix, MSG_FORWARD)->call_id, NULL);
+    EntryFix_Advance(&fix, 200);
     g_assert_cmpint(fix.answers[0].outcome, ==, DISPATCHER_GIVEN_UP);
     g_assert_cmpint(fix.answers[0].kind, ==, ERR_LOST);
     g_assert_cmpint(fix.start_count, ==, starts);
-    g_assert_cmpuint(EntryFix_Last(&fix, MSG_EXTEND)->gone, ==, 1);
+    g_assert_cmpuint(EntryFix_LastCall(&fix, MSG_EXTEND)->gone, ==, 1);
     EntryFix_Close(&fix);
 }
 
@@ -242,19 +242,19 @@
     EntryFix_Submit(&fix, 100, 8, 0);
     EntryFix_Submit(&fix, 101, 8, 0);
     Dispatcher_OnCallerGone(fix.dispatcher, fix.now_ms, 100);
-    EntryFix_Pass(&fix, 100);
-    g_assert_cmpint(EntryFix_Count(&fix, MSG_EXTEND), ==, 2);
-    g_assert_cmpuint(EntryFix_Last(&fix, MSG_EXTEND)->gone, ==, 1);
-    g_assert_cmpint(EntryFix_Last(&fix, MSG_EXTEND)->extend.valid_until_ms, >,
-                    0);
+    EntryFix_Advance(&fix, 100);
+    g_assert_cmpint(EntryFix_CountCalls(&fix, MSG_EXTEND), ==, 2);
+    g_assert_cmpuint(EntryFix_LastCall(&fix, MSG_EXTEND)->gone, ==, 1);
+    g_assert_cmpint(EntryFix_LastCall(&fix, MSG_EXTEND)->extend.valid_until_ms,
+                    >, 0);
     /* The number is repeated until an EXTEND that carries it is answered. */
     Dispatcher_OnReply(fix.dispatcher, fix.now_ms,
-                       EntryFix_Last(&fix, MSG_EXTEND)->call_id, NULL);
-    EntryFix_Pass(&fix, 100);
-    g_assert_cmpuint(EntryFix_Last(&fix, MSG_EXTEND)->gone, ==, 1);
+                       EntryFix_LastCall(&fix, MSG_EXTEND)->call_id, NULL);
+    EntryFix_Advance(&fix, 100);
+    g_assert_cmpuint(EntryFix_LastCall(&fix, MSG_EXTEND)->gone, ==, 1);
     answer_extend(&fix, HEADROOM);
-    EntryFix_Pass(&fix, 100);
-    g_assert_cmpuint(EntryFix_Last(&fix, MSG_EXTEND)->gone, ==, 0);
+    EntryFix_Advance(&fix, 100);
+    g_assert_cmpuint(EntryFix_LastCall(&fix, MSG_EXTEND)->gone, ==, 0);
     EntryFix_Close(&fix);
 }
 
@@ -290,7 +290,7 @@
 
     Dispatcher_OnForward(fix->dispatcher, fix->now_ms, 1000 + job, &args,
                          fix->route);
-    Dispatcher_Settle(fix->dispatcher, fix->now_ms);
+    Dispatcher_DispatchWaiting(fix->dispatcher, fix->now_ms);
 }
 
 static void
@@ -344,13 +344,13 @@
 
     open_delegate(&fix);
     receive_forward(&fix, 1, 300);
-    EntryFix_Pass(&fix, 150);
-    renew = EntryFix_Last(&fix, MSG_RENEW);
+    EntryFix_Advance(&fix, 150);
+    renew = EntryFix_LastCall(&fix, MSG_RENEW);
     g_assert_cmpuint(renew->renew.owner.incarnation, ==, fix.starts[0].owner);
     g_assert_cmpint(renew->renew.valid_until_ms, <=, ENTRY_FIX_START_MS + 300);
     receive_extend(&fix, 400, 0);
-    EntryFix_Pass(&fix, 100);
-    renew = EntryFix_Last(&fix, MSG_RENEW);
+    EntryFix_Advance(&fix, 100);
+    renew = EntryFix_LastCall(&fix, MSG_RENEW);
     g_assert_cmpint(renew->renew.valid_until_ms, >, ENTRY_FIX_START_MS + 300);
     g_assert_cmpint(renew->renew.valid_until_ms, <=, ENTRY_FIX_START_MS + 550);
     EntryFix_Close(&fix);
@@ -363,13 +363,13 @@
 
     open_delegate(&fix);
     receive_forward(&fix, 1, 300);
-    EntryFix_Pass(&fix, 320);
-    g_assert_cmpint(EntryFix_Count(&fix, MSG_HALT), ==, 3);
+    EntryFix_Advance(&fix, 320);
+    g_assert_cmpint(EntryFix_CountCalls(&fix, MSG_HALT), ==, 3);
     g_assert_cmpint(fix.reply_count, ==, 1);
     g_assert_cmpuint(fix.replies[0].forward.outcome, ==, DISPATCHER_GIVEN_UP);
     /* The expiry is final: a later EXTEND does not revive the job. */
     receive_extend(&fix, 500, 0);
-    EntryFix_Pass(&fix, 200);
+    EntryFix_Advance(&fix, 200);
     g_assert_cmpint(fix.start_count, ==, 3);
     EntryFix_Close(&fix);
 }
@@ -385,7 +385,7 @@
     receive_forward(&fix, 1, 10);
     fix.now_ms += 20;
     receive_extend(&fix, 500, 0);
-    g_assert_cmpint(EntryFix_Count(&fix, MSG_HALT), ==, 3);
+    g_assert_cmpint(EntryFix_CountCalls(&fix, MSG_HALT), ==, 3);
     EntryFix_Close(&fix);
 }
 
@@ -398,10 +398,10 @@
 
     open_delegate(&fix);
     receive_forward(&fix, 1, 300);
-    EntryFix_Pass(&fix, 200);
+    EntryFix_Advance(&fix, 200);
     receive_forward(&fix, 2, 500);
-    EntryFix_Pass(&fix, 120);
-    g_assert_cmpint(EntryFix_Count(&fix, MSG_HALT), ==, 6);
+    EntryFix_Advance(&fix, 120);
+    g_assert_cmpint(EntryFix_CountCalls(&fix, MSG_HALT), ==, 6);
     EntryFix_Close(&fix);
 }
 
@@ -414,10 +414,10 @@
     receive_forward(&fix, 1, 300);
     receive_forward(&fix, 2, 300);
     receive_extend(&fix, 500, 1);
-    g_assert_cmpint(EntryFix_Count(&fix, MSG_HALT), ==, 3);
+    g_assert_cmpint(EntryFix_CountCalls(&fix, MSG_HALT), ==, 3);
     g_assert_cmpint(fix.replies[fix.reply_count - 1].kind, ==, MSG_EXTEND);
-    EntryFix_Pass(&fix, 400);
-    g_assert_cmpint(EntryFix_Count(&fix, MSG_HALT), ==, 3);
+    EntryFix_Advance(&fix, 400);
+    g_assert_cmpint(EntryFix_CountCalls(&fix, MSG_HALT), ==, 3);
     EntryFix_Close(&fix);
 }
 
@@ -428,7 +428,7 @@
 
     Dispatcher_OnForward(fix->dispatcher, fix->now_ms, 7, args,
                          args->queue == NULL ? NULL : fix->route);
-    Dispatcher_Settle(fix->dispatcher, fix->now_ms);
+    Dispatcher_DispatchWaiting(fix->dispatcher, fix->now_ms);
     g_assert_cmpint(fix->start_count, ==, starts);
     g_assert_cmpint(fix->replies[fix->reply_count - 1].kind, ==, MSG_FORWARD);
     g_assert_false(fix->replies[fix->reply_count - 1].forward.taken);
@@ -460,7 +460,7 @@
     EntryFix_Submit(&fix, 9, 1, 0);
     args = forward_of(&fix, 9, 300);
     check_refused(&fix, &args);
-    Dispatcher_EndBy(fix.dispatcher, fix.now_ms + 5000);
+    Dispatcher_SetShutdownTime(fix.dispatcher, fix.now_ms + 5000);
     args = forward_of(&fix, 1, 300);
     check_refused(&fix, &args);
     EntryFix_Close(&fix);
@@ -469,7 +469,7 @@
 int
 main(int argc, char **argv)
 {
-    static const RuleTable_Row tests[] = {
+    static const TestTable_Row tests[] = {
         {"/forward/no query and no forward at normal load", test_normal_load},
         {"/forward/a job of several calls is forwarded",
          test_expensive_job_is_forwarded},
@@ -499,5 +499,5 @@
         {"/forward/invalid and stale forwards are refused", test_refusals},
     };
 
-    return RuleTable_Main(argc, argv, tests, G_N_ELEMENTS(tests));
+    return TestTable_Main(argc, argv, tests, G_N_ELEMENTS(tests));
 }
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -16,12 +16,12 @@
 
 #include "base/random.h"
 #include "daemon/options.h"
-#include "lease/kept.h"
-#include "platform/callers.h"
-#include "platform/halls.h"
+#include "lease/durable_log.h"
+#include "platform/caller_api.h"
+#include "platform/hall_records.h"
 #include "platform/keyed_records.h"
-#include "platform/routes.h"
-#include "platform/upstreams.h"
+#include "platform/routes_record.h"
+#include "platform/upstream_api.h"
 #include "wire/msg.h"
 
 #define MAX_EDITS 8
@@ -31,13 +31,13 @@
 static void
 decode_job(const char *bytes, size_t length)
 {
-    Callers_Raw raw = {.body = bytes, .length = length};
+    CallerApi_RawRequest raw = {.body = bytes, .length = length};
     Status status = {ERR_OK, ""};
     LeasedJob job;
 
-    if (Callers_ParseJob(&raw, 1, &job, &status) == ERR_OK) {
-        LeasedJob_Check(&job, &status);
-        LeasedJob_ChainMs(&job);
+    if (CallerApi_ParseJob(&raw, 1, &job, &status) == ERR_OK) {
+        LeasedJob_CheckSupported(&job, &status);
+        LeasedJob_CriticalPathMs(&job);
         LeasedJob_Clear(&job);
     }
 }
@@ -46,10 +46,11 @@
 decode_request(const char *bytes, size_t length)
 {
     char *text = g_strndup(bytes, length);
-    Callers_Raw raw = {.method = "POST", .path = text, .deadline = text};
-    Callers_Request request;
+    CallerApi_RawRequest raw = {
+        .method = "POST", .path = text, .deadline = text};
+    CallerApi_Request request;
 
-    Callers_Parse(&raw, &request);
+    CallerApi_ParseRequest(&raw, &request);
     g_free(text);
 }
 
@@ -57,10 +58,10 @@
 decode_routes(const char *bytes, size_t length)
 {
     Status status = {ERR_OK, ""};
-    Route_Table *table = Routes_Read(bytes, length, &status);
+    Route_Table *table = RoutesRecord_Parse(bytes, length, &status);
 
     if (table != NULL) {
-        Route_Find(table, "a.example:1", "/x/y/z");
+        Route_FindByPrefix(table, "a.example:1", "/x/y/z");
         Route_FreeTable(table);
     }
 }
@@ -69,24 +70,25 @@
 decode_heartbeat(const char *bytes, size_t length)
 {
     Status status = {ERR_OK, ""};
-    Upstreams_Beat heartbeat;
+    UpstreamApi_Heartbeat heartbeat;
 
-    Upstreams_ReadBeat("i-1", bytes, length, &heartbeat, &status);
-    Upstreams_FreeBeat(&heartbeat);
+    UpstreamApi_ParseHeartbeat("i-1", bytes, length, &heartbeat, &status);
+    UpstreamApi_FreeHeartbeat(&heartbeat);
 }
 
 static void
 decode_durable_log(const char *bytes, size_t length)
 {
     static const char key[] = "p0000000000000007.3e8";
-    Kept *log = Kept_New();
-    Kept_Record record = {1, key, strlen(key), (const uint8_t *)bytes, length};
-    Kept_Change change = Kept_Take(log, 1, &record);
+    DurableLog *log = DurableLog_New();
+    DurableLog_Record record = {1, key, strlen(key), (const uint8_t *)bytes,
+                                length};
+    DurableLog_Change change = DurableLog_Apply(log, 1, &record);
 
     if (change.job != NULL) {
-        Kept_OwnerOf(log, change.job);
+        DurableLog_OwnerOf(log, change.job);
     }
-    Kept_Free(log);
+    DurableLog_Free(log);
 }
 
 static void
@@ -96,16 +98,16 @@
                                 .status = 200,
                                 .body = bytes,
                                 .length = length};
-    Upstreams_Listing listing;
+    UpstreamApi_Listing listing;
 
-    Upstreams_ReadListing(&answer, &listing);
-    Upstreams_FreeListing(&listing);
+    UpstreamApi_ParseListing(&answer, &listing);
+    UpstreamApi_FreeListing(&listing);
 }
 
 static void
 apply_record(void *context, const Keyed_Record *record)
 {
-    Halls_Take(context, record);
+    HallRecords_Apply(context, record);
 }
 
 /* Operators' records of halls: as a page of the newest records, and as read
@@ -113,23 +115,23 @@
 static void
 decode_records(const char *bytes, size_t length)
 {
-    Halls *halls = Halls_New();
+    Hall_Records *halls = HallRecords_New();
     json_t *page = json_loadb(bytes, length, 0, NULL);
     lc_closures closures;
 
-    Halls_Begin(halls);
-    KeyedRecords_TakePage(page, apply_record, halls);
-    if (length >= KEYED_RECORDS_HEAD_SIZE) {
-        KeyedRecords_TakeRead((const uint8_t *)bytes, length, 1, apply_record,
-                              halls);
+    HallRecords_BeginSnapshot(halls);
+    KeyedRecords_DecodePage(page, apply_record, halls);
+    if (length >= KEYED_RECORDS_HEADER_SIZE) {
+        KeyedRecords_DecodeRead((const uint8_t *)bytes, length, 1,
+                                apply_record, halls);
     }
-    Halls_Tell(halls, 1, &closures);
+    HallRecords_FillMessage(halls, 1, &closures);
     json_decref(page);
-    Halls_Free(halls);
+    HallRecords_Free(halls);
 }
 
 static void
-sum_lengths(void *context, const Halls_Row *row)
+sum_lengths(void *context, const HallRecords_Row *row)
 {
     *(size_t *)context += strlen(row->hall) + strlen(row->by) +
                           strlen(row->since);
@@ -142,7 +144,7 @@
     char *after = NULL;
     size_t sum = 0;
 
-    Halls_ReadPage(bytes, length, sum_lengths, &sum, &after, &status);
+    HallRecords_ParsePage(bytes, length, sum_lengths, &sum, &after, &status);
     g_free(after);
 }
 
@@ -152,8 +154,8 @@
     char *text = g_strndup(bytes, length);
     char *instance;
 
-    Upstreams_ReadBorn(bytes, length);
-    Upstreams_ParseCall("POST", text, &instance);
+    UpstreamApi_ParseStartTime(bytes, length);
+    UpstreamApi_ParseCall("POST", text, &instance);
     g_free(instance);
     g_free(text);
 }
--- a/tests/halls_rules.c
+++ b/tests/halls_rules.c
@@ -6,11 +6,11 @@
 #include <glib.h>
 #include <string.h>
 
-#include "lease/closures.h"
 #include "lease/dispatcher.h"
+#include "lease/hall_closures.h"
 #include "tests/lease_fixture.h"
-#include "tests/rule_table.h"
 #include "tests/runner_fixture.h"
+#include "tests/test_table.h"
 
 static const lc_node entry_node = {0x7f0000011b59, 100};
 static const lc_node own_companion = {0x7f0000011b63, 900};
@@ -36,7 +36,7 @@
     const char *name;
     int64_t as_of; /* received after "own" was closed as of 5 */
     const char *halls[2];
-    Closures_Change change;
+    HallClosures_Change change;
     bool own_closed;
 } update_case;
 
@@ -44,37 +44,37 @@
     {"/halls/a later message without the hall opens it",
      6,
      {NULL, NULL},
-     CLOSURES_DIFFERENT,
+     HALL_CLOSURES_CHANGED,
      false},
     {"/halls/an earlier message never opens it",
      4,
      {NULL, NULL},
-     CLOSURES_OLDER,
+     HALL_CLOSURES_STALE,
      true},
     {"/halls/another message of the same records changes nothing",
      5,
      {NULL, NULL},
-     CLOSURES_SAME,
+     HALL_CLOSURES_UNCHANGED,
      true},
     {"/halls/a sender that read no records is ignored",
      -1,
      {NULL, NULL},
-     CLOSURES_OLDER,
+     HALL_CLOSURES_STALE,
      true},
     {"/halls/later records about other keys",
      9,
      {"own", NULL},
-     CLOSURES_SAME,
+     HALL_CLOSURES_UNCHANGED,
      true},
     {"/halls/a second hall is closed",
      6,
      {"own", "other"},
-     CLOSURES_DIFFERENT,
+     HALL_CLOSURES_CHANGED,
      true},
     {"/halls/another hall is closed instead",
      6,
      {"other", NULL},
-     CLOSURES_DIFFERENT,
+     HALL_CLOSURES_CHANGED,
      false},
 };
 
@@ -83,17 +83,20 @@
 {
     const update_case *one = item;
     lc_closures received = message(5, 0, "own", NULL);
-    Closures closures;
+    Hall_Closures closures;
 
-    Closures_Init(&closures, START_MS);
-    g_assert_false(Closures_Has(&closures, "own"));
-    g_assert_cmpint(Closures_Take(&closures, START_MS, START_MS, &received),
-                    ==, CLOSURES_DIFFERENT);
+    HallClosures_Init(&closures, START_MS);
+    g_assert_false(HallClosures_Contains(&closures, "own"));
+    g_assert_cmpint(
+        HallClosures_Merge(&closures, START_MS, START_MS, &received), ==,
+        HALL_CLOSURES_CHANGED);
     received = message(one->as_of, 0, one->halls[0], one->halls[1]);
-    g_assert_cmpint(Closures_Take(&closures, START_MS, START_MS, &received),
-                    ==, one->change);
-    g_assert_cmpint(Closures_Has(&closures, "own"), ==, one->own_closed);
-    Closures_Clear(&closures);
+    g_assert_cmpint(
+        HallClosures_Merge(&closures, START_MS, START_MS, &received), ==,
+        one->change);
+    g_assert_cmpint(HallClosures_Contains(&closures, "own"), ==,
+                    one->own_closed);
+    HallClosures_Clear(&closures);
 }
 
 /* An answer confirms the set as of its request; an unsolicited message may
@@ -102,17 +105,18 @@
 test_confirmed(void)
 {
     lc_closures received = message(5, 300, NULL, NULL);
-    Closures closures;
-
-    Closures_Init(&closures, START_MS);
-    Closures_Take(&closures, START_MS + 2000, CLOSURES_UNASKED, &received);
-    g_assert_cmpint(Closures_AgeMs(&closures, START_MS + 2000), ==, 2000);
-    Closures_Take(&closures, START_MS + 3000, START_MS + 1000, &received);
-    g_assert_cmpint(Closures_AgeMs(&closures, START_MS + 3000), ==, 2300);
+    Hall_Closures closures;
+
+    HallClosures_Init(&closures, START_MS);
+    HallClosures_Merge(&closures, START_MS + 2000, HALL_CLOSURES_UNSOLICITED,
+                       &received);
+    g_assert_cmpint(HallClosures_AgeMs(&closures, START_MS + 2000), ==, 2000);
+    HallClosures_Merge(&closures, START_MS + 3000, START_MS + 1000, &received);
+    g_assert_cmpint(HallClosures_AgeMs(&closures, START_MS + 3000), ==, 2300);
     received = message(4, 0, NULL, NULL);
-    Closures_Take(&closures, START_MS + 3000, START_MS + 3000, &received);
-    g_assert_cmpint(Closures_AgeMs(&closures, START_MS + 3000), ==, 2300);
-    Closures_Clear(&closures);
+    HallClosures_Merge(&closures, START_MS + 3000, START_MS + 3000, &received);
+    g_assert_cmpint(HallClosures_AgeMs(&closures, START_MS + 3000), ==, 2300);
+    HallClosures_Clear(&closures);
 }
 
 static void
@@ -120,18 +124,18 @@
 {
     lc_closures received = message(5, 100, "b", "a");
     lc_closures sent;
-    Closures closures;
+    Hall_Closures closures;
 
-    Closures_Init(&closures, START_MS);
-    Closures_Tell(&closures, START_MS, &sent);
+    HallClosures_Init(&closures, START_MS);
+    HallClosures_FillMessage(&closures, START_MS, &sent);
     g_assert_cmpint(sent.as_of, ==, -1);
-    Closures_Take(&closures, START_MS + 500, START_MS + 500, &received);
-    Closures_Tell(&closures, START_MS + 550, &sent);
+    HallClosures_Merge(&closures, START_MS + 500, START_MS + 500, &received);
+    HallClosures_FillMessage(&closures, START_MS + 550, &sent);
     g_assert_cmpint(sent.as_of, ==, 5);
     g_assert_cmpuint(sent.age_ms, ==, 150);
     g_assert_cmpuint(sent.halls.halls_len, ==, 2);
     g_assert_cmpstr(sent.halls.halls_val[0], ==, "a");
-    Closures_Clear(&closures);
+    HallClosures_Clear(&closures);
 }
 
 /* ---- a companion ---- */
@@ -141,8 +145,8 @@
 {
     lc_closures received = message(as_of, 0, hall, NULL);
 
-    Runner_TakeClosures(fix->runner, fix->now_ms, fix->now_ms, &received,
-                        "test");
+    Runner_MergeClosures(fix->runner, fix->now_ms, fix->now_ms, &received,
+                         "test");
 }
 
 typedef struct {
@@ -183,19 +187,19 @@
 static void
 test_runs_continue(void)
 {
-    Runner_EndRow end = {1, RunnerFix_Run(1, 1), RUNNER_END_DONE};
+    Runner_EndedRun end = {1, RunnerFix_Run(1, 1), RUNNER_END_DONE};
     runner_fixture fix;
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 1000, 400);
     inform_runner(&fix, 5, RUNNER_FIX_HALL);
     fix.now_ms += 150;
-    Runner_Wake(fix.runner, fix.now_ms);
+    Runner_CheckOverdue(fix.runner, fix.now_ms);
     g_assert_cmpint(fix.starts, ==, 2);
-    Runner_OnStarted(fix.runner, fix.now_ms, fix.start_id, RUNNER_ORDER_TAKEN,
-                     CLOCK_MS);
+    Runner_OnStarted(fix.runner, fix.now_ms, fix.start_id,
+                     RUNNER_ORDER_ACCEPTED, CLOCK_MS);
     g_assert_cmpint(fix.stops, ==, 0);
-    RunnerFix_AnswerLook(&fix, NULL, 0, &end, 1);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, &end, 1);
     g_assert_cmpint(fix.status, ==, LC_RUN_DONE);
     Runner_Free(fix.runner);
 }
@@ -292,7 +296,7 @@
     report.next_ms = 500;
     report.closures = *received;
     Dispatcher_OnReport(fix->dispatcher, fix->now_ms, &report);
-    Dispatcher_Settle(fix->dispatcher, fix->now_ms);
+    Dispatcher_DispatchWaiting(fix->dispatcher, fix->now_ms);
 }
 
 static void
@@ -310,9 +314,9 @@
 {
     lc_closures received = message(as_of, 0, first, second);
 
-    Dispatcher_TakeClosures(fix->dispatcher, fix->now_ms, fix->now_ms,
-                            &received, "test");
-    Dispatcher_Settle(fix->dispatcher, fix->now_ms);
+    Dispatcher_MergeClosures(fix->dispatcher, fix->now_ms, fix->now_ms,
+                             &received, "test");
+    Dispatcher_DispatchWaiting(fix->dispatcher, fix->now_ms);
 }
 
 static void
@@ -323,7 +327,7 @@
 
     memset(fix, 0, sizeof(*fix));
     fix->now_ms = START_MS;
-    config.term = LeaseFix_Term();
+    config.term = LeaseFix_Timing();
     fix->dispatcher = Dispatcher_New(&config, &dispatcher_ports, fix,
                                      fix->now_ms);
     fix->routes = Route_NewTable(1);
@@ -354,7 +358,7 @@
     submit.job.steps[0].need.cpu_milli = 1000;
     submit.job.steps[0].estimate_ms = 1000;
     Dispatcher_OnSubmit(fix->dispatcher, fix->now_ms, &submit);
-    Dispatcher_Settle(fix->dispatcher, fix->now_ms);
+    Dispatcher_DispatchWaiting(fix->dispatcher, fix->now_ms);
 }
 
 typedef struct {
@@ -473,7 +477,7 @@
     reply.u.run.host.room.cpu_milli = 4000;
     reply.u.run.host.room.memory_mb = 4096;
     Dispatcher_OnReply(fix.dispatcher, fix.now_ms, fix.sent_id, &reply);
-    Dispatcher_Settle(fix.dispatcher, fix.now_ms);
+    Dispatcher_DispatchWaiting(fix.dispatcher, fix.now_ms);
     g_assert_cmpuint(fix.sent_to, ==, other_companion.address);
     fix.now_ms += 100;
     submit_job(&fix, 2);
@@ -489,12 +493,14 @@
 
     new_entry(&fix);
     inform_entry(&fix, 5, "own", "other");
-    g_assert_cmpuint(Dispatcher_ReadyHosts(fix.dispatcher, fix.now_ms), ==, 0);
-    g_assert_cmpuint(Dispatcher_WellHosts(fix.dispatcher, fix.now_ms), ==, 2);
+    g_assert_cmpuint(Dispatcher_SchedulableHosts(fix.dispatcher, fix.now_ms),
+                     ==, 0);
+    g_assert_cmpuint(Dispatcher_HealthyHosts(fix.dispatcher, fix.now_ms), ==,
+                     2);
     free_entry(&fix);
 }
 
-static const RuleTable_Row rules[] = {
+static const TestTable_Row rules[] = {
     {"/halls/only answers confirm the set", test_confirmed},
     {"/halls/passed on with its age", test_passed_on},
     {"/halls/running tasks continue", test_runs_continue},
--- a/tests/heartbeat_rules.c
+++ b/tests/heartbeat_rules.c
@@ -6,8 +6,8 @@
 #include <glib.h>
 #include <string.h>
 
-#include "tests/rule_table.h"
 #include "tests/runner_fixture.h"
+#include "tests/test_table.h"
 
 /* Creates a runner whose upstream i-1 runs a task of the entry. */
 static void
@@ -22,9 +22,9 @@
 static void
 replace_incarnation(runner_fixture *fix)
 {
-    RunnerFix_BeatOf(fix, "i-2", 1, RUNNER_UPSTREAM_READY);
+    RunnerFix_HeartbeatOf(fix, "i-2", 1, RUNNER_UPSTREAM_READY);
     RunnerFix_AnswerPollOther(fix);
-    RunnerFix_AnswerLook(fix, NULL, 0, NULL, 0);
+    RunnerFix_AnswerPoll(fix, NULL, 0, NULL, 0);
 }
 
 static void
@@ -37,7 +37,7 @@
     g_assert_true(RunnerFix_TakesTask(&fix, 1));
     g_assert_cmpstr(fix.start.instance, ==, "i-2");
     fix.replies = 0;
-    RunnerFix_BeatOf(&fix, "i-1", 99, RUNNER_UPSTREAM_READY);
+    RunnerFix_HeartbeatOf(&fix, "i-1", 99, RUNNER_UPSTREAM_READY);
     g_assert_cmpint(fix.replies, ==, 0);
     g_assert_true(RunnerFix_TakesTask(&fix, 2));
     g_assert_cmpstr(fix.start.instance, ==, "i-2");
@@ -51,10 +51,10 @@
 
     new_with_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
-    RunnerFix_BeatOf(&fix, "i-2", 1, RUNNER_UPSTREAM_READY);
+    RunnerFix_HeartbeatOf(&fix, "i-2", 1, RUNNER_UPSTREAM_READY);
     RunnerFix_AnswerPollOther(&fix);
     g_assert_cmpint(fix.status, ==, LC_RUN_CRASHED);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     g_assert_true(RunnerFix_TakesTask(&fix, 2));
     g_assert_cmpstr(fix.start.instance, ==, "i-2");
     Runner_Free(fix.runner);
@@ -69,9 +69,9 @@
 
     new_with_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
-    RunnerFix_BeatOf(&fix, "i-0", 50, RUNNER_UPSTREAM_READY);
+    RunnerFix_HeartbeatOf(&fix, "i-0", 50, RUNNER_UPSTREAM_READY);
     g_assert_cmpint(fix.replies, ==, 0);
-    g_assert_cmpstr(fix.look.instance, ==, "i-1");
+    g_assert_cmpstr(fix.poll.instance, ==, "i-1");
     RunnerFix_AnswerRunning(&fix, 1);
     RunnerFix_AnswerRunning(&fix, 1);
     g_assert_cmpint(fix.replies, ==, 0);
@@ -88,8 +88,8 @@
 
     RunnerFix_NewReady(&fix);
     replace_incarnation(&fix);
-    RunnerFix_BeatOf(&fix, "i-1", 2, RUNNER_UPSTREAM_DRAINING);
-    RunnerFix_BeatOf(&fix, "i-2", 2, RUNNER_UPSTREAM_READY);
+    RunnerFix_HeartbeatOf(&fix, "i-1", 2, RUNNER_UPSTREAM_DRAINING);
+    RunnerFix_HeartbeatOf(&fix, "i-2", 2, RUNNER_UPSTREAM_READY);
     g_assert_true(RunnerFix_TakesTask(&fix, 1));
     g_assert_cmpstr(fix.start.instance, ==, "i-2");
     Runner_Free(fix.runner);
@@ -101,10 +101,10 @@
     runner_fixture fix;
 
     RunnerFix_NewReady(&fix);
-    RunnerFix_BeatOf(&fix, "i-1", 5, RUNNER_UPSTREAM_DRAINING);
-    RunnerFix_BeatOf(&fix, "i-1", 4, RUNNER_UPSTREAM_READY);
+    RunnerFix_HeartbeatOf(&fix, "i-1", 5, RUNNER_UPSTREAM_DRAINING);
+    RunnerFix_HeartbeatOf(&fix, "i-1", 4, RUNNER_UPSTREAM_READY);
     g_assert_false(RunnerFix_TakesTask(&fix, 1));
-    RunnerFix_BeatOf(&fix, "i-1", 6, RUNNER_UPSTREAM_READY);
+    RunnerFix_HeartbeatOf(&fix, "i-1", 6, RUNNER_UPSTREAM_READY);
     g_assert_true(RunnerFix_TakesTask(&fix, 2));
     Runner_Free(fix.runner);
 }
@@ -115,8 +115,8 @@
     runner_fixture fix;
 
     RunnerFix_NewReady(&fix);
-    RunnerFix_BeatOf(&fix, "i-1", 5, RUNNER_UPSTREAM_DRAINING);
-    RunnerFix_BeatOf(&fix, "i-1", 5, RUNNER_UPSTREAM_READY);
+    RunnerFix_HeartbeatOf(&fix, "i-1", 5, RUNNER_UPSTREAM_DRAINING);
+    RunnerFix_HeartbeatOf(&fix, "i-1", 5, RUNNER_UPSTREAM_READY);
     g_assert_false(RunnerFix_TakesTask(&fix, 1));
     Runner_Free(fix.runner);
 }
@@ -128,10 +128,10 @@
 
     RunnerFix_NewReady(&fix);
     Runner_OnUpstreamGone(fix.runner, fix.now_ms, "i-1", 0);
-    RunnerFix_BeatOf(&fix, "i-1", 9, RUNNER_UPSTREAM_READY);
+    RunnerFix_HeartbeatOf(&fix, "i-1", 9, RUNNER_UPSTREAM_READY);
     g_assert_false(RunnerFix_TakesTask(&fix, 1));
-    RunnerFix_BeatOf(&fix, "i-2", 1, RUNNER_UPSTREAM_READY);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_HeartbeatOf(&fix, "i-2", 1, RUNNER_UPSTREAM_READY);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     g_assert_true(RunnerFix_TakesTask(&fix, 2));
     Runner_Free(fix.runner);
 }
@@ -145,10 +145,10 @@
     runner_fixture fix;
 
     RunnerFix_NewReady(&fix);
-    RunnerFix_BeatOf(&fix, "i-2", 1, RUNNER_UPSTREAM_READY);
-    Runner_OnLook(fix.runner, fix.now_ms, fix.look_id, &none);
-    RunnerFix_BeatOf(&fix, "i-2", 2, RUNNER_UPSTREAM_READY);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_HeartbeatOf(&fix, "i-2", 1, RUNNER_UPSTREAM_READY);
+    Runner_OnPollAnswer(fix.runner, fix.now_ms, fix.poll_id, &none);
+    RunnerFix_HeartbeatOf(&fix, "i-2", 2, RUNNER_UPSTREAM_READY);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     g_assert_true(RunnerFix_TakesTask(&fix, 1));
     g_assert_cmpstr(fix.start.instance, ==, "i-2");
     Runner_Free(fix.runner);
@@ -159,8 +159,9 @@
 static void
 test_clock_of_dead_incarnation(void)
 {
-    static const Runner_OrderEnd ends[] = {
-        RUNNER_ORDER_TAKEN, RUNNER_ORDER_OTHER, RUNNER_ORDER_LATE};
+    static const Runner_OrderResult ends[] = {RUNNER_ORDER_ACCEPTED,
+                                              RUNNER_ORDER_OTHER_INCARNATION,
+                                              RUNNER_ORDER_EXPIRED};
     size_t i;
 
     for (i = 0; i < G_N_ELEMENTS(ends); i++) {
@@ -187,8 +188,8 @@
     new_with_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
     RunnerFix_CallHalt(&fix, 1, 1);
-    Runner_OnStopped(fix.runner, fix.now_ms, fix.stop_id, RUNNER_ORDER_OTHER,
-                     CLOCK_MS + 1000000);
+    Runner_OnStopped(fix.runner, fix.now_ms, fix.stop_id,
+                     RUNNER_ORDER_OTHER_INCARNATION, CLOCK_MS + 1000000);
     g_assert_true(RunnerFix_TakesTask(&fix, 2));
     g_assert_cmpint(fix.start.deadline_ms, <, CLOCK_MS + 10000);
     Runner_Free(fix.runner);
@@ -203,18 +204,18 @@
     runner_fixture fix;
 
     new_with_task(&fix);
-    Runner_OnLook(fix.runner, fix.now_ms, fix.look_id, &none);
-    RunnerFix_BeatOf(&fix, "i-0", 50, RUNNER_UPSTREAM_READY);
+    Runner_OnPollAnswer(fix.runner, fix.now_ms, fix.poll_id, &none);
+    RunnerFix_HeartbeatOf(&fix, "i-0", 50, RUNNER_UPSTREAM_READY);
     RunnerFix_AnswerPollOther(&fix);
     fix.now_ms += 1000;
-    RunnerFix_BeatOf(&fix, "i-1", 9, RUNNER_UPSTREAM_READY);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_HeartbeatOf(&fix, "i-1", 9, RUNNER_UPSTREAM_READY);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     g_assert_true(RunnerFix_TakesTask(&fix, 2));
     g_assert_cmpstr(fix.start.instance, ==, "i-1");
     Runner_Free(fix.runner);
 }
 
-static const RuleTable_Row rules[] = {
+static const TestTable_Row rules[] = {
     {"/heartbeats/late ones of a dead incarnation are ignored",
      test_late_heartbeat_of_dead_incarnation},
     {"/heartbeats/a new incarnation is adopted at once",
@@ -241,5 +242,5 @@
 int
 main(int argc, char **argv)
 {
-    return RuleTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
+    return TestTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
 }
--- a/tests/kept_rules.c
+++ b/tests/kept_rules.c
@@ -6,10 +6,10 @@
 #include <glib.h>
 #include <string.h>
 
-#include "lease/keeper.h"
+#include "lease/durable_jobs.h"
 #include "lease/runner.h"
 #include "tests/lease_fixture.h"
-#include "tests/rule_table.h"
+#include "tests/test_table.h"
 
 #define START_MS 10000
 #define MOST 256
@@ -38,7 +38,7 @@
 
 typedef struct {
     Dispatcher *dispatcher;
-    Keeper *durable_jobs;
+    DurableJobs *durable_jobs;
     Route_Table *routes;
     Route *route;
     int64_t now_ms;
@@ -49,7 +49,7 @@
     Dispatcher_Outcome outcome;
     Err_Kind kind;
     int states_answered;
-    Keeper_State last_state;
+    DurableJobs_State last_state;
     uint32_t tasks; /* of each job */
     bool long_running;
     uint32_t repeat_count;
@@ -96,7 +96,7 @@
 }
 
 static void
-port_answer_state(void *context, uint64_t request, Keeper_State state)
+port_answer_state(void *context, uint64_t request, DurableJobs_State state)
 {
     fixture *fix = context;
 
@@ -143,7 +143,7 @@
     job->steps[0].need.cpu_milli = 1000;
     job->steps[0].estimate_ms = 100;
     job->steps[0].long_running = fix->long_running;
-    job->needs_keeping = true;
+    job->needs_durability = true;
     job->repeat_count = fix->repeat_count;
     job->start_at_ms = WALL_MS + START_MS + 500;
     job->interval_ms = 500;
@@ -169,22 +169,23 @@
 port_end(void *context, const lc_run_id *id, uint32_t task, lc_node host,
          bool done)
 {
-    Keeper_OnRunEnd(((fixture *)context)->durable_jobs, id, task, host, done);
+    DurableJobs_OnRunEnd(((fixture *)context)->durable_jobs, id, task, host,
+                         done);
 }
 
 static void
 port_crash(void *context, const lc_run_id *id, uint32_t task)
 {
-    Keeper_OnCrash(((fixture *)context)->durable_jobs, id, task);
+    DurableJobs_OnUpstreamCrash(((fixture *)context)->durable_jobs, id, task);
 }
 
 static void
 port_over(void *context, uint64_t job, Dispatcher_Outcome outcome)
 {
-    Keeper_OnJobOver(((fixture *)context)->durable_jobs, job, outcome);
+    DurableJobs_OnJobEnd(((fixture *)context)->durable_jobs, job, outcome);
 }
 
-static const Keeper_Ports keeper_ports = {
+static const DurableJobs_Ports keeper_ports = {
     port_put,   port_answer, port_answer_state, port_call,
     port_route, port_parse,  port_keeper_event,
 };
@@ -218,14 +219,14 @@
 static void
 flush(fixture *fix)
 {
-    Dispatcher_Settle(fix->dispatcher, fix->now_ms);
-    Keeper_Settle(fix->durable_jobs, fix->now_ms);
+    Dispatcher_DispatchWaiting(fix->dispatcher, fix->now_ms);
+    DurableJobs_Flush(fix->durable_jobs, fix->now_ms);
 }
 
 static void
 read_log(fixture *fix)
 {
-    Keeper_OnRead(fix->durable_jobs, fix->now_ms, fix->now_ms);
+    DurableJobs_OnLogRead(fix->durable_jobs, fix->now_ms, fix->now_ms);
     flush(fix);
 }
 
@@ -239,7 +240,7 @@
         fix->now_ms += 50;
         report_host(fix);
         read_log(fix);
-        Keeper_Tick(fix->durable_jobs, fix->now_ms);
+        DurableJobs_Tick(fix->durable_jobs, fix->now_ms);
         Dispatcher_Tick(fix->dispatcher, fix->now_ms);
         flush(fix);
     }
@@ -249,10 +250,10 @@
 new_fixture(fixture *fix)
 {
     Dispatcher_Config config = {.node = own_node, .max_jobs = 100};
-    Keeper_Config durable = {.node = own_node,
-                             .max_jobs = 100,
-                             .resubmit_ms = RESUBMIT_MS,
-                             .keep_ms = 60000};
+    DurableJobs_Config durable = {.node = own_node,
+                                  .max_jobs = 100,
+                                  .resubmit_ms = RESUBMIT_MS,
+                                  .keep_ms = 60000};
 
     memset(fix, 0, sizeof(*fix));
     fix->now_ms = START_MS;
@@ -260,13 +261,13 @@
     fix->state = LC_UPSTREAM_READY;
     fix->puts = g_ptr_array_new_with_free_func(free_written_record);
     fix->calls = g_array_new(FALSE, TRUE, sizeof(sent_call));
-    config.term = LeaseFix_Term();
+    config.term = LeaseFix_Timing();
     fix->dispatcher = Dispatcher_New(&config, &dispatcher_ports, fix,
                                      fix->now_ms);
     fix->routes = Route_NewTable(1);
     fix->route = LeaseFix_AddRoute(fix->routes);
-    fix->durable_jobs = Keeper_New(&durable, &keeper_ports, fix,
-                                   fix->dispatcher, fix->now_ms);
+    fix->durable_jobs = DurableJobs_New(&durable, &keeper_ports, fix,
+                                        fix->dispatcher, fix->now_ms);
     report_host(fix);
     read_log(fix);
 }
@@ -274,7 +275,7 @@
 static void
 free_fixture(fixture *fix)
 {
-    Keeper_Free(fix->durable_jobs);
+    DurableJobs_Free(fix->durable_jobs);
     Dispatcher_Free(fix->dispatcher);
     Route_FreeTable(fix->routes);
     g_ptr_array_unref(fix->puts);
@@ -285,20 +286,21 @@
 submit(fixture *fix, uint64_t id)
 {
     LeasedJob job;
-    Keeper_Submit submit = {
+    DurableJobs_Submit submit = {
         .request_id = id, .route = fix->route, .body = "{}", .job = &job};
 
     port_parse(fix, id, "", &job, NULL);
-    Keeper_OnSubmit(fix->durable_jobs, fix->now_ms, &submit);
+    DurableJobs_OnSubmit(fix->durable_jobs, fix->now_ms, &submit);
     LeasedJob_Clear(&job);
 }
 
 static void
 read_bytes(fixture *fix, const char *key, const uint8_t *value, size_t length)
 {
-    Kept_Record record = {fix->offset++, key, strlen(key), value, length};
+    DurableLog_Record record = {fix->offset++, key, strlen(key), value,
+                                length};
 
-    Keeper_OnRecord(fix->durable_jobs, fix->now_ms, &record);
+    DurableJobs_OnRecord(fix->durable_jobs, fix->now_ms, &record);
 }
 
 /* Reads back the record of a put, numbered from 1. */
@@ -315,7 +317,7 @@
 {
     GByteArray *bytes = g_byte_array_new();
 
-    Msg_EncodeKept(record, bytes);
+    Msg_EncodeDurableRecord(record, bytes);
     read_bytes(fix, key, bytes->data, bytes->len);
     g_byte_array_unref(bytes);
 }
@@ -406,8 +408,8 @@
         reply.u.fence.runs.runs_val = &copy;
         reply.u.fence.runs.runs_len = 1;
     }
-    Keeper_OnReply(fix->durable_jobs, fix->now_ms,
-                   last_call(fix, MSG_FENCE)->id, &reply);
+    DurableJobs_OnReply(fix->durable_jobs, fix->now_ms,
+                        last_call(fix, MSG_FENCE)->id, &reply);
     flush(fix);
 }
 
@@ -416,7 +418,8 @@
 {
     lc_node node = own_node;
 
-    node.incarnation = Keeper_Identity(fix->durable_jobs, fix->now_ms);
+    node.incarnation = DurableJobs_OwnerIncarnation(fix->durable_jobs,
+                                                    fix->now_ms);
     return node;
 }
 
@@ -431,9 +434,9 @@
     submit(&fix, 7);
     submit(&fix, 8);
     g_assert_cmpint(fix.answers, ==, 0);
-    Keeper_OnWritten(fix.durable_jobs, fix.now_ms, 1);
+    DurableJobs_OnWritten(fix.durable_jobs, fix.now_ms, 1);
     g_assert_cmpint(fix.answers, ==, 1);
-    g_assert_cmpint(fix.outcome, ==, DISPATCHER_KEPT);
+    g_assert_cmpint(fix.outcome, ==, DISPATCHER_RECORDED);
     free_fixture(&fix);
 }
 
@@ -444,7 +447,7 @@
 
     new_fixture(&fix);
     submit(&fix, 7);
-    Keeper_OnWritten(fix.durable_jobs, fix.now_ms, 1);
+    DurableJobs_OnWritten(fix.durable_jobs, fix.now_ms, 1);
     flush(&fix);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
     read_put(&fix, 1);
@@ -463,13 +466,13 @@
     submit(&fix, 7);
     submit(&fix, 7);
     g_assert_cmpuint(fix.puts->len, ==, 1);
-    Keeper_OnWritten(fix.durable_jobs, fix.now_ms, 1);
+    DurableJobs_OnWritten(fix.durable_jobs, fix.now_ms, 1);
     g_assert_cmpint(fix.answers, ==, 2);
     read_put(&fix, 1);
     read_log(&fix);
     submit(&fix, 7);
     g_assert_cmpint(fix.answers, ==, 3);
-    g_assert_cmpint(fix.outcome, ==, DISPATCHER_KEPT);
+    g_assert_cmpint(fix.outcome, ==, DISPATCHER_RECORDED);
     g_assert_cmpuint(fix.puts->len, ==, 1);
     free_fixture(&fix);
 }
@@ -514,8 +517,9 @@
     advance(&fix, 2100);
     g_assert_cmpint(fix.answers, ==, 1);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_GIVEN_UP);
-    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
-                    KEEPER_PENDING);
+    g_assert_cmpint(
+        DurableJobs_StateOf(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
+        DURABLE_JOB_PENDING);
     free_fixture(&fix);
 }
 
@@ -525,11 +529,13 @@
     fixture fix;
 
     new_fixture(&fix);
-    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
-                    KEEPER_UNKNOWN);
+    g_assert_cmpint(
+        DurableJobs_StateOf(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
+        DURABLE_JOB_UNKNOWN);
     fix.now_ms += 2000;
-    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
-                    KEEPER_STALE);
+    g_assert_cmpint(
+        DurableJobs_StateOf(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
+        DURABLE_JOB_STALE);
     free_fixture(&fix);
 }
 
@@ -541,17 +547,17 @@
     fixture fix;
 
     new_fixture(&fix);
-    Keeper_CancelUnknown(fix.durable_jobs, fix.now_ms, 5, 7, "queue");
-    Keeper_CancelUnknown(fix.durable_jobs, fix.now_ms, 6, 8, "queue");
+    DurableJobs_CancelUnknown(fix.durable_jobs, fix.now_ms, 5, 7, "queue");
+    DurableJobs_CancelUnknown(fix.durable_jobs, fix.now_ms, 6, 8, "queue");
     read_log(&fix);
     g_assert_cmpint(fix.states_answered, ==, 0);
     read_submit(&fix, 7, &other_owner);
     fix.now_ms += 5;
     read_log(&fix);
     g_assert_cmpint(fix.states_answered, ==, 1);
-    g_assert_cmpint(fix.last_state, ==, KEEPER_UNKNOWN);
+    g_assert_cmpint(fix.last_state, ==, DURABLE_JOB_UNKNOWN);
     g_assert_cmpuint(fix.puts->len, ==, 1);
-    Keeper_OnWritten(fix.durable_jobs, fix.now_ms, 1);
+    DurableJobs_OnWritten(fix.durable_jobs, fix.now_ms, 1);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_CANCELLED);
     free_fixture(&fix);
 }
@@ -563,7 +569,7 @@
 {
     new_fixture(fix);
     submit(fix, 7);
-    Keeper_OnWritten(fix->durable_jobs, fix->now_ms, 1);
+    DurableJobs_OnWritten(fix->durable_jobs, fix->now_ms, 1);
     read_put(fix, 1);
     read_log(fix);
 }
@@ -578,13 +584,15 @@
     g_assert_cmpuint(fix.puts->len, ==, 2);
     advance(&fix, 200);
     g_assert_cmpint(count_calls(&fix, MSG_RELEASE), ==, 0);
-    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
-                    KEEPER_RUNNING);
-    Keeper_OnWritten(fix.durable_jobs, fix.now_ms, 2);
+    g_assert_cmpint(
+        DurableJobs_StateOf(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
+        DURABLE_JOB_RUNNING);
+    DurableJobs_OnWritten(fix.durable_jobs, fix.now_ms, 2);
     g_assert_cmpint(count_calls(&fix, MSG_RELEASE), ==, 1);
     read_put(&fix, 2);
-    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
-                    KEEPER_SUCCEEDED);
+    g_assert_cmpint(
+        DurableJobs_StateOf(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
+        DURABLE_JOB_SUCCEEDED);
     free_fixture(&fix);
 }
 
@@ -599,8 +607,9 @@
     end_run(&fix, LC_RUN_FAILED);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 2);
     read_put(&fix, fix.puts->len);
-    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
-                    KEEPER_FAILED);
+    g_assert_cmpint(
+        DurableJobs_StateOf(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
+        DURABLE_JOB_FAILED);
     free_fixture(&fix);
 }
 
@@ -612,13 +621,14 @@
     lc_kept_record record;
     const lc_kept_progress *progress = &record.body.lc_kept_body_u.progress;
 
-    g_assert_true(Msg_DecodeKept(put->value->data, put->value->len, &record));
+    g_assert_true(
+        Msg_DecodeDurableRecord(put->value->data, put->value->len, &record));
     g_assert_cmpint(record.body.kind, ==, LC_KEPT_PROGRESS);
     g_assert_cmpuint(progress->failures.failures_len, ==, 1);
     g_assert_cmpuint(progress->failures.failures_val[0].task, ==,
-                     KEPT_CRASHES);
+                     DURABLE_LOG_CRASH_COUNT);
     g_assert_cmpuint(progress->failures.failures_val[0].count, ==, 1);
-    Msg_FreeKept(&record);
+    Msg_FreeDurableRecord(&record);
 }
 
 /* A successor learns from the log how many upstreams crashed under a task. */
@@ -632,13 +642,15 @@
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 2);
     check_crash_record(&fix);
     read_put(&fix, fix.puts->len);
-    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
-                    KEEPER_RUNNING);
+    g_assert_cmpint(
+        DurableJobs_StateOf(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
+        DURABLE_JOB_RUNNING);
     end_run(&fix, LC_RUN_CRASHED);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 2);
     read_put(&fix, fix.puts->len);
-    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
-                    KEEPER_FAILED);
+    g_assert_cmpint(
+        DurableJobs_StateOf(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
+        DURABLE_JOB_FAILED);
     free_fixture(&fix);
 }
 
@@ -690,7 +702,7 @@
     g_assert_cmpint(last_call(&fix, MSG_RUN)->valid_until_ms, ==,
                     LC_HOLD_NONE);
     end_run(&fix, LC_RUN_DONE);
-    Keeper_OnWritten(fix.durable_jobs, fix.now_ms, fix.puts->len);
+    DurableJobs_OnWritten(fix.durable_jobs, fix.now_ms, fix.puts->len);
     g_assert_cmpint(count_calls(&fix, MSG_RELEASE), ==, 1);
     free_fixture(&fix);
 }
@@ -727,8 +739,9 @@
     end_run(&fix, LC_RUN_FAILED);
     end_run(&fix, LC_RUN_FAILED);
     read_put(&fix, fix.puts->len);
-    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
-                    KEEPER_FAILED);
+    g_assert_cmpint(
+        DurableJobs_StateOf(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
+        DURABLE_JOB_FAILED);
     free_fixture(&fix);
 }
 
@@ -756,8 +769,9 @@
     }
     g_assert_cmpuint(fix.puts->len, ==, puts);
     g_assert_cmpint(count_calls(&fix, MSG_RELEASE), ==, 3);
-    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
-                    KEEPER_RUNNING);
+    g_assert_cmpint(
+        DurableJobs_StateOf(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
+        DURABLE_JOB_RUNNING);
     free_fixture(&fix);
 }
 
@@ -769,7 +783,7 @@
 
     new_fixture(&fix);
     fix.repeat_count = 2;
-    Dispatcher_SetWall(fix.dispatcher, WALL_MS);
+    Dispatcher_SetWallOffset(fix.dispatcher, WALL_MS);
     submit(&fix, 7);
     read_put(&fix, 1);
     read_log(&fix);
@@ -784,8 +798,9 @@
     g_assert_cmpuint(last_call(&fix, MSG_RUN)->run.occurrence, ==, 1);
     end_run(&fix, LC_RUN_DONE);
     read_put(&fix, fix.puts->len);
-    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
-                    KEEPER_RUNNING);
+    g_assert_cmpint(
+        DurableJobs_StateOf(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
+        DURABLE_JOB_RUNNING);
     free_fixture(&fix);
 }
 
@@ -796,7 +811,7 @@
 
     start_own(&fix);
     fix.now_ms += HOLD_MS + 100;
-    Keeper_Tick(fix.durable_jobs, fix.now_ms);
+    DurableJobs_Tick(fix.durable_jobs, fix.now_ms);
     report_host(&fix);
     end_run(&fix, LC_RUN_STOPPED);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
@@ -815,8 +830,8 @@
 
     new_fixture(&fix);
     read_submit(&fix, 7, &other_owner);
-    Keeper_OnPeer(fix.durable_jobs, fix.now_ms, other_owner.address,
-                  other_owner.incarnation);
+    DurableJobs_OnPeer(fix.durable_jobs, fix.now_ms, other_owner.address,
+                       other_owner.incarnation);
     advance(&fix, 1900);
     puts = fix.puts->len;
     g_assert_cmpuint(puts, ==, 0);
@@ -906,7 +921,7 @@
 static void
 test_successor_adds_crash_counts(void)
 {
-    lc_kept_failures crash = {KEPT_CRASHES, 1, 1025};
+    lc_kept_failures crash = {DURABLE_LOG_CRASH_COUNT, 1, 1025};
     lc_kept_progress progress = {
         .queue = (char *)(uintptr_t) "queue",
         .failures = {.failures_len = 1, .failures_val = &crash}};
@@ -919,8 +934,9 @@
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
     end_run(&fix, LC_RUN_CRASHED);
     read_put(&fix, fix.puts->len);
-    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
-                    KEEPER_FAILED);
+    g_assert_cmpint(
+        DurableJobs_StateOf(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
+        DURABLE_JOB_FAILED);
     free_fixture(&fix);
 }
 
@@ -937,8 +953,9 @@
     advance(&fix, 100);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
     read_put(&fix, fix.puts->len);
-    g_assert_cmpint(Keeper_Look(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
-                    KEEPER_SUCCEEDED);
+    g_assert_cmpint(
+        DurableJobs_StateOf(fix.durable_jobs, fix.now_ms, 7, "queue"), ==,
+        DURABLE_JOB_SUCCEEDED);
     free_fixture(&fix);
 }
 
@@ -961,7 +978,7 @@
     fixture fix;
 
     claim_other_owner(&fix);
-    advance(&fix, HOLD_MS + RESUBMIT_MS + TERM_KEPT_MS - 200);
+    advance(&fix, HOLD_MS + RESUBMIT_MS + LEASE_TIMING_DURABLE_GRACE_MS - 200);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
     advance(&fix, 400);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
@@ -983,8 +1000,9 @@
     g_assert_cmpint(count_calls(&fix, MSG_HALT), ==, 0);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
     g_assert_true(Dispatcher_IsIdle(fix.dispatcher));
-    g_assert_cmpuint(Keeper_Identity(fix.durable_jobs, fix.now_ms), !=,
-                     before);
+    g_assert_cmpuint(
+        DurableJobs_OwnerIncarnation(fix.durable_jobs, fix.now_ms), !=,
+        before);
     free_fixture(&fix);
 }
 
@@ -1019,10 +1037,10 @@
 
     new_fixture(&fix);
     advance(&fix, 5000);
-    g_assert_false(Keeper_NeedsAll(fix.durable_jobs));
+    g_assert_false(DurableJobs_NeedsAllReports(fix.durable_jobs));
     own = own_identity(&fix);
     read_submit(&fix, 7, &other_owner);
-    g_assert_true(Keeper_NeedsAll(fix.durable_jobs));
+    g_assert_true(DurableJobs_NeedsAllReports(fix.durable_jobs));
     advance(&fix, 100);
     read_claim(&fix, &other_owner, &own);
     advance(&fix, 100);
@@ -1034,9 +1052,9 @@
     end_run(&fix, LC_RUN_DONE);
     read_put(&fix, fix.puts->len);
     advance(&fix, 20000);
-    g_assert_true(Keeper_NeedsAll(fix.durable_jobs));
+    g_assert_true(DurableJobs_NeedsAllReports(fix.durable_jobs));
     advance(&fix, 11000);
-    g_assert_false(Keeper_NeedsAll(fix.durable_jobs));
+    g_assert_false(DurableJobs_NeedsAllReports(fix.durable_jobs));
     free_fixture(&fix);
 }
 
@@ -1047,7 +1065,7 @@
 {
     char one[DURABLE_LOG_KEY_SIZE];
     char other[DURABLE_LOG_KEY_SIZE];
-    Kept_Record record = {.key = one};
+    DurableLog_Record record = {.key = one};
     lc_node writer;
 
     DurableLog_SubmitKey(7, other_owner, one);
@@ -1077,16 +1095,18 @@
     fixture fix;
 
     new_fixture(&fix);
-    Keeper_OnPeer(fix.durable_jobs, fix.now_ms, other_owner.address,
-                  other_owner.incarnation);
-    Keeper_Leave(fix.durable_jobs, fix.now_ms);
-    g_assert_cmpuint(Keeper_Identity(fix.durable_jobs, fix.now_ms), ==, 0);
+    DurableJobs_OnPeer(fix.durable_jobs, fix.now_ms, other_owner.address,
+                       other_owner.incarnation);
+    DurableJobs_HandOver(fix.durable_jobs, fix.now_ms);
+    g_assert_cmpuint(
+        DurableJobs_OwnerIncarnation(fix.durable_jobs, fix.now_ms), ==, 0);
     submit(&fix, 7);
     put = g_ptr_array_index(fix.puts, 1);
-    g_assert_true(Msg_DecodeKept(put->value->data, put->value->len, &record));
+    g_assert_true(
+        Msg_DecodeDurableRecord(put->value->data, put->value->len, &record));
     g_assert_cmpuint(record.body.lc_kept_body_u.submit.owner.incarnation, ==,
                      other_owner.incarnation);
-    Msg_FreeKept(&record);
+    Msg_FreeDurableRecord(&record);
     free_fixture(&fix);
 }
 
@@ -1100,7 +1120,7 @@
     new_fixture(fix);
     fix->held_long = 1;
     report_host(fix);
-    Keeper_Tick(fix->durable_jobs, fix->now_ms);
+    DurableJobs_Tick(fix->durable_jobs, fix->now_ms);
     answer_fence(fix, &held);
     fix->held_long = 0;
     report_host(fix);
@@ -1115,7 +1135,7 @@
     fixture fix;
 
     report_unknown_held_end(&fix);
-    Keeper_OnRead(fix.durable_jobs, fix.now_ms + 5, fix.now_ms - 5);
+    DurableJobs_OnLogRead(fix.durable_jobs, fix.now_ms + 5, fix.now_ms - 5);
     flush(&fix);
     g_assert_cmpint(count_calls(&fix, MSG_RELEASE), ==, 0);
     fix.now_ms += 10;
@@ -1141,7 +1161,7 @@
     free_fixture(&fix);
 }
 
-static const RuleTable_Row rules[] = {
+static const TestTable_Row rules[] = {
     {"/keeper/answers when it is written", test_answered_when_written},
     {"/keeper/starts when it is read", test_started_when_read},
     {"/keeper/an identity is one job", test_same_id_is_one_job},
@@ -1197,5 +1217,5 @@
 int
 main(int argc, char **argv)
 {
-    return RuleTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
+    return TestTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
 }
--- a/tests/lease_cases.c
+++ b/tests/lease_cases.c
@@ -6,13 +6,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "lease/answer_time.h"
 #include "lease/health.h"
-#include "lease/term.h"
-#include "platform/callers.h"
-#include "platform/halls.h"
-#include "platform/routes.h"
-#include "platform/upstreams.h"
+#include "lease/lease_timing.h"
+#include "lease/rto_estimator.h"
+#include "platform/caller_api.h"
+#include "platform/hall_records.h"
+#include "platform/routes_record.h"
+#include "platform/upstream_api.h"
 #include "tests/case_table.h"
 
 static int
@@ -22,12 +22,12 @@
 }
 
 static const char *
-verb_text(Callers_Verb verb)
+verb_text(CallerApi_Verb verb)
 {
     static const char *const texts[] = {
-        [CALLERS_SUBMIT] = "submit", [CALLERS_LOOK] = "look",
-        [CALLERS_CANCEL] = "cancel", [CALLERS_COUNT] = "count",
-        [CALLERS_OTHER] = "other",
+        [CALLER_API_SUBMIT] = "submit", [CALLER_API_GET_STATE] = "look",
+        [CALLER_API_CANCEL] = "cancel", [CALLER_API_COUNT] = "count",
+        [CALLER_API_UNKNOWN] = "other",
     };
 
     return texts[verb];
@@ -42,12 +42,12 @@
 
     for (i = 0; lines[i] != NULL; i++) {
         char **words = g_strsplit(lines[i], " ", 0);
-        Callers_Raw raw = {.method = words[0],
-                           .path = words[1],
-                           .deadline = g_strv_length(words) > 2 ? words[2]
-                                                                : NULL};
-        Callers_Request request;
-        Callers_Parse(&raw, &request);
+        CallerApi_RawRequest raw = {
+            .method = words[0],
+            .path = words[1],
+            .deadline = g_strv_length(words) > 2 ? words[2] : NULL};
+        CallerApi_Request request;
+        CallerApi_ParseRequest(&raw, &request);
         g_string_append_printf(output, "%s %016" PRIx64 " %lld\n",
                                verb_text(request.verb), request.job,
                                (long long)request.deadline_ms);
@@ -79,12 +79,12 @@
 static void
 run_job(const char *input, GString *output)
 {
-    Callers_Raw raw = {.body = input, .length = strlen(input)};
+    CallerApi_RawRequest raw = {.body = input, .length = strlen(input)};
     Status status = {ERR_OK, ""};
     LeasedJob job;
     uint32_t i;
 
-    Callers_ParseJob(&raw, 1, &job, &status);
+    CallerApi_ParseJob(&raw, 1, &job, &status);
     if (status.kind != ERR_OK) {
         g_string_append_printf(output, "%s: %s\n", Err_Text(status.kind),
                                status.message);
@@ -93,9 +93,9 @@
     for (i = 0; i < job.step_count; i++) {
         print_step(&job.steps[i], output);
     }
-    LeasedJob_Check(&job, &status);
+    LeasedJob_CheckSupported(&job, &status);
     g_string_append_printf(output, "spec \"%s\", chain %u ms, %s%s%s\n",
-                           job.spec, LeasedJob_ChainMs(&job),
+                           job.spec, LeasedJob_CriticalPathMs(&job),
                            status.kind == ERR_OK ? "served" : "refused",
                            status.kind == ERR_OK ? "" : ": ", status.message);
     LeasedJob_Clear(&job);
@@ -107,7 +107,8 @@
 {
     char **lines = CaseTable_Lines(input);
     Status status = {ERR_OK, ""};
-    Route_Table *table = Routes_Read(lines[0], strlen(lines[0]), &status);
+    Route_Table *table = RoutesRecord_Parse(lines[0], strlen(lines[0]),
+                                            &status);
     guint i;
 
     if (table == NULL) {
@@ -118,7 +119,7 @@
     }
     for (i = 1; lines[i] != NULL; i++) {
         char **words = g_strsplit(lines[i], " ", 0);
-        const Route *route = Route_Find(table, words[1], words[2]);
+        const Route *route = Route_FindByPrefix(table, words[1], words[2]);
         if (route == NULL) {
             g_string_append(output, "no queue\n");
         }
@@ -142,19 +143,19 @@
     char *first = g_strndup(input, (gsize)(body - input - 1));
     char **words = g_strsplit(first, " ", 2);
     Status status = {ERR_OK, ""};
-    Upstreams_Beat beat;
+    UpstreamApi_Heartbeat beat;
     char *instance;
 
-    switch (Upstreams_ParseCall(words[0], words[1], &instance)) {
-    case UPSTREAMS_UNKNOWN:
+    switch (UpstreamApi_ParseCall(words[0], words[1], &instance)) {
+    case UPSTREAM_API_UNKNOWN:
         g_string_append(output, "unknown call\n");
         break;
-    case UPSTREAMS_LEAVES:
+    case UPSTREAM_API_DEREGISTER:
         g_string_append_printf(output, "%s leaves\n", instance);
         break;
-    case UPSTREAMS_BEAT:
-        if (Upstreams_ReadBeat(instance, body, strlen(body), &beat, &status) !=
-            ERR_OK) {
+    case UPSTREAM_API_HEARTBEAT:
+        if (UpstreamApi_ParseHeartbeat(instance, body, strlen(body), &beat,
+                                       &status) != ERR_OK) {
             g_string_append_printf(output, "%s: %s\n", Err_Text(status.kind),
                                    status.message);
         }
@@ -164,8 +165,9 @@
                 "%s of %s, %s, %u/%u/%u, clock %lld, heartbeat %llu, born "
                 "%lld\n",
                 beat.upstream.instance, beat.upstream.service,
-                beat.upstream.says == RUNNER_UPSTREAM_READY ? "ready"
-                                                            : "draining",
+                beat.upstream.reported_state == RUNNER_UPSTREAM_READY
+                    ? "ready"
+                    : "draining",
                 beat.upstream.capacity.cpu_milli,
                 beat.upstream.capacity.memory_mb,
                 beat.upstream.capacity.accelerators,
@@ -173,7 +175,7 @@
                 (unsigned long long)beat.upstream.sequence,
                 (long long)beat.upstream.born_ms);
         }
-        Upstreams_FreeBeat(&beat);
+        UpstreamApi_FreeHeartbeat(&beat);
         break;
     }
     g_free(instance);
@@ -212,14 +214,14 @@
 
     for (i = 0; i < G_N_ELEMENTS(bodies); i++) {
         Status status = {ERR_OK, ""};
-        Upstreams_Beat beat;
-        g_assert_true(Upstreams_ReadBeat("i-1", bodies[i].body,
-                                         bodies[i].length, &beat,
-                                         &status) != ERR_OK);
+        UpstreamApi_Heartbeat beat;
+        g_assert_true(UpstreamApi_ParseHeartbeat("i-1", bodies[i].body,
+                                                 bodies[i].length, &beat,
+                                                 &status) != ERR_OK);
         g_assert_true(status.message[0] != '\0');
-        g_assert_true(Upstreams_ReadBorn(bodies[i].body, bodies[i].length) ==
-                      0);
-        Upstreams_FreeBeat(&beat);
+        g_assert_true(
+            UpstreamApi_ParseStartTime(bodies[i].body, bodies[i].length) == 0);
+        UpstreamApi_FreeHeartbeat(&beat);
     }
     g_free(deep);
     g_free(large);
@@ -236,28 +238,28 @@
                                 .status = atoi(input),
                                 .body = body,
                                 .length = strlen(body)};
-    Upstreams_Listing listing;
+    UpstreamApi_Listing listing;
     uint32_t i;
 
-    Upstreams_ReadListing(&answer, &listing);
+    UpstreamApi_ParseListing(&answer, &listing);
     g_string_append_printf(output, "end %d at %lld\n",
                            (int)listing.listing.end,
                            (long long)listing.listing.clock_ms);
     for (i = 0; i < listing.listing.running_count; i++) {
-        const Runner_Row *row = &listing.listing.running[i];
+        const Runner_ActiveRun *row = &listing.listing.running[i];
         g_string_append_printf(
             output, "runs %016" PRIx64 ".%u.%u.%u %u %u%%\n",
             (uint64_t)row->id.job, row->id.occurrence, row->id.step,
             row->id.index, row->id.run, row->percent);
     }
     for (i = 0; i < listing.listing.ended_count; i++) {
-        const Runner_EndRow *row = &listing.listing.ended[i];
+        const Runner_EndedRun *row = &listing.listing.ended[i];
         g_string_append_printf(
             output, "%" PRIu64 " %016" PRIx64 ".%u.%u.%u %u end %d\n",
             row->number, (uint64_t)row->id.job, row->id.occurrence,
             row->id.step, row->id.index, row->id.run, (int)row->end);
     }
-    Upstreams_FreeListing(&listing);
+    UpstreamApi_FreeListing(&listing);
 }
 
 static void
@@ -296,17 +298,18 @@
         char **words = g_strsplit(lines[i], " ", 0);
         const char *verb = words[0];
         if (strcmp(verb, "good") == 0) {
-            Health_Good(&health, (uint32_t)number(words, 1),
-                        (uint32_t)number(words, 2));
+            Health_NoteSuccess(&health, (uint32_t)number(words, 1),
+                               (uint32_t)number(words, 2));
         }
         else if (strcmp(verb, "bad") == 0) {
-            Health_Bad(&health, number(words, 1), (uint64_t)number(words, 2));
+            Health_NoteFailure(&health, number(words, 1),
+                               (uint64_t)number(words, 2));
         }
         else if (strcmp(verb, "stalled") == 0) {
-            Health_Stalled(&health, number(words, 1));
+            Health_NoteStall(&health, number(words, 1));
         }
         else if (strcmp(verb, "started") == 0) {
-            Health_Started(&health, number(words, 1));
+            Health_NoteStart(&health, number(words, 1));
         }
         else if (strcmp(verb, "admits") == 0) {
             bool admits = Health_Admits(&health, number(words, 1),
@@ -317,7 +320,7 @@
             progress_line(&health, words, output);
         }
         else if (strcmp(verb, "fade") == 0) {
-            Health_Fade(&health, number(words, 1));
+            Health_Decay(&health, number(words, 1));
         }
         else {
             g_string_append_printf(output, "pace %u%s\n", health.pace_percent,
@@ -337,14 +340,15 @@
 
     for (i = 0; lines[i] != NULL; i++) {
         char **words = g_strsplit(lines[i], " ", 0);
-        Term_Bounds bounds = {number(words, 0), number(words, 1),
-                              number(words, 2), number(words, 3)};
-        Term term;
-        bool fits = Term_Plan(&bounds, &term);
+        LeaseTiming_Bounds bounds = {number(words, 0), number(words, 1),
+                                     number(words, 2), number(words, 3)};
+        LeaseTiming term;
+        bool fits = LeaseTiming_Derive(&bounds, &term);
         g_string_append_printf(
             output, "lease %lld hold %lld over after %lld%s\n",
             (long long)term.lease_ms, (long long)term.hold_ms,
-            (long long)Term_CertainEnd(&term, 0), fits ? "" : ", too short");
+            (long long)LeaseTiming_CertainEnd(&term, 0),
+            fits ? "" : ", too short");
         g_strfreev(words);
     }
     g_strfreev(lines);
@@ -355,7 +359,7 @@
 run_answer_time(const char *input, GString *output)
 {
     char **lines = CaseTable_Lines(input);
-    AnswerTime times = {0};
+    RtoEstimator times = {0};
     guint i;
     int j;
 
@@ -363,19 +367,19 @@
         char **words = g_strsplit(lines[i], " ", 0);
         const char *verb = words[0];
         for (j = 0; strcmp(verb, "take") == 0 && j < number(words, 2); j++) {
-            AnswerTime_Take(&times, number(words, 1));
+            RtoEstimator_AddSample(&times, number(words, 1));
         }
         for (j = 0; strcmp(verb, "hit") == 0 && j < number(words, 1); j++) {
-            AnswerTime_Hit(&times);
+            RtoEstimator_OnAnswered(&times);
         }
         for (j = 0; strcmp(verb, "miss") == 0 && j < number(words, 1); j++) {
-            AnswerTime_Miss(&times);
+            RtoEstimator_OnTimeout(&times);
         }
         if (strcmp(verb, "show") == 0) {
             g_string_append_printf(
                 output, "%d ms, %u permille lost%s\n",
-                (int)AnswerTime_TimeoutMs(&times), times.lost_permille,
-                AnswerTime_IsLossy(&times) ? ", lossy" : "");
+                (int)RtoEstimator_TimeoutMs(&times), times.lost_permille,
+                RtoEstimator_IsLossy(&times) ? ", lossy" : "");
         }
         g_strfreev(words);
     }
@@ -389,12 +393,12 @@
 }
 
 static void
-print_halls(Halls *halls, int end, GString *output)
+print_halls(Hall_Records *halls, int end, GString *output)
 {
     lc_closures told;
     u_int i;
 
-    Halls_Tell(halls, (uint64_t)end, &told);
+    HallRecords_FillMessage(halls, (uint64_t)end, &told);
     if (told.halls.halls_len > 1) {
         qsort((void *)told.halls.halls_val, told.halls.halls_len,
               sizeof(char *), compare_texts);
@@ -412,7 +416,7 @@
 run_halls(const char *input, GString *output)
 {
     char **lines = CaseTable_Lines(input);
-    Halls *halls = Halls_New();
+    Hall_Records *halls = HallRecords_New();
     guint i;
 
     /* Invalid records log warnings, which must not abort the test. */
@@ -427,26 +431,26 @@
                                    .key_length = strlen(words[2]),
                                    .value = (const uint8_t *)value,
                                    .length = strlen(value)};
-            if (!Halls_Take(halls, &record)) {
+            if (!HallRecords_Apply(halls, &record)) {
                 g_string_append_printf(output, "not about a hall: %s\n",
                                        words[2]);
             }
         }
         else if (strcmp(verb, "begin") == 0) {
-            Halls_Begin(halls);
+            HallRecords_BeginSnapshot(halls);
         }
         else if (strcmp(verb, "know") == 0) {
             lc_closures known = {.as_of = number(words, 1)};
             known.halls.halls_len = 1;
             known.halls.halls_val = &words[2];
-            Halls_Know(halls, &known);
+            HallRecords_SetKnown(halls, &known);
         }
         else {
             print_halls(halls, number(words, 1), output);
         }
         g_strfreev(words);
     }
-    Halls_Free(halls);
+    HallRecords_Free(halls);
     g_strfreev(lines);
 }
 
--- a/tests/lease_fixture.c
+++ b/tests/lease_fixture.c
@@ -2,13 +2,13 @@
 
 #include <glib.h>
 
-Term
-LeaseFix_Term(void)
+LeaseTiming
+LeaseFix_Timing(void)
 {
-    Term_Bounds bounds = {1300, 1000, 50, 50};
-    Term term;
+    LeaseTiming_Bounds bounds = {1300, 1000, 50, 50};
+    LeaseTiming term;
 
-    g_assert_true(Term_Plan(&bounds, &term));
+    g_assert_true(LeaseTiming_Derive(&bounds, &term));
     return term;
 }
 
--- a/tests/lease_fixture.h
+++ b/tests/lease_fixture.h
@@ -9,11 +9,11 @@
 #include <jansson.h>
 
 #include "base/event.h"
-#include "lease/route.h"
-#include "lease/term.h"
+#include "lease/lease_timing.h"
+#include "lease/route_table.h"
 
 /** Lease times derived from the bounds of the users' platform. */
-Term LeaseFix_Term(void);
+LeaseTiming LeaseFix_Timing(void);
 
 /** Adds the queue used by the fixtures, with two attempts per task. */
 Route *LeaseFix_AddRoute(Route_Table *routes);
--- a/tests/lease_rules.c
+++ b/tests/lease_rules.c
@@ -10,7 +10,7 @@
 #include "lease/dispatcher.h"
 #include "lease/run_id.h"
 #include "tests/lease_fixture.h"
-#include "tests/rule_table.h"
+#include "tests/test_table.h"
 
 #define START_MS 10000
 #define MAX_CALLS 256
@@ -150,7 +150,7 @@
     report.instance = (char *)(uintptr_t) "i-1";
     report.next_ms = 500;
     Dispatcher_OnReport(fix->dispatcher, fix->now_ms, &report);
-    Dispatcher_Settle(fix->dispatcher, fix->now_ms);
+    Dispatcher_DispatchWaiting(fix->dispatcher, fix->now_ms);
 }
 
 static void
@@ -178,7 +178,7 @@
 
     memset(fix, 0, sizeof(*fix));
     fix->now_ms = START_MS;
-    config.term = LeaseFix_Term();
+    config.term = LeaseFix_Timing();
     fix->dispatcher = Dispatcher_New(&config, &dispatcher_ports, fix,
                                      fix->now_ms);
     fix->routes = Route_NewTable(1);
@@ -209,7 +209,7 @@
     submit.job.steps[0].need.cpu_milli = 1000;
     submit.job.steps[0].estimate_ms = 1000;
     Dispatcher_OnSubmit(fix->dispatcher, fix->now_ms, &submit);
-    Dispatcher_Settle(fix->dispatcher, fix->now_ms);
+    Dispatcher_DispatchWaiting(fix->dispatcher, fix->now_ms);
 }
 
 static int
@@ -251,7 +251,7 @@
     reply.u.run.host.room.memory_mb = 4096;
     reply.u.run.host.pace_percent = 100;
     Dispatcher_OnReply(fix->dispatcher, fix->now_ms, call->id, &reply);
-    Dispatcher_Settle(fix->dispatcher, fix->now_ms);
+    Dispatcher_DispatchWaiting(fix->dispatcher, fix->now_ms);
 }
 
 static void
@@ -260,7 +260,7 @@
     while (fix->now_ms < until_ms) {
         fix->now_ms += 50;
         Dispatcher_Tick(fix->dispatcher, fix->now_ms);
-        Dispatcher_Settle(fix->dispatcher, fix->now_ms);
+        Dispatcher_DispatchWaiting(fix->dispatcher, fix->now_ms);
     }
 }
 
@@ -297,7 +297,7 @@
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
     Dispatcher_OnCallerGone(fix.dispatcher, fix.now_ms, 1);
     Dispatcher_Resume(fix.dispatcher);
-    Dispatcher_Settle(fix.dispatcher, fix.now_ms);
+    Dispatcher_DispatchWaiting(fix.dispatcher, fix.now_ms);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
     submit_job(&fix, 2, 1);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 1);
@@ -338,7 +338,7 @@
 test_retry_elsewhere_after_lease(void)
 {
     dispatcher_fixture fix;
-    Term term = LeaseFix_Term();
+    LeaseTiming term = LeaseFix_Timing();
     int64_t held_ms;
 
     new_dispatcher(&fix);
@@ -353,7 +353,7 @@
     g_assert_cmpuint(last_call(&fix, MSG_RUN)->to, ==,
                      other_companion.address);
     g_assert_cmpuint(last_call(&fix, MSG_RUN)->run, ==, 2);
-    g_assert_cmpint(fix.now_ms, >=, Term_CertainEnd(&term, held_ms));
+    g_assert_cmpint(fix.now_ms, >=, LeaseTiming_CertainEnd(&term, held_ms));
     g_assert_cmpint(fix.resets, ==, 1);
     free_dispatcher(&fix);
 }
@@ -716,7 +716,7 @@
 
     new_dispatcher(&fix);
     submit_job(&fix, 1, 1);
-    Dispatcher_EndBy(fix.dispatcher, START_MS + 300);
+    Dispatcher_SetShutdownTime(fix.dispatcher, START_MS + 300);
     tick_with_renewals(&fix, START_MS + 250);
     g_assert_cmpint(fix.answers, ==, 0);
     tick_with_renewals(&fix, START_MS + 350);
@@ -732,14 +732,14 @@
     dispatcher_fixture fix;
 
     new_dispatcher(&fix);
-    fix.route->advised = true;
+    fix.route->needs_ticket = true;
     submit_job(&fix, 1, 1);
     g_assert_cmpint(fix.outcome, ==, DISPATCHER_NOT_RUN);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
     free_dispatcher(&fix);
 }
 
-static const RuleTable_Row rules[] = {
+static const TestTable_Row rules[] = {
     {"/dispatcher/starts nothing while paused", test_paused},
     {"/dispatcher/repeats calls without a longer lease",
      test_repeated_call_keeps_lease},
@@ -785,5 +785,5 @@
 int
 main(int argc, char **argv)
 {
-    return RuleTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
+    return TestTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
 }
--- a/tests/lease_world.cc
+++ b/tests/lease_sim.cc
@@ -1,4 +1,4 @@
-#include "tests/lease_world_state.h"
+#include "tests/lease_sim_state.h"
 
 namespace lease {
 
@@ -56,22 +56,22 @@
         send_heartbeat(companion, length / 2 + LATE_HEARTBEAT_MS);
         upstream->crash(now, false);
         schedule(now + length / 2,
-                 [this, upstream] { upstream->come_up(now); });
+                 [this, upstream] { upstream->bring_up(now); });
         break;
     case Fault::LateOrders:
         orders_late_until[companion] = until;
         break;
     case Fault::Stuck:
-        upstream->manner.stuck = true;
-        schedule(until, [upstream] { upstream->manner.stuck = false; });
+        upstream->fault_mode.stuck = true;
+        schedule(until, [upstream] { upstream->fault_mode.stuck = false; });
         break;
     case Fault::Failing:
-        upstream->manner.failing = true;
-        schedule(until, [upstream] { upstream->manner.failing = false; });
+        upstream->fault_mode.failing = true;
+        schedule(until, [upstream] { upstream->fault_mode.failing = false; });
         break;
     case Fault::Slow:
-        upstream->manner.slow = 8;
-        schedule(until, [upstream] { upstream->manner.slow = 1; });
+        upstream->fault_mode.slow = 8;
+        schedule(until, [upstream] { upstream->fault_mode.slow = 1; });
         break;
     case Fault::CallerDisconnects:
         disconnects_until = until;
@@ -106,7 +106,7 @@
         upstream->crash(now, false);
         schedule(now + length / 4, [this, upstream] {
             if (!upstream->is_up()) {
-                upstream->come_again(now);
+                upstream->bring_up_same_name(now);
             }
         });
         break;
@@ -183,7 +183,8 @@
         upstreams[i].on_end = [this, i](const lc_run_id &id, Runner_End how) {
             on_ended(i, id, how);
         };
-        upstreams[i].on_noted = [this](const lc_run_id &id, Runner_End how) {
+        upstreams[i].on_end_acknowledged = [this](const lc_run_id &id,
+                                                  Runner_End how) {
             if (id.job >= FIRST_DURABLE_ID) {
                 on_durable_acknowledged(id, how);
             }
@@ -192,7 +193,7 @@
             return id.job >= FIRST_DURABLE_ID ? durable_callers[id.job].work_ms
                                               : jobs[id.job].work_ms;
         };
-        upstreams[i].come_up(0);
+        upstreams[i].bring_up(0);
         companions[i].sim = this;
         companions[i].index = i;
         start_companion(i);
--- a/tests/lease_world.h
+++ b/tests/lease_sim.h
@@ -1,13 +1,13 @@
 /**
- * @file lease_world.h
+ * @file lease_sim.h
  * @brief Simulation of leased jobs in one process: entries, companions,
  * upstreams and callers, with virtual time, a network and injected faults.
  *
  * The checks use only the starts and ends that upstreams executed and the
  * answers that callers got, never internal state of the nodes.
  */
-#ifndef LC_TESTS_LEASE_WORLD_H
-#define LC_TESTS_LEASE_WORLD_H
+#ifndef LC_TESTS_LEASE_SIM_H
+#define LC_TESTS_LEASE_SIM_H
 
 #include <cstdint>
 #include <functional>
@@ -21,13 +21,13 @@
 extern "C" {
 #include "base/random.h"
 #include "lease/dispatcher.h"
-#include "lease/keeper.h"
-#include "lease/route.h"
+#include "lease/durable_jobs.h"
+#include "lease/route_table.h"
 #include "lease/runner.h"
-#include "wire/runs.h"
+#include "wire/run_batch.h"
 }
 
-#include "tests/lease_upstream.h"
+#include "tests/upstream_model.h"
 
 namespace lease {
 
--- a/tests/lease_world_callers.cc
+++ b/tests/lease_sim_callers.cc
@@ -1,4 +1,4 @@
-#include "tests/lease_world_state.h"
+#include "tests/lease_sim_state.h"
 
 #include <cstring>
 
@@ -159,7 +159,7 @@
             report.late_succeeded++;
         }
         for (uint32_t i = 0; i < job.tasks; i++) {
-            if (!done[TaskName(job.id, 0, i)]) {
+            if (!done[TaskKey(job.id, 0, i)]) {
                 violation("job " + std::to_string(job.id) +
                           " reported as succeeded with an unfinished task");
             }
--- a/tests/lease_world_checks.cc
+++ b/tests/lease_sim_checks.cc
@@ -1,4 +1,4 @@
-#include "tests/lease_world_state.h"
+#include "tests/lease_sim_state.h"
 
 namespace lease {
 
@@ -75,7 +75,7 @@
         upstream->crash(now, false);
         schedule(now + 300 + random_below(400), [this, upstream] {
             if (!upstream->is_up()) {
-                upstream->come_again(now);
+                upstream->bring_up_same_name(now);
             }
         });
     });
