--- a/tests/lease_world_kept.cc
+++ b/tests/lease_sim_durable.cc
@@ -4,7 +4,7 @@
  */
 #include <cstring>
 
-#include "tests/lease_world_state.h"
+#include "tests/lease_sim_state.h"
 
 namespace lease {
 
@@ -39,7 +39,7 @@
 }
 
 void
-port_state_answer(void *context, uint64_t request, Keeper_State state)
+port_state_answer(void *context, uint64_t request, DurableJobs_State state)
 {
     (void)context;
     (void)request;
@@ -85,7 +85,7 @@
     }
 }
 
-const Keeper_Ports durable_jobs_ports = {
+const DurableJobs_Ports durable_jobs_ports = {
     port_put,   port_durable_answer, port_state_answer,  port_durable_call,
     port_route, port_parse,          port_durable_event,
 };
@@ -103,7 +103,7 @@
 void
 Simulation::start_durable_jobs(EntryNode *entry)
 {
-    Keeper_Config config;
+    DurableJobs_Config config;
 
     memset(&config, 0, sizeof(config));
     config.node = entry->node;
@@ -111,8 +111,8 @@
     config.resubmit_ms = RESUBMIT_MS;
     config.keep_ms = 60000;
     entry->log_client = LogClient();
-    entry->durable_jobs = Keeper_New(&config, &durable_jobs_ports, entry,
-                                     entry->dispatcher, now);
+    entry->durable_jobs = DurableJobs_New(&config, &durable_jobs_ports, entry,
+                                          entry->dispatcher, now);
 }
 
 uint64_t
@@ -142,20 +142,20 @@
         /* Ordered by key, like the store's pages. */
         for (auto &pair : last) {
             const SimStore::Record &row = store.log[pair.second];
-            Kept_Record record = {pair.second, row.key.data(), row.key.size(),
-                                  (const uint8_t *)row.value.data(),
-                                  row.value.size()};
+            DurableLog_Record record = {
+                pair.second, row.key.data(), row.key.size(),
+                (const uint8_t *)row.value.data(), row.value.size()};
             if (!row.value.empty()) {
-                Keeper_OnRecord(entry->durable_jobs, now, &record);
+                DurableJobs_OnRecord(entry->durable_jobs, now, &record);
             }
         }
     }
     for (uint64_t i = entry->log_client.next_offset; !newest && i < end; i++) {
         const SimStore::Record &row = store.log[i];
-        Kept_Record record = {i, row.key.data(), row.key.size(),
-                              (const uint8_t *)row.value.data(),
-                              row.value.size()};
-        Keeper_OnRecord(entry->durable_jobs, now, &record);
+        DurableLog_Record record = {i, row.key.data(), row.key.size(),
+                                    (const uint8_t *)row.value.data(),
+                                    row.value.size()};
+        DurableJobs_OnRecord(entry->durable_jobs, now, &record);
     }
     entry->log_client.next_offset = end;
 }
@@ -183,7 +183,7 @@
                     return;
                 }
                 apply_records(entry, end, newest);
-                Keeper_OnRead(entry->durable_jobs, now, asked);
+                DurableJobs_OnLogRead(entry->durable_jobs, now, asked);
             });
         });
     });
@@ -260,8 +260,8 @@
                     entry->log_client.sequence++;
                     entry->log_client.batch.clear();
                     entry->log_client.append_in_flight = false;
-                    Keeper_OnWritten(entry->durable_jobs, now,
-                                     entry->log_client.batch_number);
+                    DurableJobs_OnWritten(entry->durable_jobs, now,
+                                          entry->log_client.batch_number);
                 });
             });
         });
@@ -299,7 +299,8 @@
         uint64_t to_boot_id = to->boot_id;
         Address address = from->node.address;
         int64_t asked_ms = now;
-        uint64_t owner_incarnation = Keeper_Identity(from->durable_jobs, now);
+        uint64_t owner_incarnation = DurableJobs_OwnerIncarnation(
+            from->durable_jobs, now);
         if (i == index || from->frozen_until > now ||
             gossip_cut_until[i] > now || gossip_cut_until[index] > now) {
             continue;
@@ -308,15 +309,15 @@
             continue;
         }
         send_closures_to_entry(
-            to, LINK_DELAY_MS, CLOSURES_UNASKED,
+            to, LINK_DELAY_MS, HALL_CLOSURES_UNSOLICITED,
             ClosureSnapshot::of(Dispatcher_Closures(from->dispatcher), now));
         schedule(now + LINK_DELAY_MS, [this, to, to_boot_id, address,
                                        owner_incarnation, from, asked_ms] {
             if (to->boot_id == to_boot_id) {
                 when_thawed(to, [this, to, address, owner_incarnation, from,
                                  asked_ms] {
-                    Keeper_OnPeer(to->durable_jobs, now, address,
-                                  owner_incarnation);
+                    DurableJobs_OnPeer(to->durable_jobs, now, address,
+                                       owner_incarnation);
                     send_closures_to_entry(
                         from, LINK_DELAY_MS, asked_ms,
                         ClosureSnapshot::of(
@@ -339,7 +340,7 @@
     memset(job, 0, sizeof(*job));
     job->id = id;
     job->spec = g_strdup(spec_of(id).c_str());
-    job->needs_keeping = true;
+    job->needs_durability = true;
     job->repeat_count = caller.occurrences;
     job->start_at_ms = caller.start_at_ms;
     job->interval_ms = caller.interval_ms;
@@ -407,7 +408,7 @@
             return;
         }
         when_thawed(entry, [this, entry, id, request] {
-            Keeper_Submit submit;
+            DurableJobs_Submit submit;
             LeasedJob job;
             fill_durable_job(id, &job);
             memset(&submit, 0, sizeof(submit));
@@ -415,7 +416,7 @@
             submit.route = route;
             submit.body = "{}";
             submit.job = &job;
-            Keeper_OnSubmit(entry->durable_jobs, now, &submit);
+            DurableJobs_OnSubmit(entry->durable_jobs, now, &submit);
             LeasedJob_Clear(&job);
         });
     });
@@ -447,8 +448,8 @@
             return;
         }
         when_thawed(entry, [this, entry, id, request] {
-            Keeper_OnCancel(entry->durable_jobs, now, request, id,
-                            route->name);
+            DurableJobs_OnCancel(entry->durable_jobs, now, request, id,
+                                 route->name);
         });
     });
 }
@@ -508,7 +509,7 @@
     if (answer->outcome != DISPATCHER_NOT_RUN) {
         caller.may_have_run = true;
     }
-    if (answer->outcome == DISPATCHER_KEPT) {
+    if (answer->outcome == DISPATCHER_RECORDED) {
         caller.accepted = true;
     }
     if (caller.open_request != request) {
@@ -520,7 +521,7 @@
         schedule(now + RESUBMIT_MS, [this, id] { submit_durable(id); });
     }
     /* Some callers submit again up to 3 s after their answer. */
-    if (answer->outcome == DISPATCHER_KEPT && caller.submissions < 3 &&
+    if (answer->outcome == DISPATCHER_RECORDED && caller.submissions < 3 &&
         random_below(4) == 0) {
         schedule(now + random_below(3000), [this, id] { submit_durable(id); });
     }
@@ -549,7 +550,7 @@
         violation("a start before its scheduled time: " + run_name(id));
     }
     for (uint32_t i = 0; id.step > 0 && i < caller.tasks; i++) {
-        if (!done[TaskName(id.job, id.occurrence << 16, i)]) {
+        if (!done[TaskKey(id.job, id.occurrence << 16, i)]) {
             violation("a start before the end of the previous step: " +
                       run_name(id));
         }
@@ -612,25 +613,26 @@
         }
         report.durable_accepted++;
         for (EntryNode &entry : entries) {
-            Keeper_State state = Keeper_Look(entry.durable_jobs, now,
-                                             caller.id, queue);
+            DurableJobs_State state = DurableJobs_StateOf(
+                entry.durable_jobs, now, caller.id, queue);
             bool all = true;
             uint32_t slices = caller.steps * std::max(caller.occurrences, 1U);
             for (uint32_t slice = 0; slice < slices; slice++) {
                 uint32_t step = slice % caller.steps | slice / caller.steps
                                                            << 16;
                 for (uint32_t i = 0; i < caller.tasks; i++) {
-                    all &= done[TaskName(caller.id, step, i)];
+                    all &= done[TaskKey(caller.id, step, i)];
                 }
             }
             report.durable_succeeded += entry.index == 0 &&
-                                        state == KEEPER_SUCCEEDED;
-            if (state == KEEPER_SUCCEEDED && !all) {
+                                        state == DURABLE_JOB_SUCCEEDED;
+            if (state == DURABLE_JOB_SUCCEEDED && !all) {
                 violation("durable job " + std::to_string(caller.id) +
                           " reported as succeeded with an unfinished task");
             }
-            if (state == KEEPER_SUCCEEDED || state == KEEPER_FAILED ||
-                (state == KEEPER_CANCELLED && caller.cancel_sent)) {
+            if (state == DURABLE_JOB_SUCCEEDED ||
+                state == DURABLE_JOB_FAILED ||
+                (state == DURABLE_JOB_CANCELLED && caller.cancel_sent)) {
                 continue;
             }
             violation("durable job " + std::to_string(caller.id) +
--- a/tests/lease_world_halls.cc
+++ b/tests/lease_sim_halls.cc
@@ -5,7 +5,7 @@
  */
 #include <cstring>
 
-#include "tests/lease_world_state.h"
+#include "tests/lease_sim_state.h"
 
 namespace lease {
 
@@ -49,12 +49,12 @@
 }
 
 ClosureSnapshot
-ClosureSnapshot::of(const Closures *closures, int64_t now)
+ClosureSnapshot::of(const Hall_Closures *closures, int64_t now)
 {
     ClosureSnapshot snapshot;
 
     snapshot.as_of = closures->as_of;
-    snapshot.age_ms = (uint32_t)Closures_AgeMs(closures, now);
+    snapshot.age_ms = (uint32_t)HallClosures_AgeMs(closures, now);
     for (guint i = 0; i < closures->halls->len; i++) {
         snapshot.halls.push_back((const char *)closures->halls->pdata[i]);
     }
@@ -128,8 +128,8 @@
         }
         when_thawed(entry, [this, entry, asked_ms, snapshot]() mutable {
             lc_closures closures = snapshot.message();
-            Dispatcher_TakeClosures(entry->dispatcher, now, asked_ms,
-                                    &closures, "test");
+            Dispatcher_MergeClosures(entry->dispatcher, now, asked_ms,
+                                     &closures, "test");
         });
     });
 }
@@ -148,7 +148,7 @@
         send_closures_to_entry(entry, LINK_DELAY_MS, now, snapshot);
         if (random_below(STALE_EVERY) == 0) {
             send_closures_to_entry(entry, random_below(STALE_DELAY_MS),
-                                   CLOSURES_UNASKED, snapshot);
+                                   HALL_CLOSURES_UNSOLICITED, snapshot);
         }
     }
     schedule(now + HALLS_POLL_MS,
@@ -171,8 +171,8 @@
         when_thawed(companion,
                     [this, companion, asked_ms, snapshot]() mutable {
                         lc_closures closures = snapshot.message();
-                        Runner_TakeClosures(companion->runner, now, asked_ms,
-                                            &closures, "test");
+                        Runner_MergeClosures(companion->runner, now, asked_ms,
+                                             &closures, "test");
                     });
     });
 }
@@ -182,7 +182,7 @@
 void
 Simulation::refresh_closures(CompanionNode *companion)
 {
-    if (Closures_AgeMs(Runner_Closures(companion->runner), now) >=
+    if (HallClosures_AgeMs(Runner_Closures(companion->runner), now) >=
             UNCONFIRMED_MS &&
         store.down_until <= now) {
         send_closures_to_companion(companion, 2 * LINK_DELAY_MS, now,
--- a/tests/lease_world_messages.cc
+++ b/tests/lease_sim_messages.cc
@@ -1,4 +1,4 @@
-#include "tests/lease_world_state.h"
+#include "tests/lease_sim_state.h"
 
 namespace lease {
 
@@ -11,8 +11,8 @@
               const Msg_Reply *reply)
 {
     if ((call_id & DURABLE_CALL_BIT) != 0) {
-        Keeper_OnReply(entry->durable_jobs, now, call_id & ~DURABLE_CALL_BIT,
-                       reply);
+        DurableJobs_OnReply(entry->durable_jobs, now,
+                            call_id & ~DURABLE_CALL_BIT, reply);
     }
     else {
         Dispatcher_OnReply(entry->dispatcher, now, call_id, reply);
@@ -106,7 +106,7 @@
                 uint64_t reply_id = ++companion->next_reply;
                 Msg_Call row = record.call;
                 if (record.call.kind == MSG_RUNS) {
-                    Runs_Get(&record.call.u.runs, i, &row);
+                    RunBatch_DecodeRow(&record.call.u.runs, i, &row);
                 }
                 companion->pending_replies[reply_id] = {
                     entry, shared->call_ids[i], generation};
@@ -301,9 +301,9 @@
 }
 
 void
-Simulation::send_order(CompanionNode *from,
-                       std::function<Runner_OrderEnd()> act,
-                       std::function<void(Runner_OrderEnd, int64_t)> done_with)
+Simulation::send_order(
+    CompanionNode *from, std::function<Runner_OrderResult()> act,
+    std::function<void(Runner_OrderResult, int64_t)> done_with)
 {
     Upstream *upstream = &upstreams[from->index];
     uint64_t boot_id = from->boot_id;
@@ -324,7 +324,7 @@
                            done_with] {
         when_resumed(upstream, [this, from, boot_id, late, upstream, act,
                                 done_with] {
-            Runner_OrderEnd end = RUNNER_ORDER_UNANSWERED;
+            Runner_OrderResult end = RUNNER_ORDER_UNANSWERED;
             int64_t clock = upstream->clock(now);
             if (upstream->is_up()) {
                 upstream->advance(now);
@@ -369,11 +369,11 @@
         from,
         [this, upstream, index, copy, instance]() mutable {
             copy.instance = instance->c_str();
-            Runner_OrderEnd end = upstream->start(now, copy);
+            Runner_OrderResult end = upstream->start(now, copy);
             check_capacity(index);
             return end;
         },
-        [this, from, id](Runner_OrderEnd end, int64_t clock) {
+        [this, from, id](Runner_OrderResult end, int64_t clock) {
             Runner_OnStarted(from->runner, now, id, end, clock);
         });
 }
@@ -391,20 +391,20 @@
         [this, upstream, copy, instance, token] {
             return upstream->stop(now, copy, instance, token);
         },
-        [this, from, id](Runner_OrderEnd end, int64_t clock) {
+        [this, from, id](Runner_OrderResult end, int64_t clock) {
             Runner_OnStopped(from->runner, now, id, end, clock);
         });
 }
 
 void
 Simulation::order_poll(CompanionNode *from, uint64_t id,
-                       const Runner_Look *look)
+                       const Runner_Poll *look)
 {
     Upstream *upstream = &upstreams[from->index];
-    Runner_Look copy = *look;
+    Runner_Poll copy = *look;
     auto instance = std::make_shared<std::string>(look->instance);
-    auto running = std::make_shared<std::vector<Runner_Row>>();
-    auto ended = std::make_shared<std::vector<Runner_EndRow>>();
+    auto running = std::make_shared<std::vector<Runner_ActiveRun>>();
+    auto ended = std::make_shared<std::vector<Runner_EndedRun>>();
     auto born_ms = std::make_shared<int64_t>(0);
 
     /* The wait of a long poll is simulated by delivering the same lists
@@ -417,7 +417,7 @@
             *born_ms = upstream->born();
             return upstream->look(now, copy, running.get(), ended.get());
         },
-        [this, from, id, running, ended, born_ms](Runner_OrderEnd end,
+        [this, from, id, running, ended, born_ms](Runner_OrderResult end,
                                                   int64_t clock) {
             Runner_Listing listing = {end,
                                       clock,
@@ -428,15 +428,15 @@
                                       (uint32_t)ended->size()};
             uint64_t boot_id = from->boot_id;
             /* One poll per 10 ms stands for a long poll. */
-            schedule(
-                now + 9, [this, from, boot_id, id, running, ended, listing] {
-                    if (from->boot_id == boot_id) {
-                        when_thawed(
-                            from, [this, from, id, running, ended, listing] {
-                                Runner_OnLook(from->runner, now, id, &listing);
-                            });
-                    }
-                });
+            schedule(now + 9, [this, from, boot_id, id, running, ended,
+                               listing] {
+                if (from->boot_id == boot_id) {
+                    when_thawed(from, [this, from, id, running, ended,
+                                       listing] {
+                        Runner_OnPollAnswer(from->runner, now, id, &listing);
+                    });
+                }
+            });
         });
 }
 
--- a/tests/lease_world_nodes.cc
+++ b/tests/lease_sim_nodes.cc
@@ -1,4 +1,4 @@
-#include "tests/lease_world_state.h"
+#include "tests/lease_sim_state.h"
 
 #include <cstring>
 
@@ -34,8 +34,8 @@
     }
     pause_after_stall(entry);
     run();
-    Dispatcher_Settle(entry->dispatcher, now);
-    Keeper_Settle(entry->durable_jobs, now);
+    Dispatcher_DispatchWaiting(entry->dispatcher, now);
+    DurableJobs_Flush(entry->durable_jobs, now);
 }
 
 /* As the process does: after a stall, all waiting input is read before tasks
@@ -50,7 +50,7 @@
         schedule(now + 40, [this, entry, boot_id] {
             if (entry->boot_id == boot_id && entry->alive) {
                 Dispatcher_Resume(entry->dispatcher);
-                Dispatcher_Settle(entry->dispatcher, now);
+                Dispatcher_DispatchWaiting(entry->dispatcher, now);
             }
         });
     }
@@ -96,7 +96,7 @@
     schedule(due, [this, companion, boot_id] {
         if (companion->boot_id == boot_id) {
             when_thawed(companion, [this, companion] {
-                Runner_Wake(companion->runner, now);
+                Runner_CheckOverdue(companion->runner, now);
             });
         }
     });
@@ -194,7 +194,7 @@
 }
 
 void
-port_poll(void *context, uint64_t id, const Runner_Look *look)
+port_poll(void *context, uint64_t id, const Runner_Poll *look)
 {
     CompanionNode *companion = (CompanionNode *)context;
     companion->sim->order_poll(companion, id, look);
@@ -211,20 +211,21 @@
 port_durable_run_end(void *context, const lc_run_id *id, uint32_t task,
                      lc_node host, bool done)
 {
-    Keeper_OnRunEnd(((EntryNode *)context)->durable_jobs, id, task, host,
-                    done);
+    DurableJobs_OnRunEnd(((EntryNode *)context)->durable_jobs, id, task, host,
+                         done);
 }
 
 void
 port_durable_run_crash(void *context, const lc_run_id *id, uint32_t task)
 {
-    Keeper_OnCrash(((EntryNode *)context)->durable_jobs, id, task);
+    DurableJobs_OnUpstreamCrash(((EntryNode *)context)->durable_jobs, id,
+                                task);
 }
 
 void
 port_durable_job_end(void *context, uint64_t job, Dispatcher_Outcome outcome)
 {
-    Keeper_OnJobOver(((EntryNode *)context)->durable_jobs, job, outcome);
+    DurableJobs_OnJobEnd(((EntryNode *)context)->durable_jobs, job, outcome);
 }
 
 const Dispatcher_Ports entry_ports = {port_call,
@@ -239,13 +240,13 @@
 const Runner_Ports companion_ports = {port_start, port_stop, port_poll,
                                       port_reply, port_companion_event};
 
-Term
+LeaseTiming
 derive_timing()
 {
-    Term_Bounds bounds = {RESUBMIT_MS, 1000, 50, TICK_MS};
-    Term term;
+    LeaseTiming_Bounds bounds = {RESUBMIT_MS, 1000, 50, TICK_MS};
+    LeaseTiming term;
 
-    Term_Plan(&bounds, &term);
+    LeaseTiming_Derive(&bounds, &term);
     return term;
 }
 
@@ -327,7 +328,7 @@
     }
     entry->alive = false;
     entry->boot_id++;
-    Keeper_Free(entry->durable_jobs);
+    DurableJobs_Free(entry->durable_jobs);
     entry->durable_jobs = nullptr;
     Dispatcher_Free(entry->dispatcher);
     entry->dispatcher = nullptr;
@@ -367,8 +368,9 @@
     if (!entry->alive) {
         return;
     }
-    when_thawed(entry,
-                [this, entry] { Keeper_Leave(entry->durable_jobs, now); });
+    when_thawed(entry, [this, entry] {
+        DurableJobs_HandOver(entry->durable_jobs, now);
+    });
     schedule(now + length_ms / 2, [this, entry, index, boot_id, length_ms] {
         if (entry->boot_id == boot_id) {
             kill_entry(index, length_ms / 4);
@@ -419,8 +421,8 @@
         return;
     }
     when_thawed(entry, [this, entry] {
-        Keeper_Tick(entry->durable_jobs, now);
-        Dispatcher_SetWall(entry->dispatcher, WALL_OFFSET_MS);
+        DurableJobs_Tick(entry->durable_jobs, now);
+        Dispatcher_SetWallOffset(entry->dispatcher, WALL_OFFSET_MS);
         offer_delegates(entry);
         Dispatcher_Tick(entry->dispatcher, now);
     });
@@ -494,7 +496,7 @@
                 Dispatcher_OnReport(entry->dispatcher, now, &copy);
                 known = Dispatcher_Host(entry->dispatcher, host.node.address);
                 if (known != nullptr && known->node.incarnation != before) {
-                    Keeper_OnHost(entry->durable_jobs, now);
+                    DurableJobs_OnHost(entry->durable_jobs, now);
                 }
             });
         });
@@ -521,10 +523,10 @@
     schedule(now + delay_ms, [=, this] {
         when_thawed(companion, [=, this] {
             static const char *const labels[] = {nullptr};
-            Runner_Upstream heartbeat = {
+            Runner_Heartbeat heartbeat = {
                 instance.c_str(),      born_ms,  sequence, "service",
                 RUNNER_UPSTREAM_READY, capacity, labels,   clock_ms};
-            Runner_OnUpstream(companion->runner, now, &heartbeat);
+            Runner_OnHeartbeat(companion->runner, now, &heartbeat);
         });
     });
 }
--- a/tests/lease_world_state.h
+++ b/tests/lease_sim_state.h
@@ -1,16 +1,16 @@
 /**
- * @file lease_world_state.h
+ * @file lease_sim_state.h
  * @brief Internals of the simulation of leased jobs: nodes, links, callers and
  * the store.
  *
  * Included by the sources of the simulation only.
  */
-#ifndef LC_TESTS_LEASE_WORLD_STATE_H
-#define LC_TESTS_LEASE_WORLD_STATE_H
+#ifndef LC_TESTS_LEASE_SIM_STATE_H
+#define LC_TESTS_LEASE_SIM_STATE_H
 
 #include <tuple>
 
-#include "tests/lease_world.h"
+#include "tests/lease_sim.h"
 
 namespace lease {
 
@@ -104,7 +104,7 @@
     std::vector<char *> names; /* referred to by the last message */
 
     lc_closures message();
-    static ClosureSnapshot of(const Closures *closures, int64_t now);
+    static ClosureSnapshot of(const Hall_Closures *closures, int64_t now);
 };
 
 /* Hall of a companion. */
@@ -157,7 +157,7 @@
     std::map<uint64_t, PendingReply> pending_replies;
     uint64_t next_reply = 0;
     Dispatcher *dispatcher = nullptr;
-    Keeper *durable_jobs = nullptr;
+    DurableJobs *durable_jobs = nullptr;
     LogClient log_client;
     int64_t frozen_until = 0;
     bool alive = false;
@@ -257,7 +257,7 @@
     {
         for (auto &entry : entries) {
             if (entry.durable_jobs != nullptr) {
-                Keeper_Free(entry.durable_jobs);
+                DurableJobs_Free(entry.durable_jobs);
             }
             if (entry.dispatcher != nullptr) {
                 Dispatcher_Free(entry.dispatcher);
@@ -285,7 +285,7 @@
                      const Runner_Start *start);
     void order_stop(CompanionNode *from, uint64_t id, const lc_run_id *run,
                     const char *instance, int64_t token);
-    void order_poll(CompanionNode *from, uint64_t id, const Runner_Look *look);
+    void order_poll(CompanionNode *from, uint64_t id, const Runner_Poll *look);
     uint64_t put(EntryNode *from, const char *key, const uint8_t *value,
                  size_t length);
     void answer_durable(EntryNode *from, uint64_t request,
@@ -358,8 +358,9 @@
     void offer_delegates(EntryNode *entry);
     void fail_call(uint32_t entry, uint64_t boot_id, uint64_t call_id);
     void when_resumed(const Upstream *upstream, std::function<void()> act);
-    void send_order(CompanionNode *from, std::function<Runner_OrderEnd()> act,
-                    std::function<void(Runner_OrderEnd, int64_t)> done);
+    void send_order(CompanionNode *from,
+                    std::function<Runner_OrderResult()> act,
+                    std::function<void(Runner_OrderResult, int64_t)> done);
     void inject(const Action &action);
     void submit(CallerJob *job);
     void resubmit_later(CallerJob *job, int64_t after_ms);
@@ -425,14 +426,14 @@
     std::map<uint64_t, CallerJob> jobs;
     std::map<uint64_t, Request> requests;
     /* By upstream. */
-    std::map<TaskName, std::map<uint32_t, lc_run_id>> active_runs;
-    std::map<TaskName, bool> done;
+    std::map<TaskKey, std::map<uint32_t, lc_run_id>> active_runs;
+    std::map<TaskKey, bool> done;
     std::map<uint64_t, uint64_t> incarnations;
     uint64_t next_request = 0;
     uint64_t next_job = 0;
     SimStore store;
     std::map<uint64_t, DurableCaller> durable_callers;
-    std::map<TaskName, DurableTask> durable_tasks;
+    std::map<TaskKey, DurableTask> durable_tasks;
     std::map<uint64_t, uint64_t> durable_requests; /* request -> job */
     std::map<uint64_t, uint64_t> cancel_requests;
     std::vector<std::pair<std::string, bool>> hall_log;
--- a/tests/link_rules.c
+++ b/tests/link_rules.c
@@ -7,7 +7,7 @@
 
 #include "lease/link_budget.h"
 #include "tests/entry_fixture.h"
-#include "tests/rule_table.h"
+#include "tests/test_table.h"
 
 #define ENTRY 7000
 /* Gives 11,250 usable bytes in 10 ms, the size of the bucket. */
@@ -25,7 +25,7 @@
     g_assert_true(LinkBudget_Allows(&budget, 1000));
     LinkBudget_Spend(&budget, BURST_BYTES + 1125);
     g_assert_false(LinkBudget_Allows(&budget, 1000));
-    g_assert_cmpint(LinkBudget_DueMs(&budget), ==, 1002);
+    g_assert_cmpint(LinkBudget_NextStartMs(&budget), ==, 1002);
     g_assert_false(LinkBudget_Allows(&budget, 1001));
     g_assert_true(LinkBudget_Allows(&budget, 1002));
 }
@@ -60,7 +60,7 @@
     LinkBudget_Init(&budget, 1000, 0);
     LinkBudget_Spend(&budget, INT32_MAX);
     g_assert_true(LinkBudget_Allows(&budget, 1000));
-    g_assert_false(LinkBudget_IsShort(&budget, 1000));
+    g_assert_false(LinkBudget_IsCongested(&budget, 1000));
     g_assert_cmpint(LinkBudget_Headroom(&budget, 1000), ==, INT64_MAX);
 }
 
@@ -74,11 +74,11 @@
     LinkBudget_Spend(&budget, 100000);
     LinkBudget_Allows(&budget, 1500);
     g_assert_cmpint(LinkBudget_Headroom(&budget, 1500), ==, 1125000 - 200000);
-    LinkBudget_NoteWait(&budget, 1500);
-    g_assert_true(LinkBudget_IsShort(&budget, 1500));
+    LinkBudget_RecordWait(&budget, 1500);
+    g_assert_true(LinkBudget_IsCongested(&budget, 1500));
     g_assert_cmpint(LinkBudget_Headroom(&budget, 1500), ==, 0);
-    g_assert_true(LinkBudget_IsShort(&budget, 2499));
-    g_assert_false(LinkBudget_IsShort(&budget, 2500));
+    g_assert_true(LinkBudget_IsCongested(&budget, 2499));
+    g_assert_false(LinkBudget_IsCongested(&budget, 2500));
 }
 
 static void
@@ -97,7 +97,7 @@
         g_assert_cmpuint(fix.starts[i].id.run, ==, 1);
         g_assert_cmpint(fix.starts[i].valid_until_ms, ==,
                         fix.starts[0].valid_until_ms);
-        g_assert_cmpuint(fix.starts[i].spec_length, ==, ENTRY_FIX_SPEC);
+        g_assert_cmpuint(fix.starts[i].spec_length, ==, ENTRY_FIX_SPEC_BYTES);
     }
     /* Each run is answered separately, in any order. */
     for (i = 7; i >= 0; i--) {
@@ -162,10 +162,10 @@
     EntryFix_Submit(&fix, 1, 3, 0);
     fix.start_count = 3;
     for (i = 0; i < 3; i++) {
-        EntryFix_Lose(&fix, &fix.starts[i]);
+        EntryFix_BreakConnection(&fix, &fix.starts[i]);
     }
     g_assert_cmpint(fix.start_count, ==, 3);
-    EntryFix_Pass(&fix, 100);
+    EntryFix_Advance(&fix, 100);
     g_assert_cmpint(fix.start_count, ==, 6);
     for (i = 3; i < 6; i++) {
         g_assert_cmpuint(fix.starts[i].to, ==, fix.starts[i - 3].to);
@@ -201,16 +201,16 @@
     g_assert_cmpint(sent, ==, 9); /* each of 1,336 bytes */
     EntryFix_Submit(&fix, 100, 1, 0);
     g_assert_cmpint(fix.start_count, ==, sent);
-    g_assert_cmpint(Dispatcher_DueMs(fix.dispatcher), >, fix.now_ms);
-    EntryFix_Pass(&fix, 1);
+    g_assert_cmpint(Dispatcher_NextDispatchMs(fix.dispatcher), >, fix.now_ms);
+    EntryFix_Advance(&fix, 1);
     g_assert_cmpint(fix.start_count, ==, sent + 1);
     g_assert_cmpuint(fix.starts[sent].id.job, ==, 100);
     /* The rest are sent at the rate of the link. */
-    EntryFix_Pass(&fix, 5);
+    EntryFix_Advance(&fix, 5);
     g_assert_cmpint(fix.start_count, <, 16);
-    EntryFix_Pass(&fix, 20);
+    EntryFix_Advance(&fix, 20);
     g_assert_cmpint(fix.start_count, ==, 21);
-    g_assert_cmpint(Dispatcher_DueMs(fix.dispatcher), ==, INT64_MAX);
+    g_assert_cmpint(Dispatcher_NextDispatchMs(fix.dispatcher), ==, INT64_MAX);
     EntryFix_Close(&fix);
 }
 
@@ -221,12 +221,12 @@
 
     EntryFix_Open(&fix, ENTRY, LINK_MBPS);
     EntryFix_Report(&fix, 0, 64);
-    Dispatcher_NoteSent(fix.dispatcher, BURST_BYTES * 2);
+    Dispatcher_AddSentBytes(fix.dispatcher, BURST_BYTES * 2);
     EntryFix_Submit(&fix, 1, 1, 0);
     g_assert_cmpint(fix.start_count, ==, 0);
-    EntryFix_Pass(&fix, 9);
+    EntryFix_Advance(&fix, 9);
     g_assert_cmpint(fix.start_count, ==, 0);
-    EntryFix_Pass(&fix, 3);
+    EntryFix_Advance(&fix, 3);
     g_assert_cmpint(fix.start_count, ==, 1);
     EntryFix_Close(&fix);
 }
@@ -247,7 +247,7 @@
     }
     EntryFix_Report(&fix, SMALL_HOSTS, 32);
     fill_link(&fix);
-    EntryFix_Pass(&fix, 30);
+    EntryFix_Advance(&fix, 30);
     for (host = 0; host < SMALL_HOSTS; host++) {
         EntryFix_Report(&fix, host, 2);
     }
@@ -290,7 +290,7 @@
     EntryFix_Submit(&fix, 1000, 1, 0);
     g_assert_cmpint(fix.answer_count, ==, refused);
     fix.renewed_tasks = 2000;
-    EntryFix_Pass(&fix, 700);
+    EntryFix_Advance(&fix, 700);
     g_assert_cmpint(fix.answer_count, ==, refused);
     g_assert_cmpint(fix.start_count, ==, 901 - refused);
     EntryFix_Close(&fix);
@@ -299,7 +299,7 @@
 int
 main(int argc, char **argv)
 {
-    static const RuleTable_Row tests[] = {
+    static const TestTable_Row tests[] = {
         {"/link/token bucket", test_token_bucket},
         {"/link/unused rate does not add up beyond the burst",
          test_burst_limit},
@@ -320,5 +320,5 @@
          test_refused_on_arrival},
     };
 
-    return RuleTable_Main(argc, argv, tests, G_N_ELEMENTS(tests));
+    return TestTable_Main(argc, argv, tests, G_N_ELEMENTS(tests));
 }
--- a/tests/lists.c
+++ b/tests/lists.c
@@ -26,9 +26,9 @@
     for (i = 0; i < ERR_COUNT; i++) {
         Err_Kind kind = (Err_Kind)i;
         printf("| `%s` | %d | %d | %s | %s |\n", Err_Text(kind),
-               Err_Http(kind), Err_Exit(kind),
+               Err_HttpStatus(kind), Err_ExitCode(kind),
                Err_OutcomeText(Err_Outcome(kind)),
-               Err_Retry(kind) ? "yes" : "no");
+               Err_HasRetryAfter(kind) ? "yes" : "no");
     }
 }
 
--- a/tests/load.c
+++ b/tests/load.c
@@ -19,7 +19,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "base/key.h"
+#include "base/idempotency_key.h"
 #include "platform/http_client.h"
 
 #define MAX_GROUPS 8
@@ -245,7 +245,7 @@
     g_string_append(body, "]}");
     job->body = g_string_free(body, FALSE);
     job->ideal_ms = MAX(longest_ms, job->work_ms / self->slots);
-    key = Key_Mint(
+    key = Key_Create(
         g_get_real_time() / 1000,
         ((uint64_t)g_rand_int(self->rand) << 32) | g_rand_int(self->rand),
         ((uint64_t)g_rand_int(self->rand) << 32) | g_rand_int(self->rand));
--- a/tests/order_rules.c
+++ b/tests/order_rules.c
@@ -6,8 +6,8 @@
 #include <glib.h>
 
 #include "lease/run_id.h"
-#include "tests/rule_table.h"
 #include "tests/runner_fixture.h"
+#include "tests/test_table.h"
 
 /* Longer than any delay between two copies, in ms. */
 #define PAUSE_MS 200
@@ -27,7 +27,7 @@
     while (fix->now_ms < until_ms) {
         fix->now_ms += STEP_MS;
         if (Runner_DueMs(fix->runner) <= fix->now_ms) {
-            Runner_Wake(fix->runner, fix->now_ms);
+            Runner_CheckOverdue(fix->runner, fix->now_ms);
         }
     }
 }
@@ -41,15 +41,15 @@
 
     while (fix->now_ms < until_ms) {
         withhold_answers(fix, STEP_MS);
-        if (fix->look_id != answered) {
-            answered = fix->look_id;
-            RunnerFix_AnswerLook(fix, NULL, 0, NULL, 0);
+        if (fix->poll_id != answered) {
+            answered = fix->poll_id;
+            RunnerFix_AnswerPoll(fix, NULL, 0, NULL, 0);
         }
     }
 }
 
 static void
-answer_start(runner_fixture *fix, Runner_OrderEnd end)
+answer_start(runner_fixture *fix, Runner_OrderResult end)
 {
     Runner_OnStarted(fix->runner, fix->now_ms, fix->start_id, end,
                      CLOCK_MS + fix->now_ms - START_MS);
@@ -61,7 +61,7 @@
 {
     RunnerFix_NewReady(fix);
     RunnerFix_CallRun(fix, 1, 1, 1000, 500);
-    answer_start(fix, RUNNER_ORDER_TAKEN);
+    answer_start(fix, RUNNER_ORDER_ACCEPTED);
 }
 
 static void
@@ -97,7 +97,7 @@
 test_unanswered_keeps_room(void)
 {
     runner_fixture fix;
-    Runner_EndRow ended = {1, RunnerFix_Run(1, 1), RUNNER_END_STOPPED};
+    Runner_EndedRun ended = {1, RunnerFix_Run(1, 1), RUNNER_END_STOPPED};
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 3000, 500);
@@ -107,7 +107,7 @@
     RunnerFix_CallRun(&fix, 2, 1, 1500, 500);
     g_assert_cmpint(fix.status, ==, LC_RUN_NO_ROOM);
     fix.now_ms += STEP_MS;
-    RunnerFix_AnswerLook(&fix, NULL, 0, &ended, 1);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, &ended, 1);
     /* After a refusal, an entry uses a new run number. */
     RunnerFix_CallRun(&fix, 2, 2, 1500, 500);
     g_assert_cmpint(fix.starts, ==, COPIES + 1);
@@ -135,9 +135,9 @@
 static void
 test_refused_copy_keeps_room(void)
 {
-    static const Runner_OrderEnd refusals[] = {
-        RUNNER_ORDER_NO_ROOM, RUNNER_ORDER_LATE,    RUNNER_ORDER_FENCED,
-        RUNNER_ORDER_UNWELL,  RUNNER_ORDER_REFUSED, RUNNER_ORDER_UNSENT,
+    static const Runner_OrderResult refusals[] = {
+        RUNNER_ORDER_NO_ROOM,   RUNNER_ORDER_EXPIRED, RUNNER_ORDER_FENCED,
+        RUNNER_ORDER_UNHEALTHY, RUNNER_ORDER_REFUSED, RUNNER_ORDER_UNSENT,
     };
     size_t i;
 
@@ -174,17 +174,17 @@
 test_old_after_copy(void)
 {
     runner_fixture fix;
-    Runner_EndRow ended = {1, RunnerFix_Run(1, 1), RUNNER_END_FAILED};
+    Runner_EndedRun ended = {1, RunnerFix_Run(1, 1), RUNNER_END_FAILED};
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 3000, 500);
     withhold_answers(&fix, STEP_MS);
     fix.replies = 0;
-    answer_start(&fix, RUNNER_ORDER_OLD);
+    answer_start(&fix, RUNNER_ORDER_SUPERSEDED);
     g_assert_cmpint(fix.replies, ==, 0);
     g_assert_cmpint(fix.stops, ==, 0);
     fix.now_ms += STEP_MS;
-    RunnerFix_AnswerLook(&fix, NULL, 0, &ended, 1);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, &ended, 1);
     g_assert_cmpint(fix.status, ==, LC_RUN_FAILED);
     Runner_Free(fix.runner);
 }
@@ -196,7 +196,7 @@
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 3000, 500);
-    answer_start(&fix, RUNNER_ORDER_TAKEN);
+    answer_start(&fix, RUNNER_ORDER_ACCEPTED);
     RunnerFix_CallHalt(&fix, 1, 1);
     withhold_answers(&fix, STEP_MS);
     g_assert_cmpint(fix.stops, >=, 2);
@@ -223,7 +223,7 @@
     withhold_answers(&fix, PAUSE_MS);
     Runner_Tick(fix.runner, fix.now_ms);
     g_assert_cmpint(fix.starts, ==, starts);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     Runner_State(fix.runner, fix.now_ms, &state);
     g_assert_cmpint(state.state, ==, LC_UPSTREAM_READY);
     Runner_Free(fix.runner);
@@ -248,18 +248,18 @@
 test_overdue_poll(void)
 {
     runner_fixture fix;
-    Runner_EndRow ended = {1, RunnerFix_Run(1, 1), RUNNER_END_DONE};
-    Runner_Listing late = {.end = RUNNER_ORDER_TAKEN,
+    Runner_EndedRun ended = {1, RunnerFix_Run(1, 1), RUNNER_END_DONE};
+    Runner_Listing late = {.end = RUNNER_ORDER_ACCEPTED,
                            .clock_ms = CLOCK_MS,
                            .ended = &ended,
                            .ended_count = 1};
     uint64_t first;
 
     new_with_run(&fix);
-    first = fix.look_id;
+    first = fix.poll_id;
     withhold_answers(&fix, 130);
-    g_assert_cmpuint(fix.look_id, >, first);
-    Runner_OnLook(fix.runner, fix.now_ms, first, &late);
+    g_assert_cmpuint(fix.poll_id, >, first);
+    Runner_OnPollAnswer(fix.runner, fix.now_ms, first, &late);
     g_assert_cmpint(fix.status, ==, LC_RUN_DONE);
     Runner_Free(fix.runner);
 }
@@ -269,19 +269,19 @@
 test_overtaken_poll(void)
 {
     runner_fixture fix;
-    Runner_Row running = {RunnerFix_Run(1, 1), 50};
-    Runner_EndRow ended = {1, RunnerFix_Run(1, 1), RUNNER_END_DONE};
-    Runner_Listing late = {.end = RUNNER_ORDER_TAKEN,
+    Runner_ActiveRun running = {RunnerFix_Run(1, 1), 50};
+    Runner_EndedRun ended = {1, RunnerFix_Run(1, 1), RUNNER_END_DONE};
+    Runner_Listing late = {.end = RUNNER_ORDER_ACCEPTED,
                            .clock_ms = CLOCK_MS,
                            .running = &running,
                            .running_count = 1};
     uint64_t first;
 
     new_with_run(&fix);
-    first = fix.look_id;
+    first = fix.poll_id;
     withhold_answers(&fix, 130);
-    RunnerFix_AnswerLook(&fix, NULL, 0, &ended, 1);
-    Runner_OnLook(fix.runner, fix.now_ms, first, &late);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, &ended, 1);
+    Runner_OnPollAnswer(fix.runner, fix.now_ms, first, &late);
     g_assert_cmpint(fix.stops, ==, 0);
     Runner_Free(fix.runner);
 }
@@ -297,8 +297,8 @@
     RunnerFix_CallRun(&fix, 1, 1, 1000, 500);
     fix.replies = 0;
     fix.now_ms += 5;
-    answer_start(&fix, RUNNER_ORDER_TAKEN);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    answer_start(&fix, RUNNER_ORDER_ACCEPTED);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     g_assert_cmpint(fix.replies, ==, 0);
     Runner_Free(fix.runner);
 }
@@ -309,19 +309,19 @@
 {
     runner_fixture fix;
     uint32_t usual_wait_ms;
-    Runner_Row running = {RunnerFix_Run(1, 1), 50};
+    Runner_ActiveRun running = {RunnerFix_Run(1, 1), 50};
 
     new_with_run(&fix);
-    usual_wait_ms = fix.look.wait_ms;
+    usual_wait_ms = fix.poll.wait_ms;
     withhold_answers(&fix, 130);
-    g_assert_cmpuint(fix.look.wait_ms, ==, 0);
-    RunnerFix_AnswerLook(&fix, &running, 1, NULL, 0);
-    g_assert_cmpuint(fix.look.wait_ms, >, 0);
-    g_assert_cmpuint(fix.look.wait_ms, <, usual_wait_ms);
+    g_assert_cmpuint(fix.poll.wait_ms, ==, 0);
+    RunnerFix_AnswerPoll(&fix, &running, 1, NULL, 0);
+    g_assert_cmpuint(fix.poll.wait_ms, >, 0);
+    g_assert_cmpuint(fix.poll.wait_ms, <, usual_wait_ms);
     Runner_Free(fix.runner);
 }
 
-static const RuleTable_Row rules[] = {
+static const TestTable_Row rules[] = {
     {"/orders/a start without an answer is sent again", test_start_sent_again},
     {"/orders/a start that was answered is not sent again",
      test_answered_start_not_sent_again},
@@ -350,5 +350,5 @@
 int
 main(int argc, char **argv)
 {
-    return RuleTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
+    return TestTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
 }
--- a/tests/prop_lease.cc
+++ b/tests/prop_lease.cc
@@ -11,7 +11,7 @@
 #include <cstdlib>
 #include <sstream>
 
-#include "tests/lease_world.h"
+#include "tests/lease_sim.h"
 
 namespace {
 
--- a/tests/pump.cc
+++ b/tests/pump.cc
@@ -211,7 +211,7 @@
                   (uint64_t)now.wall_ms * 1000 + ++incarnations_};
     leaving_since_.erase(node->address);
     if (node->is_entry) {
-        Board_Config config = Board_Defaults(node->self);
+        Entry_Config config = Entry_Defaults(node->self);
         config.seed = random();
         config.evidence_ms = plan_.evidence_ms;
         config.skew_ms = SKEW_MS;
@@ -281,7 +281,7 @@
     if (node->is_entry) {
         Entry_Tick(node->entry, time_of(node));
         if (Entry_IsDeposed(node->entry)) {
-            Entry_Abandon(node->entry, time_of(node));
+            Entry_AbandonCallers(node->entry, time_of(node));
             kill(node);
             boot(node);
             return;
@@ -329,7 +329,8 @@
                     return;
                 }
                 std::vector<lc_record> list;
-                uint64_t from = std::max(first, Entry_LogNext(node->entry));
+                uint64_t from = std::max(first,
+                                         Entry_NextLogOffset(node->entry));
                 for (uint64_t i = from; i <= records.size(); i++) {
                     list.push_back(
                         {i, const_cast<char *>(records[i - 1].c_str())});
@@ -353,7 +354,7 @@
 {
     schedule_input(address, generation, now_ms_ + HOSTS_POLL_MS,
                    [this, generation](Node *node) {
-                       std::vector<Members_Host> rows;
+                       std::vector<Membership_Host> rows;
                        for (auto &pair : hosts_shown_) {
                            rows.push_back(pair.second);
                        }
@@ -368,8 +369,8 @@
                           int64_t lag_ms)
 {
     bool is_entry = address < BASE + 7001 + plan_.entries;
-    Members_Host row = {address, is_entry ? LC_ROLE_ENTRY : LC_ROLE_COMPANION,
-                        leaving};
+    Membership_Host row = {
+        address, is_entry ? LC_ROLE_ENTRY : LC_ROLE_COMPANION, leaving};
 
     schedule(now_ms_ + lag_ms, [this, address, listed, row] {
         if (listed) {
@@ -617,9 +618,10 @@
                    [this, run_id, key, index](Node *alive) {
                        alive->running--;
                        std::string result = result_text(key, index);
-                       Companion_OnRun(alive->companion, time_of(alive),
-                                       run_id, COMPANION_RUN_DONE, 200,
-                                       result.data(), (uint32_t)result.size());
+                       Companion_OnRunEnd(alive->companion, time_of(alive),
+                                          run_id, COMPANION_RUN_DONE, 200,
+                                          result.data(),
+                                          (uint32_t)result.size());
                    });
 }
 
--- a/tests/pump_callers.cc
+++ b/tests/pump_callers.cc
@@ -9,9 +9,9 @@
 {
     Job job;
 
-    job.key = Key_Mint(START_WALL_MS + now_ms_ + (int64_t)below(SKEW_MS) -
-                           SKEW_MS / 2,
-                       random(), random());
+    job.key = Key_Create(START_WALL_MS + now_ms_ + (int64_t)below(SKEW_MS) -
+                             SKEW_MS / 2,
+                         random(), random());
     job.tasks = 1 + (uint32_t)below(plan_.max_tasks);
     job.repeatable = chance(500);
     jobs_.push_back(job);
@@ -133,7 +133,7 @@
 Simulation::edit(const char *group)
 {
     Node *node = find(entries_[below(entries_.size())]);
-    Table_Row row;
+    GroupTable_Row row;
     Status status;
     int64_t weight = 1 + (int64_t)below(50);
 
@@ -147,9 +147,9 @@
         (json_int_t)(large ? plan_.starts_per_s : 0), "max_wait_ms",
         (json_int_t)(large && plan_.starts_per_s == 0 ? 0
                                                       : plan_.max_wait_ms));
-    Table_RowFromJson(group, value, &row, &status);
+    GroupTable_RowFromJson(group, value, &row, &status);
     json_decref(value);
-    uint64_t base = Table_Version(Entry_Table(node->entry), group);
+    uint64_t base = GroupTable_Version(Entry_Table(node->entry), group);
     edit_requests_.push_back({group, weight, base});
     Entry_Edit(node->entry, time_of(node), edit_requests_.size() - 1, group,
                base, &row);
--- a/tests/pump_checks.cc
+++ b/tests/pump_checks.cc
@@ -6,11 +6,12 @@
 void
 Simulation::check_versions(Node *node)
 {
-    const Table *table = node->is_entry ? Entry_Table(node->entry)
-                                        : Companion_Table(node->companion);
+    const GroupTable *table = node->is_entry
+                                  ? Entry_Table(node->entry)
+                                  : Companion_Table(node->companion);
 
     for (const char *group : {"small", "large"}) {
-        uint64_t version = Table_Version(table, group);
+        uint64_t version = GroupTable_Version(table, group);
         uint64_t &seen = node->versions[group];
         if (version < seen) {
             report_.table.push_back(format("%s: %s reverted from %llu to %llu",
@@ -46,9 +47,10 @@
 {
     for (auto &pair : nodes_) {
         const Node *node = pair.second.get();
-        const Table *table = node->is_entry ? Entry_Table(node->entry)
-                                            : Companion_Table(node->companion);
-        if (Table_Version(table, edit.group.c_str()) < edit.version) {
+        const GroupTable *table = node->is_entry
+                                      ? Entry_Table(node->entry)
+                                      : Companion_Table(node->companion);
+        if (GroupTable_Version(table, edit.group.c_str()) < edit.version) {
             report_.table.push_back(
                 format("%s has not applied %s at version %llu",
                        Address_Text(node->address), edit.group.c_str(),
@@ -153,11 +155,13 @@
         if (!node->alive) {
             continue;
         }
-        const Table *table = node->is_entry ? Entry_Table(node->entry)
-                                            : Companion_Table(node->companion);
+        const GroupTable *table = node->is_entry
+                                      ? Entry_Table(node->entry)
+                                      : Companion_Table(node->companion);
         for (auto &item : last) {
-            uint64_t version = Table_Version(table, item.first.c_str());
-            const Table_Row *row = Table_Find(table, item.first.c_str());
+            uint64_t version = GroupTable_Version(table, item.first.c_str());
+            const GroupTable_Row *row = GroupTable_Find(table,
+                                                        item.first.c_str());
             if (version < item.second->version ||
                 (version == item.second->version &&
                  (row == nullptr || row->weight != item.second->weight))) {
--- a/tests/pump_world.h
+++ b/tests/pump_world.h
@@ -158,8 +158,8 @@
     std::vector<std::string> log_;
     std::vector<int64_t> log_times_;
     uint64_t log_first_ = 1;
-    std::map<Address, Members_Host> hosts_truth_;
-    std::map<Address, Members_Host> hosts_shown_;
+    std::map<Address, Membership_Host> hosts_truth_;
+    std::map<Address, Membership_Host> hosts_shown_;
     std::vector<Start> starts_;
     std::vector<Job> jobs_;
     std::vector<Attempt> attempts_;
--- a/tests/rebirth_rules.c
+++ b/tests/rebirth_rules.c
@@ -9,8 +9,8 @@
 
 #include "base/clock.h"
 #include "lease/run_id.h"
-#include "tests/rule_table.h"
 #include "tests/runner_fixture.h"
+#include "tests/test_table.h"
 
 #define FIRST_BORN_MS 1700000000000
 #define NEXT_BORN_MS 1700000005000
@@ -24,8 +24,8 @@
 {
     RunnerFix_New(fix);
     fix->born_ms = FIRST_BORN_MS;
-    RunnerFix_Beat(fix, RUNNER_UPSTREAM_READY);
-    RunnerFix_AnswerLook(fix, NULL, 0, NULL, 0);
+    RunnerFix_Heartbeat(fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_AnswerPoll(fix, NULL, 0, NULL, 0);
     RunnerFix_BeginTask(fix);
 }
 
@@ -36,7 +36,7 @@
 {
     fix->born_ms = NEXT_BORN_MS;
     fix->clock_ms = 1000;
-    fix->beats = 0;
+    fix->heartbeats = 0;
 }
 
 /* The entry renews its lease for valid_ms. */
@@ -59,13 +59,13 @@
 
     begin_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
-    token = fix.look.token;
+    token = fix.poll.token;
     restart_upstream(&fix);
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
-    g_assert_cmpint(fix.look.token, >, token);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
+    g_assert_cmpint(fix.poll.token, >, token);
     g_assert_cmpint(fix.replies, ==, 0);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     g_assert_cmpint(fix.replies, ==, 1);
     g_assert_cmpint(fix.status, ==, LC_RUN_CRASHED);
     g_assert_true(RunnerFix_TakesTask(&fix, 2));
@@ -84,11 +84,11 @@
     begin_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
     restart_upstream(&fix);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     g_assert_cmpint(fix.status, ==, LC_RUN_CRASHED);
     g_assert_false(RunnerFix_TakesTask(&fix, 2));
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
     g_assert_true(RunnerFix_TakesTask(&fix, 3));
     Runner_Free(fix.runner);
 }
@@ -99,25 +99,25 @@
 test_ends_of_next_incarnation_are_read(void)
 {
     runner_fixture fix;
-    Runner_EndRow many = {57, RunnerFix_Run(1, 1), RUNNER_END_DONE};
-    Runner_EndRow one = {1, RunnerFix_Run(2, 1), RUNNER_END_DONE};
+    Runner_EndedRun many = {57, RunnerFix_Run(1, 1), RUNNER_END_DONE};
+    Runner_EndedRun one = {1, RunnerFix_Run(2, 1), RUNNER_END_DONE};
 
     begin_task(&fix);
-    RunnerFix_AnswerLook(&fix, NULL, 0, &many, 1);
-    g_assert_cmpint((int64_t)fix.look.last_seen, ==, 57);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, &many, 1);
+    g_assert_cmpint((int64_t)fix.poll.last_seen, ==, 57);
     restart_upstream(&fix);
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
-    g_assert_cmpint((int64_t)fix.look.last_seen, ==, 0);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
+    g_assert_cmpint((int64_t)fix.poll.last_seen, ==, 0);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     g_assert_true(RunnerFix_TakesTask(&fix, 2));
-    Runner_OnStarted(fix.runner, fix.now_ms, fix.start_id, RUNNER_ORDER_TAKEN,
-                     1000);
-    g_assert_cmpint((int64_t)fix.look.last_seen, ==, 0);
+    Runner_OnStarted(fix.runner, fix.now_ms, fix.start_id,
+                     RUNNER_ORDER_ACCEPTED, 1000);
+    g_assert_cmpint((int64_t)fix.poll.last_seen, ==, 0);
     fix.status = LC_RUN_LOST;
-    RunnerFix_AnswerLook(&fix, NULL, 0, &one, 1);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, &one, 1);
     g_assert_cmpint(fix.status, ==, LC_RUN_DONE);
-    g_assert_cmpint((int64_t)fix.look.last_seen, ==, 1);
+    g_assert_cmpint((int64_t)fix.poll.last_seen, ==, 1);
     Runner_Free(fix.runner);
 }
 
@@ -126,17 +126,17 @@
 test_ends_are_acknowledged_once(void)
 {
     runner_fixture fix;
-    Runner_EndRow ended = {57, RunnerFix_Run(1, 1), RUNNER_END_DONE};
+    Runner_EndedRun ended = {57, RunnerFix_Run(1, 1), RUNNER_END_DONE};
 
     begin_task(&fix);
-    RunnerFix_AnswerLook(&fix, NULL, 0, &ended, 1);
-    g_assert_cmpint((int64_t)fix.look.last_seen, ==, 57);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, &ended, 1);
+    g_assert_cmpint((int64_t)fix.poll.last_seen, ==, 57);
     fix.now_ms += 150;
-    Runner_Wake(fix.runner, fix.now_ms);
-    g_assert_cmpint((int64_t)fix.look.last_seen, ==, 57);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    Runner_CheckOverdue(fix.runner, fix.now_ms);
+    g_assert_cmpint((int64_t)fix.poll.last_seen, ==, 57);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     RunnerFix_CallRun(&fix, 2, 1, 1000, 500);
-    g_assert_cmpint((int64_t)fix.look.last_seen, ==, 0);
+    g_assert_cmpint((int64_t)fix.poll.last_seen, ==, 0);
     Runner_Free(fix.runner);
 }
 
@@ -151,8 +151,8 @@
     RunnerFix_CallRun(&fix, 2, 1, 1000, 500);
     RunnerFix_AnswerRunning(&fix, 1);
     restart_upstream(&fix);
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     fix.replies = 0;
     RunnerFix_AnswerRunning(&fix, 2);
     g_assert_cmpint(fix.replies, ==, 1); /* job 1 */
@@ -160,10 +160,10 @@
     g_assert_cmpuint(fix.stopped.job, ==, 2);
     g_assert_false(RunnerFix_TakesTask(&fix, 3));
     fix.replies = 0;
-    Runner_OnStopped(fix.runner, fix.now_ms, fix.stop_id, RUNNER_ORDER_TAKEN,
-                     1000);
+    Runner_OnStopped(fix.runner, fix.now_ms, fix.stop_id,
+                     RUNNER_ORDER_ACCEPTED, 1000);
     fix.now_ms += 60;
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     g_assert_cmpint(fix.replies, ==, 1);
     g_assert_true(RunnerFix_TakesTask(&fix, 4));
     Runner_Free(fix.runner);
@@ -175,11 +175,11 @@
 static void
 end_and_release(runner_fixture *fix, const lc_run_id *run)
 {
-    Runner_EndRow ended = {5, *run, RUNNER_END_DONE};
+    Runner_EndedRun ended = {5, *run, RUNNER_END_DONE};
 
-    RunnerFix_AnswerLook(fix, NULL, 0, &ended, 1);
+    RunnerFix_AnswerPoll(fix, NULL, 0, &ended, 1);
     RunnerFix_Release(fix, run);
-    RunnerFix_AnswerLook(fix, NULL, 0, &ended, 1);
+    RunnerFix_AnswerPoll(fix, NULL, 0, &ended, 1);
 }
 
 /* Sets up a kept run that has ended and been released; the first copy of its
@@ -192,10 +192,10 @@
     RunnerFix_CallRun(fix, run->job, run->run, 1000, 500);
     *first_copy = fix->start_id;
     fix->now_ms += 150;
-    Runner_Wake(fix->runner, fix->now_ms);
+    Runner_CheckOverdue(fix->runner, fix->now_ms);
     g_assert_cmpint(fix->starts, ==, 2);
     Runner_OnStarted(fix->runner, fix->now_ms, fix->start_id,
-                     RUNNER_ORDER_TAKEN, CLOCK_MS);
+                     RUNNER_ORDER_ACCEPTED, CLOCK_MS);
     end_and_release(fix, run);
     g_assert_cmpint(fix->status, ==, LC_RUN_DONE);
 }
@@ -207,7 +207,7 @@
 {
     fix->now_ms += ms;
     Runner_Tick(fix->runner, fix->now_ms);
-    return (int64_t)fix->look.last_seen;
+    return (int64_t)fix->poll.last_seen;
 }
 
 /* Guards against a restarted upstream executing the unanswered copy after the
@@ -215,7 +215,7 @@
 static void
 test_unanswered_start_holds_the_end(void)
 {
-    lc_run_id run = RunnerFix_Run(1, RUN_ID_KEPT_BASE + 1);
+    lc_run_id run = RunnerFix_Run(1, RUN_ID_DURABLE_BASE + 1);
     runner_fixture fix;
     uint64_t first;
 
@@ -228,13 +228,13 @@
 static void
 test_answered_start_does_not_hold_the_end(void)
 {
-    lc_run_id run = RunnerFix_Run(1, RUN_ID_KEPT_BASE + 1);
+    lc_run_id run = RunnerFix_Run(1, RUN_ID_DURABLE_BASE + 1);
     runner_fixture fix;
     uint64_t first;
 
     set_up_unanswered_start(&fix, &run, &first);
     g_assert_cmpint(last_seen_after(&fix, 50), ==, 4);
-    Runner_OnStarted(fix.runner, fix.now_ms, first, RUNNER_ORDER_OLD,
+    Runner_OnStarted(fix.runner, fix.now_ms, first, RUNNER_ORDER_SUPERSEDED,
                      CLOCK_MS);
     g_assert_cmpint(last_seen_after(&fix, 50), ==, 5);
     Runner_Free(fix.runner);
@@ -245,7 +245,7 @@
 static void
 test_broken_connection_holds_the_end(void)
 {
-    lc_run_id run = RunnerFix_Run(1, RUN_ID_KEPT_BASE + 1);
+    lc_run_id run = RunnerFix_Run(1, RUN_ID_DURABLE_BASE + 1);
     runner_fixture fix;
     uint64_t first;
 
@@ -261,11 +261,11 @@
 static void
 test_ends_found_after_restart_are_held(void)
 {
-    lc_run_id run = RunnerFix_Run(1, RUN_ID_KEPT_BASE + 1);
+    lc_run_id run = RunnerFix_Run(1, RUN_ID_DURABLE_BASE + 1);
     runner_fixture fix;
 
     RunnerFix_New(&fix);
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
     end_and_release(&fix, &run);
     g_assert_cmpint(last_seen_after(&fix, RUNNER_FIX_LATE_MS - 50), ==, 4);
     g_assert_cmpint(last_seen_after(&fix, 100), ==, 5);
@@ -277,24 +277,24 @@
 static void
 test_earlier_start_holds_the_end(void)
 {
-    lc_run_id run = RunnerFix_Run(1, RUN_ID_KEPT_BASE + 2);
+    lc_run_id run = RunnerFix_Run(1, RUN_ID_DURABLE_BASE + 2);
     runner_fixture fix;
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, run.run - 1, 1000, 500);
     RunnerFix_CallHalt(&fix, 1, run.run - 1);
-    Runner_OnStopped(fix.runner, fix.now_ms, fix.stop_id, RUNNER_ORDER_TAKEN,
-                     CLOCK_MS);
+    Runner_OnStopped(fix.runner, fix.now_ms, fix.stop_id,
+                     RUNNER_ORDER_ACCEPTED, CLOCK_MS);
     fix.now_ms += 50;
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     g_assert_cmpint(fix.status, ==, LC_RUN_STOPPED);
     fix.now_ms += 4200;
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
     Runner_Tick(fix.runner, fix.now_ms);
     RunnerFix_CallRun(&fix, 1, run.run, 1000, 500);
-    Runner_OnStarted(fix.runner, fix.now_ms, fix.start_id, RUNNER_ORDER_TAKEN,
-                     CLOCK_MS);
+    Runner_OnStarted(fix.runner, fix.now_ms, fix.start_id,
+                     RUNNER_ORDER_ACCEPTED, CLOCK_MS);
     fix.now_ms += 50;
     end_and_release(&fix, &run);
     g_assert_cmpint(last_seen_after(&fix, 50), ==, 4);
@@ -307,26 +307,26 @@
 static void
 test_held_ends_do_not_hide_newer_ones(void)
 {
-    lc_run_id run = RunnerFix_Run(1, RUN_ID_KEPT_BASE + 1);
-    Runner_EndRow ended[RUNNER_MOST_HELD + 1];
+    lc_run_id run = RunnerFix_Run(1, RUN_ID_DURABLE_BASE + 1);
+    Runner_EndedRun ended[RUNNER_MAX_HELD_ENDS + 1];
     runner_fixture fix;
     uint64_t first;
     uint32_t i;
 
     set_up_unanswered_start(&fix, &run, &first);
-    for (i = 0; i <= RUNNER_MOST_HELD; i++) {
+    for (i = 0; i <= RUNNER_MAX_HELD_ENDS; i++) {
         ended[i].number = 5 + i;
         ended[i].id = i == 0 ? run : RunnerFix_Run(100 + i, 1);
         ended[i].end = RUNNER_END_DONE;
     }
     fix.now_ms += 50;
     RunnerFix_CallRun(&fix, 2, 1, 1000, 500);
-    RunnerFix_AnswerLook(&fix, NULL, 0, ended, RUNNER_MOST_HELD);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, ended, RUNNER_MAX_HELD_ENDS);
     g_assert_cmpint(last_seen_after(&fix, 50), ==, 0);
-    RunnerFix_AnswerLook(&fix, NULL, 0, ended, RUNNER_MOST_HELD + 1);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, ended, RUNNER_MAX_HELD_ENDS + 1);
     g_assert_cmpint(last_seen_after(&fix, 50), ==, 0);
-    RunnerFix_AnswerLook(&fix, NULL, 0, ended, RUNNER_MOST_HELD + 1);
-    g_assert_cmpint(last_seen_after(&fix, 50), ==, 5 + RUNNER_MOST_HELD);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, ended, RUNNER_MAX_HELD_ENDS + 1);
+    g_assert_cmpint(last_seen_after(&fix, 50), ==, 5 + RUNNER_MAX_HELD_ENDS);
     Runner_Free(fix.runner);
 }
 
@@ -342,11 +342,11 @@
     RunnerFix_CallRun(&fix, 2, 1, 1000, 500);
     starts = fix.starts;
     restart_upstream(&fix);
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     fix.now_ms += 60;
     Runner_Tick(fix.runner, fix.now_ms);
-    Runner_Wake(fix.runner, fix.now_ms);
+    Runner_CheckOverdue(fix.runner, fix.now_ms);
     g_assert_cmpint(fix.starts, ==, starts);
     Runner_Free(fix.runner);
 }
@@ -362,10 +362,10 @@
     RunnerFix_AnswerRunning(&fix, 1);
     RunnerFix_CallRun(&fix, 2, 1, 1000, 500);
     restart_upstream(&fix);
-    Runner_OnStarted(fix.runner, fix.now_ms, fix.start_id, RUNNER_ORDER_TAKEN,
-                     1000);
+    Runner_OnStarted(fix.runner, fix.now_ms, fix.start_id,
+                     RUNNER_ORDER_ACCEPTED, 1000);
     g_assert_false(RunnerFix_TakesTask(&fix, 3));
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     RunnerFix_AnswerRunning(&fix, 2);
     g_assert_cmpint(fix.stops, ==, 1);
     Runner_Free(fix.runner);
@@ -378,11 +378,11 @@
 
     begin_task(&fix);
     restart_upstream(&fix);
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     fix.born_ms = FIRST_BORN_MS;
-    RunnerFix_BeatOf(&fix, "i-1", 99, RUNNER_UPSTREAM_DRAINING);
+    RunnerFix_HeartbeatOf(&fix, "i-1", 99, RUNNER_UPSTREAM_DRAINING);
     g_assert_true(RunnerFix_TakesTask(&fix, 2));
     Runner_Free(fix.runner);
 }
@@ -397,7 +397,7 @@
     begin_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
     fix.born_ms = NEXT_BORN_MS;
-    RunnerFix_BeatOf(&fix, "i-1", 50, RUNNER_UPSTREAM_DRAINING);
+    RunnerFix_HeartbeatOf(&fix, "i-1", 50, RUNNER_UPSTREAM_DRAINING);
     fix.born_ms = FIRST_BORN_MS;
     RunnerFix_AnswerRunning(&fix, 1);
     RunnerFix_AnswerRunning(&fix, 1);
@@ -405,9 +405,9 @@
     g_assert_true(RunnerFix_TakesTask(&fix, 2));
     fix.born_ms = FIRST_BORN_MS - 60000;
     fix.clock_ms = 1000;
-    RunnerFix_BeatOf(&fix, "i-1", 1, RUNNER_UPSTREAM_READY);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_HeartbeatOf(&fix, "i-1", 1, RUNNER_UPSTREAM_READY);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     g_assert_cmpint(fix.status, ==, LC_RUN_CRASHED);
     g_assert_true(RunnerFix_TakesTask(&fix, 3));
     Runner_Free(fix.runner);
@@ -422,10 +422,10 @@
 
     begin_task(&fix);
     fix.born_ms = 0;
-    RunnerFix_BeatOf(&fix, "i-1", 99, RUNNER_UPSTREAM_DRAINING);
+    RunnerFix_HeartbeatOf(&fix, "i-1", 99, RUNNER_UPSTREAM_DRAINING);
     fix.born_ms = FIRST_BORN_MS;
     g_assert_true(RunnerFix_TakesTask(&fix, 2));
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_DRAINING);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_DRAINING);
     g_assert_false(RunnerFix_TakesTask(&fix, 3));
     Runner_Free(fix.runner);
 }
@@ -460,17 +460,17 @@
 {
     runner_fixture fix;
     static const char *const labels[] = {NULL};
-    Runner_Upstream heartbeat = {.instance = "i-1",
-                                 .born_ms = FIRST_BORN_MS,
-                                 .sequence = 99,
-                                 .service = "other",
-                                 .says = RUNNER_UPSTREAM_DRAINING,
-                                 .labels = labels};
+    Runner_Heartbeat heartbeat = {.instance = "i-1",
+                                  .born_ms = FIRST_BORN_MS,
+                                  .sequence = 99,
+                                  .service = "other",
+                                  .reported_state = RUNNER_UPSTREAM_DRAINING,
+                                  .labels = labels};
 
     begin_task(&fix);
-    Runner_OnUpstream(fix.runner, fix.now_ms, &heartbeat);
+    Runner_OnHeartbeat(fix.runner, fix.now_ms, &heartbeat);
     g_assert_true(RunnerFix_TakesTask(&fix, 2));
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
     g_assert_true(RunnerFix_TakesTask(&fix, 3));
     Runner_Free(fix.runner);
 }
@@ -507,7 +507,7 @@
     Runner_OnSuspended(fix.runner, fix.now_ms, 9000);
     Runner_Tick(fix.runner, fix.now_ms);
     g_assert_cmpint(fix.stops, ==, 1);
-    Runner_OnLook(fix.runner, fix.now_ms, fix.look_id, &none);
+    Runner_OnPollAnswer(fix.runner, fix.now_ms, fix.poll_id, &none);
     Runner_Tick(fix.runner, fix.now_ms + 50);
     g_assert_cmpint(fix.replies, ==, 0);
     Runner_Tick(fix.runner, fix.now_ms + 700);
@@ -562,7 +562,7 @@
         Runner_OnCall(fix.runner, fix.now_ms, 5, &late);
         g_assert_cmpint(fix.starts, ==, starts);
         g_assert_cmpint(fix.status, ==, LC_RUN_EXPIRED);
-        RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
+        RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
         g_assert_true(RunnerFix_TakesTask(&fix, 8));
         g_assert_cmpint(fix.start.deadline_ms, <=,
                         fix.clock_ms + fix.now_ms - START_MS + 600);
@@ -573,15 +573,16 @@
 static void
 test_clock_counts_suspensions(void)
 {
-    Clock_Suspension suspension;
+    Clock_SuspendTracker suspension;
     int64_t before = Clock_NowMs();
 
-    Clock_Follow(&suspension, Clock_Read());
-    g_assert_cmpint(Clock_Suspended(&suspension, Clock_Read()), ==, 0);
+    Clock_InitTracker(&suspension, Clock_Read());
+    g_assert_cmpint(Clock_TakeSuspendedMs(&suspension, Clock_Read()), ==, 0);
     Clock_TestSuspend(7000);
     g_assert_cmpint(Clock_NowMs() - before, >=, 7000);
-    g_assert_cmpint(Clock_Suspended(&suspension, Clock_Read()), >=, 7000);
-    g_assert_cmpint(Clock_Suspended(&suspension, Clock_Read()), ==, 0);
+    g_assert_cmpint(Clock_TakeSuspendedMs(&suspension, Clock_Read()), >=,
+                    7000);
+    g_assert_cmpint(Clock_TakeSuspendedMs(&suspension, Clock_Read()), ==, 0);
 }
 
 /* ---- tasks that crash their upstream ---- */
@@ -591,9 +592,9 @@
 crash(runner_fixture *fix)
 {
     restart_upstream(fix);
-    RunnerFix_Beat(fix, RUNNER_UPSTREAM_READY);
-    RunnerFix_AnswerLook(fix, NULL, 0, NULL, 0);
-    RunnerFix_AnswerLook(fix, NULL, 0, NULL, 0);
+    RunnerFix_Heartbeat(fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_AnswerPoll(fix, NULL, 0, NULL, 0);
+    RunnerFix_AnswerPoll(fix, NULL, 0, NULL, 0);
     return fix->status;
 }
 
@@ -613,17 +614,17 @@
 test_old_runs_are_not_blamed(void)
 {
     runner_fixture fix;
-    Runner_Row row = {RunnerFix_Run(1, 1), 0};
+    Runner_ActiveRun row = {RunnerFix_Run(1, 1), 0};
     int i;
 
     begin_task(&fix);
     for (i = 0; i < 100; i++) {
         renew(&fix, 589);
         row.percent = (uint32_t)i;
-        RunnerFix_AnswerLook(&fix, &row, 1, NULL, 0);
+        RunnerFix_AnswerPoll(&fix, &row, 1, NULL, 0);
         fix.now_ms += 100;
     }
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
     g_assert_cmpint(crash(&fix), ==, LC_RUN_LOST);
     Runner_Free(fix.runner);
 }
@@ -636,7 +637,7 @@
 
     begin_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_DRAINING);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_DRAINING);
     g_assert_cmpint(crash(&fix), ==, LC_RUN_LOST);
     Runner_Free(fix.runner);
 }
@@ -650,7 +651,7 @@
 
     begin_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
-    Runner_OnLook(fix.runner, fix.now_ms, fix.look_id, &none);
+    Runner_OnPollAnswer(fix.runner, fix.now_ms, fix.poll_id, &none);
     renew(&fix, 2500);
     fix.now_ms += 2000;
     Runner_Tick(fix.runner, fix.now_ms);
@@ -698,13 +699,13 @@
     g_assert_cmpuint(reported_cpu_milli(&fix), ==, 2000);
     version = Runner_Version(fix.runner);
     fix.cpu_milli = 2100;
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
     g_assert_cmpuint(Runner_Version(fix.runner), >, version);
     g_assert_cmpuint(reported_cpu_milli(&fix), ==, 100);
     RunnerFix_CallHalt(&fix, 1, 1);
     g_assert_cmpuint(reported_cpu_milli(&fix), ==, 100);
     fix.cpu_milli = 1500;
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
     g_assert_cmpuint(reported_cpu_milli(&fix), ==, 0);
     g_assert_false(RunnerFix_TakesTask(&fix, 3));
     g_assert_cmpint(fix.status, ==, LC_RUN_NO_ROOM);
@@ -718,18 +719,18 @@
 
     begin_task(&fix);
     fix.cpu_milli = 500;
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
     g_assert_cmpuint(reported_cpu_milli(&fix), ==, 0);
     RunnerFix_AnswerRunning(&fix, 1);
     g_assert_cmpint(fix.stops, ==, 0);
     fix.cpu_milli = 4000;
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
     g_assert_cmpuint(reported_cpu_milli(&fix), ==, 3000);
     g_assert_true(RunnerFix_TakesTask(&fix, 2));
     Runner_Free(fix.runner);
 }
 
-static const RuleTable_Row rules[] = {
+static const TestTable_Row rules[] = {
     {"/rebirth/a heartbeat of a later life",
      test_heartbeat_of_next_incarnation},
     {"/rebirth/a list of runs is the first sign",
@@ -784,5 +785,5 @@
 int
 main(int argc, char **argv)
 {
-    return RuleTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
+    return TestTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
 }
--- a/tests/registry_rules.c
+++ b/tests/registry_rules.c
@@ -2,8 +2,8 @@
  * records. */
 #include <glib.h>
 
-#include "lease/registry.h"
-#include "tests/rule_table.h"
+#include "lease/entry_registry.h"
+#include "tests/test_table.h"
 
 #define SELF 100
 #define OTHER 200
@@ -11,7 +11,7 @@
 #define START_MS 1000
 
 typedef struct {
-    Registry registry;
+    Entry_Registry registry;
     Peers peers;
     Address gone;
 } fixture;
@@ -20,35 +20,35 @@
 begin(fixture *f, Address self)
 {
     Peers_Init(&f->peers, self == 0 ? 1 : self);
-    Registry_Init(&f->registry, self, START_MS);
+    EntryRegistry_Init(&f->registry, self, START_MS);
     f->gone = 0;
 }
 
 static void
 end(fixture *f)
 {
-    Registry_Clear(&f->registry);
+    EntryRegistry_Clear(&f->registry);
     Peers_Clear(&f->peers);
 }
 
-static Registry_Step
+static EntryRegistry_Step
 next(fixture *f, int64_t now_ms)
 {
-    return Registry_Next(&f->registry, now_ms, &f->peers, &f->gone);
+    return EntryRegistry_Next(&f->registry, now_ms, &f->peers, &f->gone);
 }
 
 /* The registry holds the first `count` of these entries. */
 static void
 answer(fixture *f, int64_t now_ms, const Address *entries, guint count)
 {
-    GArray *list = g_array_new(FALSE, FALSE, sizeof(Peers_Named));
+    GArray *list = g_array_new(FALSE, FALSE, sizeof(Peers_RegistryRecord));
     guint i;
 
     for (i = 0; i < count; i++) {
-        Peers_Named named = {entries[i], "own"};
+        Peers_RegistryRecord named = {entries[i], "own"};
         g_array_append_val(list, named);
     }
-    Registry_OnRead(&f->registry, now_ms, list, &f->peers);
+    EntryRegistry_OnRead(&f->registry, now_ms, list, &f->peers);
     g_array_unref(list);
 }
 
@@ -60,8 +60,8 @@
     fixture f;
 
     begin(&f, SELF);
-    g_assert_cmpint(next(&f, START_MS), ==, REGISTRY_READ);
-    g_assert_cmpint(next(&f, START_MS + 5000), ==, REGISTRY_WAIT);
+    g_assert_cmpint(next(&f, START_MS), ==, ENTRY_REGISTRY_READ);
+    g_assert_cmpint(next(&f, START_MS + 5000), ==, ENTRY_REGISTRY_WAIT);
     end(&f);
 }
 
@@ -90,10 +90,11 @@
     begin(&f, SELF);
     next(&f, now_ms);
     for (i = 0; i < G_N_ELEMENTS(delays); i++) {
-        Registry_OnRead(&f.registry, now_ms, NULL, &f.peers);
-        g_assert_cmpint(next(&f, now_ms + delays[i] - 1), ==, REGISTRY_WAIT);
+        EntryRegistry_OnRead(&f.registry, now_ms, NULL, &f.peers);
+        g_assert_cmpint(next(&f, now_ms + delays[i] - 1), ==,
+                        ENTRY_REGISTRY_WAIT);
         now_ms += delays[i];
-        g_assert_cmpint(next(&f, now_ms), ==, REGISTRY_READ);
+        g_assert_cmpint(next(&f, now_ms), ==, ENTRY_REGISTRY_READ);
     }
     end(&f);
 }
@@ -106,9 +107,9 @@
     begin(&f, SELF);
     next(&f, START_MS);
     answer(&f, START_MS, &all_entries[1], 2);
-    g_assert_cmpint(next(&f, START_MS), ==, REGISTRY_PUT);
-    Registry_OnWritten(&f.registry, START_MS, true);
-    g_assert_cmpint(next(&f, START_MS), ==, REGISTRY_WAIT);
+    g_assert_cmpint(next(&f, START_MS), ==, ENTRY_REGISTRY_WRITE);
+    EntryRegistry_OnWritten(&f.registry, START_MS, true);
+    g_assert_cmpint(next(&f, START_MS), ==, ENTRY_REGISTRY_WAIT);
     end(&f);
 }
 
@@ -121,10 +122,10 @@
     next(&f, START_MS);
     answer(&f, START_MS, &all_entries[1], 2);
     next(&f, START_MS);
-    Registry_OnWritten(&f.registry, START_MS, false);
-    g_assert_cmpint(next(&f, START_MS + 100), ==, REGISTRY_READ);
+    EntryRegistry_OnWritten(&f.registry, START_MS, false);
+    g_assert_cmpint(next(&f, START_MS + 100), ==, ENTRY_REGISTRY_READ);
     answer(&f, START_MS + 100, &all_entries[1], 2);
-    g_assert_cmpint(next(&f, START_MS + 100), ==, REGISTRY_PUT);
+    g_assert_cmpint(next(&f, START_MS + 100), ==, ENTRY_REGISTRY_WRITE);
     end(&f);
 }
 
@@ -136,7 +137,7 @@
     begin(&f, SELF);
     next(&f, START_MS);
     answer(&f, START_MS, all_entries, 3);
-    g_assert_cmpint(next(&f, START_MS), ==, REGISTRY_WAIT);
+    g_assert_cmpint(next(&f, START_MS), ==, ENTRY_REGISTRY_WAIT);
     end(&f);
 }
 
@@ -148,8 +149,8 @@
     begin(&f, 0);
     next(&f, START_MS);
     answer(&f, START_MS, all_entries, 3);
-    g_assert_cmpint(next(&f, START_MS + 999), ==, REGISTRY_WAIT);
-    g_assert_cmpint(next(&f, START_MS + 1000), ==, REGISTRY_READ);
+    g_assert_cmpint(next(&f, START_MS + 999), ==, ENTRY_REGISTRY_WAIT);
+    g_assert_cmpint(next(&f, START_MS + 1000), ==, ENTRY_REGISTRY_READ);
     end(&f);
 }
 
@@ -162,11 +163,11 @@
     begin(&f, 0);
     next(&f, START_MS);
     answer(&f, START_MS, all_entries, 3);
-    Peers_Hear(&f.peers, OTHER, START_MS + 500);
-    g_assert_cmpint(next(&f, START_MS + 5000), ==, REGISTRY_WAIT);
-    g_assert_cmpint(next(&f, START_MS + 9000), ==, REGISTRY_READ);
+    Peers_MarkAlive(&f.peers, OTHER, START_MS + 500);
+    g_assert_cmpint(next(&f, START_MS + 5000), ==, ENTRY_REGISTRY_WAIT);
+    g_assert_cmpint(next(&f, START_MS + 9000), ==, ENTRY_REGISTRY_READ);
     answer(&f, START_MS + 9000, NULL, 0);
-    g_assert_cmpint(next(&f, START_MS + 9001), ==, REGISTRY_WAIT);
+    g_assert_cmpint(next(&f, START_MS + 9001), ==, ENTRY_REGISTRY_WAIT);
     end(&f);
 }
 
@@ -177,19 +178,19 @@
 
     begin(&f, SELF);
     next(&f, START_MS);
-    Peers_Hear(&f.peers, OTHER, START_MS);
+    Peers_MarkAlive(&f.peers, OTHER, START_MS);
     answer(&f, START_MS, all_entries, 3);
-    Peers_Hear(&f.peers, OTHER, START_MS + 29000);
-    g_assert_cmpint(next(&f, START_MS + 29999), ==, REGISTRY_WAIT);
-    g_assert_cmpint(next(&f, START_MS + 30000), ==, REGISTRY_READ);
+    Peers_MarkAlive(&f.peers, OTHER, START_MS + 29000);
+    g_assert_cmpint(next(&f, START_MS + 29999), ==, ENTRY_REGISTRY_WAIT);
+    g_assert_cmpint(next(&f, START_MS + 30000), ==, ENTRY_REGISTRY_READ);
     end(&f);
 }
 
 /* Reads the registry every 30 s. OTHER (SELF if that is the reader) sends
  * messages all the time, THIRD only one, after `heard_ms` (0 for none).
- * Returns REGISTRY_DROP as soon as a record is to be deleted, else
- * REGISTRY_WAIT after `until_ms`. */
-static Registry_Step
+ * Returns ENTRY_REGISTRY_DELETE as soon as a record is to be deleted, else
+ * ENTRY_REGISTRY_WAIT after `until_ms`. */
+static EntryRegistry_Step
 run_with_silent_entry(fixture *f, Address self, int64_t heard_ms,
                       int64_t until_ms)
 {
@@ -198,21 +199,21 @@
 
     begin(f, self);
     for (now_ms = START_MS; now_ms <= until_ms; now_ms += 1000) {
-        Peers_Hear(&f->peers, speaker, now_ms);
+        Peers_MarkAlive(&f->peers, speaker, now_ms);
         if (heard_ms != 0 && now_ms == START_MS + heard_ms) {
-            Peers_Hear(&f->peers, THIRD, now_ms);
+            Peers_MarkAlive(&f->peers, THIRD, now_ms);
         }
         switch (next(f, now_ms)) {
-        case REGISTRY_READ:
+        case ENTRY_REGISTRY_READ:
             answer(f, now_ms, all_entries, 3);
             break;
-        case REGISTRY_DROP:
-            return REGISTRY_DROP;
+        case ENTRY_REGISTRY_DELETE:
+            return ENTRY_REGISTRY_DELETE;
         default:
             break;
         }
     }
-    return REGISTRY_WAIT;
+    return ENTRY_REGISTRY_WAIT;
 }
 
 static void
@@ -222,10 +223,10 @@
 
     /* In ring order 100, not 200, is the successor of 300. */
     g_assert_cmpint(run_with_silent_entry(&f, SELF, 0, START_MS + 59000), ==,
-                    REGISTRY_WAIT);
+                    ENTRY_REGISTRY_WAIT);
     end(&f);
     g_assert_cmpint(run_with_silent_entry(&f, SELF, 0, START_MS + 60000), ==,
-                    REGISTRY_DROP);
+                    ENTRY_REGISTRY_DELETE);
     g_assert_cmpuint(f.gone, ==, THIRD);
     end(&f);
 }
@@ -236,7 +237,7 @@
     fixture f;
 
     g_assert_cmpint(run_with_silent_entry(&f, OTHER, 0, START_MS + 100000), ==,
-                    REGISTRY_WAIT);
+                    ENTRY_REGISTRY_WAIT);
     end(&f);
 }
 
@@ -246,7 +247,7 @@
     fixture f;
 
     g_assert_cmpint(run_with_silent_entry(&f, SELF, 59000, START_MS + 100000),
-                    ==, REGISTRY_WAIT);
+                    ==, ENTRY_REGISTRY_WAIT);
     end(&f);
 }
 
@@ -258,16 +259,16 @@
 
     begin(&f, SELF);
     for (now_ms = START_MS; now_ms <= START_MS + 100000; now_ms += 1000) {
-        Registry_Step step = next(&f, now_ms);
-        g_assert_cmpint(step, !=, REGISTRY_DROP);
-        if (step == REGISTRY_READ) {
+        EntryRegistry_Step step = next(&f, now_ms);
+        g_assert_cmpint(step, !=, ENTRY_REGISTRY_DELETE);
+        if (step == ENTRY_REGISTRY_READ) {
             answer(&f, now_ms, all_entries, 3);
         }
     }
     end(&f);
 }
 
-static const RuleTable_Row rules[] = {
+static const TestTable_Row rules[] = {
     {"/registry/is read at start", test_read_at_once},
     {"/registry/names all entries", test_entries_are_named},
     {"/registry/a failed read is retried with back-off",
@@ -295,5 +296,5 @@
 int
 main(int argc, char **argv)
 {
-    return RuleTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
+    return TestTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
 }
--- a/tests/routes_rules.c
+++ b/tests/routes_rules.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "lease/routes_fetch.h"
-#include "tests/rule_table.h"
+#include "tests/test_table.h"
 
 #define OWN 1
 #define FIRST 2
@@ -28,7 +28,7 @@
 static void
 set_peer(fetch_fixture *fix, Address peer, int64_t version)
 {
-    Peers_Hear(&fix->peers, peer, fix->now_ms);
+    Peers_MarkAlive(&fix->peers, peer, fix->now_ms);
     Peers_Find(&fix->peers, peer)->routes_version = version;
 }
 
@@ -68,12 +68,12 @@
 
 /* Replies to the last call as a peer would, with `length` bytes of a record
  * that repeats the letter 'a' + version. */
-static RoutesFetch_Step
+static RoutesFetch_Result
 answer(fetch_fixture *fix, int64_t version, uint32_t total, uint32_t length)
 {
     lc_routes_res result = {.routes_version = version, .total = total};
     char *data = g_malloc(length);
-    RoutesFetch_Step step;
+    RoutesFetch_Result step;
 
     memset(data, 'a' + (int)version, length);
     result.offset = version == fix->call.args.routes_version
@@ -81,7 +81,7 @@
                         : 0;
     result.data.data_val = data;
     result.data.data_len = length;
-    step = RoutesFetch_Take(&fix->fetch, &result);
+    step = RoutesFetch_OnReply(&fix->fetch, &result);
     g_free(data);
     return step;
 }
@@ -173,11 +173,11 @@
     from = fix.call.to;
     g_assert_cmpint(fix.call.args.routes_version, ==, 7);
     g_assert_cmpint(fix.call.args.offset, ==, 0);
-    g_assert_cmpint(answer(&fix, 7, 100, 60), ==, ROUTES_FETCH_MORE);
+    g_assert_cmpint(answer(&fix, 7, 100, 60), ==, ROUTES_FETCH_PARTIAL);
     g_assert_true(next(&fix));
     g_assert_cmpint(fix.call.args.offset, ==, 60);
     g_assert_cmpuint(fix.call.to, ==, from);
-    g_assert_cmpint(answer(&fix, 7, 100, 40), ==, ROUTES_FETCH_WHOLE);
+    g_assert_cmpint(answer(&fix, 7, 100, 40), ==, ROUTES_FETCH_COMPLETE);
     g_assert_cmpint(fix.fetch.bytes->len, ==, 100);
     fix.version = 7;
     g_assert_false(next_in(&fix, STORE_HEAD_START_MS));
@@ -198,7 +198,7 @@
     g_assert_true(next_in(&fix, CHUNK_TIMEOUT_MS));
     g_assert_cmpuint(fix.call.to, !=, from);
     g_assert_cmpint(fix.call.args.offset, ==, 60);
-    g_assert_cmpint(answer(&fix, 7, 100, 40), ==, ROUTES_FETCH_WHOLE);
+    g_assert_cmpint(answer(&fix, 7, 100, 40), ==, ROUTES_FETCH_COMPLETE);
     free_fetch(&fix);
 }
 
@@ -210,7 +210,7 @@
     begin(&fix);
     Peers_Find(&fix.peers, fix.call.to == FIRST ? SECOND : FIRST)
         ->routes_version = 5;
-    RoutesFetch_Fail(&fix.fetch);
+    RoutesFetch_OnFailure(&fix.fetch);
     g_assert_true(next(&fix));
     free_fetch(&fix);
 }
@@ -224,11 +224,11 @@
     begin(&fix);
     answer(&fix, 7, 100, 60);
     g_assert_true(next(&fix));
-    g_assert_cmpint(answer(&fix, 9, 80, 50), ==, ROUTES_FETCH_MORE);
+    g_assert_cmpint(answer(&fix, 9, 80, 50), ==, ROUTES_FETCH_PARTIAL);
     g_assert_true(next(&fix));
     g_assert_cmpint(fix.call.args.routes_version, ==, 9);
     g_assert_cmpint(fix.call.args.offset, ==, 50);
-    g_assert_cmpint(answer(&fix, 9, 80, 30), ==, ROUTES_FETCH_WHOLE);
+    g_assert_cmpint(answer(&fix, 9, 80, 30), ==, ROUTES_FETCH_COMPLETE);
     g_assert_cmpint(fix.fetch.bytes->data[0], ==, 'a' + 9);
     free_fetch(&fix);
 }
@@ -273,7 +273,7 @@
     fetch_fixture fix;
 
     begin(&fix);
-    g_assert_cmpint(answer(&fix, 7, 60, 60), ==, ROUTES_FETCH_WHOLE);
+    g_assert_cmpint(answer(&fix, 7, 60, 60), ==, ROUTES_FETCH_COMPLETE);
     g_assert_false(next(&fix));
     g_assert_true(next_in(&fix, STORE_HEAD_START_MS));
     g_assert_cmpint(fix.call.args.offset, ==, 0);
@@ -298,7 +298,7 @@
         {"offset past the end", 7, 60, 50, 40},
         {"older version", 6, 0, 100, 40},
         {"none", -1, 0, 0, 0},
-        {"too large", 8, 0, ROUTES_FETCH_MOST + 1, 40},
+        {"too large", 8, 0, ROUTES_FETCH_MAX_BYTES + 1, 40},
     };
     char data[64] = {0};
     size_t i;
@@ -313,13 +313,13 @@
         answer(&fix, 7, 100, 60);
         g_assert_true(next(&fix));
         g_test_message("%s", cases[i].name);
-        g_assert_cmpint(RoutesFetch_Take(&fix.fetch, &result), ==,
+        g_assert_cmpint(RoutesFetch_OnReply(&fix.fetch, &result), ==,
                         ROUTES_FETCH_FAILED);
         free_fetch(&fix);
     }
 }
 
-static const RuleTable_Row rules[] = {
+static const TestTable_Row rules[] = {
     {"/routes/the store comes first", test_store_first},
     {"/routes/no waiting for an unavailable store", test_store_unavailable},
     {"/routes/no waiting without any routes", test_without_routes},
@@ -342,5 +342,5 @@
 int
 main(int argc, char **argv)
 {
-    return RuleTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
+    return TestTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
 }
--- a/tests/rpc_rules.c
+++ b/tests/rpc_rules.c
@@ -8,7 +8,7 @@
 #include <string.h>
 #include <uv.h>
 
-#include "tests/rule_table.h"
+#include "tests/test_table.h"
 #include "wire/rpc.h"
 
 #define ROWS 5
@@ -223,10 +223,10 @@
 int
 main(int argc, char **argv)
 {
-    static const RuleTable_Row rules[] = {
+    static const TestTable_Row rules[] = {
         {"/rpc/each row is a call of its own", test_rows},
         {"/rpc/a refused call has done none of its rows", test_refused},
     };
 
-    return RuleTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
+    return TestTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
 }
--- a/tests/rules.c
+++ b/tests/rules.c
@@ -131,7 +131,7 @@
 static void
 set_up_entry(fixture *fix)
 {
-    Board_Config config = Board_Defaults(self_node);
+    Entry_Config config = Entry_Defaults(self_node);
 
     memset(fix, 0, sizeof(*fix));
     fix->now.mono_ms = 1000000;
@@ -214,7 +214,7 @@
     reply.u.settle.position.offset = fix->records + 1;
     reply.u.settle.position.epoch = Entry_View(fix->entry)->epoch;
     if (held != NULL) {
-        key = Node_WireKey(held);
+        key = Node_KeyToWire(held);
         reply.u.settle.keys.keys_len = 1;
         reply.u.settle.keys.keys_val = &key;
     }
@@ -234,7 +234,7 @@
     reply.u.inventory.position.offset = fix->records + 1;
     reply.u.inventory.position.epoch = Entry_View(fix->entry)->epoch;
     if (started != NULL) {
-        task.key = Node_WireKey(started);
+        task.key = Node_KeyToWire(started);
         task.total = 2;
         task.state = LC_TASK_DONE;
         task.group = group;
@@ -297,7 +297,7 @@
     Key key;
 
     for (number = 0;; number++) {
-        key = Key_Mint(fix->now.wall_ms, number, number * 7919);
+        key = Key_Create(fix->now.wall_ms, number, number * 7919);
         found = View_Owner(Entry_View(fix->entry), &key);
         if (Node_Same(&found, owner)) {
             return key;
@@ -405,7 +405,7 @@
 static void
 set_up_with_companion(fixture *fix)
 {
-    Members_Host host = {companion_node.address, LC_ROLE_COMPANION, false};
+    Membership_Host host = {companion_node.address, LC_ROLE_COMPANION, false};
 
     set_up_entry(fix);
     add_group(fix);
@@ -420,7 +420,7 @@
 static void
 test_leaving_by_list(void)
 {
-    Members_Host host = {companion_node.address, LC_ROLE_COMPANION, true};
+    Membership_Host host = {companion_node.address, LC_ROLE_COMPANION, true};
     fixture fix;
     Key key;
 
@@ -540,7 +540,7 @@
 static void
 test_hung_task(void)
 {
-    Board_Config config = Board_Defaults(self_node);
+    Entry_Config config = Entry_Defaults(self_node);
     int64_t limit_ms = config.task_timeout_ms + config.patience_ms;
     int64_t passed_ms;
     fixture fix;
@@ -691,16 +691,16 @@
     set_up_companion(&fix);
     send_start(&fix, &self_node, 1, 1, 0);
     run_id = fix.run_id;
-    Companion_OnRun(fix.companion, fix.now, run_id, COMPANION_RUN_TIMEOUT, 0,
-                    NULL, 0);
+    Companion_OnRunEnd(fix.companion, fix.now, run_id, COMPANION_RUN_TIMEOUT,
+                       0, NULL, 0);
     send_start(&fix, &self_node, 1, 2, 1);
     run_id = fix.run_id;
     g_assert_cmpuint(run_id, !=, 0);
     send_start(&fix, &self_node, 1, 3, 2);
     g_assert_cmpuint(fix.run_id, ==, 0);
     g_assert_cmpint(fix.status, ==, LC_START_DOWN);
-    Companion_OnRun(fix.companion, fix.now, run_id, COMPANION_RUN_DONE, 200,
-                    NULL, 0);
+    Companion_OnRunEnd(fix.companion, fix.now, run_id, COMPANION_RUN_DONE, 200,
+                       NULL, 0);
     send_start(&fix, &self_node, 1, 4, 2);
     g_assert_cmpuint(fix.run_id, !=, 0);
     send_start(&fix, &self_node, 1, 5, 3);
--- a/tests/runner_fixture.c
+++ b/tests/runner_fixture.c
@@ -34,13 +34,13 @@
 }
 
 static void
-port_look(void *context, uint64_t id, const Runner_Look *look)
+port_look(void *context, uint64_t id, const Runner_Poll *poll)
 {
     runner_fixture *fix = context;
 
     fix->polls++;
-    fix->look_id = id;
-    fix->look = *look;
+    fix->poll_id = id;
+    fix->poll = *poll;
 }
 
 static void
@@ -65,43 +65,43 @@
                                           port_reply, LeaseFix_DropEvent};
 
 void
-RunnerFix_BeatOf(runner_fixture *fix, const char *instance, uint64_t sequence,
-                 Runner_ReportedState says)
+RunnerFix_HeartbeatOf(runner_fixture *fix, const char *instance,
+                      uint64_t sequence, Runner_ReportedState reported_state)
 {
     static const char *const labels[] = {NULL};
-    Runner_Upstream upstream = {.instance = instance,
-                                .born_ms = fix->born_ms,
-                                .sequence = sequence,
-                                .service = "service",
-                                .says = says,
-                                .capacity = {fix->cpu_milli, 4096, 0},
-                                .labels = labels,
-                                .clock_ms = fix->clock_ms + fix->now_ms -
-                                            START_MS};
+    Runner_Heartbeat upstream = {.instance = instance,
+                                 .born_ms = fix->born_ms,
+                                 .sequence = sequence,
+                                 .service = "service",
+                                 .reported_state = reported_state,
+                                 .capacity = {fix->cpu_milli, 4096, 0},
+                                 .labels = labels,
+                                 .clock_ms = fix->clock_ms + fix->now_ms -
+                                             START_MS};
 
-    Runner_OnUpstream(fix->runner, fix->now_ms, &upstream);
+    Runner_OnHeartbeat(fix->runner, fix->now_ms, &upstream);
 }
 
 void
-RunnerFix_Beat(runner_fixture *fix, Runner_ReportedState says)
+RunnerFix_Heartbeat(runner_fixture *fix, Runner_ReportedState reported_state)
 {
-    RunnerFix_BeatOf(fix, "i-1", ++fix->beats, says);
+    RunnerFix_HeartbeatOf(fix, "i-1", ++fix->heartbeats, reported_state);
 }
 
 void
 RunnerFix_AnswerPollOther(runner_fixture *fix)
 {
-    Runner_Listing listing = {.end = RUNNER_ORDER_OTHER};
+    Runner_Listing listing = {.end = RUNNER_ORDER_OTHER_INCARNATION};
 
-    Runner_OnLook(fix->runner, fix->now_ms, fix->look_id, &listing);
+    Runner_OnPollAnswer(fix->runner, fix->now_ms, fix->poll_id, &listing);
 }
 
 void
-RunnerFix_AnswerLook(runner_fixture *fix, const Runner_Row *running,
-                     uint32_t count, const Runner_EndRow *ended,
+RunnerFix_AnswerPoll(runner_fixture *fix, const Runner_ActiveRun *running,
+                     uint32_t count, const Runner_EndedRun *ended,
                      uint32_t ended_count)
 {
-    Runner_Listing listing = {.end = RUNNER_ORDER_TAKEN,
+    Runner_Listing listing = {.end = RUNNER_ORDER_ACCEPTED,
                               .clock_ms = fix->clock_ms + fix->now_ms -
                                           START_MS,
                               .born_ms = fix->born_ms,
@@ -110,7 +110,7 @@
                               .ended = ended,
                               .ended_count = ended_count};
 
-    Runner_OnLook(fix->runner, fix->now_ms, fix->look_id, &listing);
+    Runner_OnPollAnswer(fix->runner, fix->now_ms, fix->poll_id, &listing);
 }
 
 void
@@ -126,7 +126,7 @@
     fix->now_ms = START_MS;
     fix->clock_ms = CLOCK_MS;
     fix->cpu_milli = 4000;
-    config.term = LeaseFix_Term();
+    config.term = LeaseFix_Timing();
     fix->runner = Runner_New(&config, &runner_ports, fix, fix->now_ms);
 }
 
@@ -134,8 +134,8 @@
 RunnerFix_NewReady(runner_fixture *fix)
 {
     RunnerFix_New(fix);
-    RunnerFix_Beat(fix, RUNNER_UPSTREAM_READY);
-    RunnerFix_AnswerLook(fix, NULL, 0, NULL, 0);
+    RunnerFix_Heartbeat(fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_AnswerPoll(fix, NULL, 0, NULL, 0);
 }
 
 lc_run_id
@@ -175,7 +175,7 @@
 {
     RunnerFix_CallRun(fix, 1, 1, 1000, 500);
     Runner_OnStarted(fix->runner, fix->now_ms, fix->start_id,
-                     RUNNER_ORDER_TAKEN, fix->clock_ms);
+                     RUNNER_ORDER_ACCEPTED, fix->clock_ms);
     fix->replies = 0;
     fix->status = LC_RUN_DONE;
 }
@@ -183,9 +183,9 @@
 void
 RunnerFix_AnswerRunning(runner_fixture *fix, uint64_t job)
 {
-    Runner_Row row = {RunnerFix_Run(job, 1), 10};
+    Runner_ActiveRun row = {RunnerFix_Run(job, 1), 10};
 
-    RunnerFix_AnswerLook(fix, &row, 1, NULL, 0);
+    RunnerFix_AnswerPoll(fix, &row, 1, NULL, 0);
 }
 
 bool
--- a/tests/runner_fixture.h
+++ b/tests/runner_fixture.h
@@ -36,7 +36,7 @@
 typedef struct {
     Runner *runner;
     int64_t now_ms;
-    uint64_t beats;       /* sequence number of the last heartbeat */
+    uint64_t heartbeats;  /* sequence number of the last heartbeat */
     int64_t born_ms;      /* start time that the upstream reports */
     int64_t clock_ms;     /* the upstream's clock at START_MS */
     u_int cpu_milli;      /* the upstream's capacity */
@@ -47,8 +47,8 @@
     int polls;
     uint64_t start_id;
     Runner_Start start;
-    uint64_t look_id;
-    Runner_Look look;
+    uint64_t poll_id;
+    Runner_Poll poll;
     uint64_t stop_id;
     lc_run_id stopped;
     int replies;
@@ -63,18 +63,20 @@
 void RunnerFix_NewReady(runner_fixture *fix);
 
 /** Sends the next heartbeat of the upstream. */
-void RunnerFix_Beat(runner_fixture *fix, Runner_ReportedState says);
+void RunnerFix_Heartbeat(runner_fixture *fix,
+                         Runner_ReportedState reported_state);
 
 /** Sends a heartbeat of the given instance with the given sequence number. */
-void RunnerFix_BeatOf(runner_fixture *fix, const char *instance,
-                      uint64_t sequence, Runner_ReportedState says);
+void RunnerFix_HeartbeatOf(runner_fixture *fix, const char *instance,
+                           uint64_t sequence,
+                           Runner_ReportedState reported_state);
 
 /** Answers the last poll as another incarnation. */
 void RunnerFix_AnswerPollOther(runner_fixture *fix);
 
 /** Answers the last poll with these running and ended runs. */
-void RunnerFix_AnswerLook(runner_fixture *fix, const Runner_Row *running,
-                          uint32_t count, const Runner_EndRow *ended,
+void RunnerFix_AnswerPoll(runner_fixture *fix, const Runner_ActiveRun *running,
+                          uint32_t count, const Runner_EndedRun *ended,
                           uint32_t ended_count);
 
 /** Returns the identity of a run. */
--- a/tests/runner_rules.c
+++ b/tests/runner_rules.c
@@ -7,8 +7,8 @@
 #include <glib.h>
 
 #include "lease/run_id.h"
-#include "tests/rule_table.h"
 #include "tests/runner_fixture.h"
+#include "tests/test_table.h"
 
 static void
 test_expired_run(void)
@@ -29,8 +29,8 @@
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 1000, 100);
-    Runner_OnStarted(fix.runner, fix.now_ms, fix.start_id, RUNNER_ORDER_TAKEN,
-                     CLOCK_MS);
+    Runner_OnStarted(fix.runner, fix.now_ms, fix.start_id,
+                     RUNNER_ORDER_ACCEPTED, CLOCK_MS);
     fix.now_ms += 99;
     Runner_Tick(fix.runner, fix.now_ms);
     g_assert_cmpint(fix.stops, ==, 0);
@@ -48,8 +48,8 @@
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 1000, 100);
     g_assert_cmpint(fix.start.deadline_ms, <=, CLOCK_MS + 100);
-    g_assert_cmpint(fix.look.deadline_ms, <=, CLOCK_MS + 100);
-    g_assert_cmpint(fix.look.deadline_ms, >, CLOCK_MS);
+    g_assert_cmpint(fix.poll.deadline_ms, <=, CLOCK_MS + 100);
+    g_assert_cmpint(fix.poll.deadline_ms, >, CLOCK_MS);
     Runner_Free(fix.runner);
 }
 
@@ -117,11 +117,11 @@
         RunnerFix_NewReady(&fix);
         g_test_message("%s", cases[i].name);
         if (cases[i].status == LC_RUN_DRAINING) {
-            RunnerFix_Beat(&fix, RUNNER_UPSTREAM_DRAINING);
+            RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_DRAINING);
         }
         RunnerFix_CallRun(&fix, 1, 1, full ? 5000 : 1000, expired ? -1 : 500);
         g_assert_cmpint(fix.status, ==, cases[i].status);
-        RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
+        RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
         RunnerFix_CallRun(&fix, 1, 1, 1000, 500);
         g_assert_cmpint(fix.starts, ==, 0);
         g_assert_cmpint(fix.status, ==, cases[i].status);
@@ -135,18 +135,18 @@
 test_inventory_first(void)
 {
     runner_fixture fix;
-    Runner_Row stranger = {RunnerFix_Run(9, 4), 10};
+    Runner_ActiveRun stranger = {RunnerFix_Run(9, 4), 10};
 
     RunnerFix_New(&fix);
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
-    RunnerFix_AnswerLook(&fix, &stranger, 1, NULL, 0);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_AnswerPoll(&fix, &stranger, 1, NULL, 0);
     g_assert_cmpint(fix.stops, ==, 1);
     g_assert_cmpuint(fix.stopped.job, ==, 9);
     RunnerFix_CallRun(&fix, 1, 1, 1000, 500);
     g_assert_cmpint(fix.status, ==, LC_RUN_NOT_READY);
     fix.now_ms += 60;
     Runner_Tick(fix.runner, fix.now_ms);
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     /* After a refusal, an entry uses a new run number. */
     RunnerFix_CallRun(&fix, 1, 2, 1000, 500);
     g_assert_cmpint(fix.starts, ==, 1);
@@ -158,17 +158,17 @@
 static void
 test_queried_run_is_not_started(void)
 {
-    lc_run_id run = RunnerFix_Run(1, RUN_ID_KEPT_BASE + 1);
-    Runner_EndRow ended = {5, run, RUNNER_END_DONE};
+    lc_run_id run = RunnerFix_Run(1, RUN_ID_DURABLE_BASE + 1);
+    Runner_EndedRun ended = {5, run, RUNNER_END_DONE};
     runner_fixture fix;
 
     RunnerFix_New(&fix);
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_READY);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_READY);
     RunnerFix_QueryRun(&fix, 1, run.run);
     RunnerFix_QueryRun(&fix, 2, run.run);
     g_assert_cmpint(fix.replies, ==, 2);
     g_assert_cmpint(fix.status, ==, LC_RUN_NOT_READY);
-    RunnerFix_AnswerLook(&fix, NULL, 0, &ended, 1);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, &ended, 1);
     RunnerFix_QueryRun(&fix, 1, run.run);
     g_assert_cmpint(fix.status, ==, LC_RUN_DONE);
     RunnerFix_QueryRun(&fix, 2, run.run);
@@ -183,7 +183,7 @@
     runner_fixture fix;
 
     RunnerFix_NewReady(&fix);
-    RunnerFix_Beat(&fix, RUNNER_UPSTREAM_DRAINING);
+    RunnerFix_Heartbeat(&fix, RUNNER_UPSTREAM_DRAINING);
     RunnerFix_CallRun(&fix, 1, 1, 1000, 500);
     g_assert_cmpint(fix.status, ==, LC_RUN_DRAINING);
     Runner_Free(fix.runner);
@@ -193,16 +193,16 @@
 test_ends_are_acknowledged(void)
 {
     runner_fixture fix;
-    Runner_EndRow ended = {5, RunnerFix_Run(1, 1), RUNNER_END_DONE};
+    Runner_EndedRun ended = {5, RunnerFix_Run(1, 1), RUNNER_END_DONE};
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 1000, 500);
     fix.now_ms += 50;
-    RunnerFix_AnswerLook(&fix, NULL, 0, &ended, 1);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, &ended, 1);
     g_assert_cmpint(fix.status, ==, LC_RUN_DONE);
-    g_assert_cmpuint(fix.look.last_seen, ==, 5);
+    g_assert_cmpuint(fix.poll.last_seen, ==, 5);
     g_assert_false(Runner_IsIdle(fix.runner));
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     g_assert_true(Runner_IsIdle(fix.runner));
     Runner_Free(fix.runner);
 }
@@ -211,18 +211,18 @@
 test_durable_ends_are_held(void)
 {
     runner_fixture fix;
-    lc_run_id run = RunnerFix_Run(1, RUN_ID_KEPT_BASE + 1);
-    Runner_EndRow ended = {5, run, RUNNER_END_DONE};
+    lc_run_id run = RunnerFix_Run(1, RUN_ID_DURABLE_BASE + 1);
+    Runner_EndedRun ended = {5, run, RUNNER_END_DONE};
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, run.run, 1000, 500);
     fix.now_ms += 50;
-    RunnerFix_AnswerLook(&fix, NULL, 0, &ended, 1);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, &ended, 1);
     g_assert_cmpint(fix.status, ==, LC_RUN_DONE);
-    g_assert_cmpuint(fix.look.last_seen, ==, 4);
+    g_assert_cmpuint(fix.poll.last_seen, ==, 4);
     RunnerFix_Release(&fix, &run);
-    RunnerFix_AnswerLook(&fix, NULL, 0, &ended, 1);
-    g_assert_cmpuint(fix.look.last_seen, ==, 5);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, &ended, 1);
+    g_assert_cmpuint(fix.poll.last_seen, ==, 5);
     Runner_Free(fix.runner);
 }
 
@@ -232,25 +232,25 @@
 test_full_listing(void)
 {
     runner_fixture fix;
-    Runner_EndRow ended[RUNNER_MAX_LISTED_ENDS];
+    Runner_EndedRun ended[RUNNER_MAX_LISTED_ENDS];
     uint32_t i;
 
     RunnerFix_NewReady(&fix);
-    RunnerFix_CallRun(&fix, 1, RUN_ID_KEPT_BASE + 1, 1000, 5000);
-    Runner_OnStarted(fix.runner, fix.now_ms, fix.start_id, RUNNER_ORDER_TAKEN,
-                     0);
+    RunnerFix_CallRun(&fix, 1, RUN_ID_DURABLE_BASE + 1, 1000, 5000);
+    Runner_OnStarted(fix.runner, fix.now_ms, fix.start_id,
+                     RUNNER_ORDER_ACCEPTED, 0);
     for (i = 0; i < RUNNER_MAX_LISTED_ENDS; i++) {
         ended[i].number = i + 1;
-        ended[i].id = RunnerFix_Run(1000 + i, RUN_ID_KEPT_BASE + 1);
+        ended[i].id = RunnerFix_Run(1000 + i, RUN_ID_DURABLE_BASE + 1);
         ended[i].end = RUNNER_END_DONE;
     }
     fix.now_ms += 10;
-    RunnerFix_AnswerLook(&fix, NULL, 0, NULL, 0);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, NULL, 0);
     fix.replies = 0;
     fix.now_ms += 10;
-    RunnerFix_AnswerLook(&fix, NULL, 0, ended, RUNNER_MAX_LISTED_ENDS);
+    RunnerFix_AnswerPoll(&fix, NULL, 0, ended, RUNNER_MAX_LISTED_ENDS);
     g_assert_cmpint(fix.replies, ==, 0);
-    RunnerFix_CallRun(&fix, 2, RUN_ID_KEPT_BASE + 1, 1000, 500);
+    RunnerFix_CallRun(&fix, 2, RUN_ID_DURABLE_BASE + 1, 1000, 500);
     g_assert_cmpint(fix.status, ==, LC_RUN_NO_ROOM);
     Runner_Free(fix.runner);
 }
@@ -262,7 +262,7 @@
 
     RunnerFix_NewReady(&fix);
     RunnerFix_FenceEntry(&fix);
-    RunnerFix_CallRun(&fix, 1, RUN_ID_KEPT_BASE + 1, 1000, 500);
+    RunnerFix_CallRun(&fix, 1, RUN_ID_DURABLE_BASE + 1, 1000, 500);
     g_assert_cmpint(fix.status, ==, LC_RUN_EXPIRED);
     g_assert_cmpint(fix.starts, ==, 0);
     Runner_Free(fix.runner);
@@ -275,10 +275,10 @@
     runner_fixture fix;
 
     RunnerFix_NewReady(&fix);
-    RunnerFix_CallRun(&fix, 1, RUN_ID_KEPT_BASE + 1, 1000, 100);
+    RunnerFix_CallRun(&fix, 1, RUN_ID_DURABLE_BASE + 1, 1000, 100);
     RunnerFix_FenceEntry(&fix);
     g_assert_cmpuint(fix.held_runs, ==, 1);
-    fix.now_ms += TERM_KEPT_MS + 300;
+    fix.now_ms += LEASE_TIMING_DURABLE_GRACE_MS + 300;
     Runner_Tick(fix.runner, fix.now_ms);
     g_assert_cmpint(fix.stops, ==, 0);
     fix.now_ms += 400;
@@ -295,10 +295,11 @@
 
     RunnerFix_NewReady(&fix);
     for (job = 1; job <= 3; job++) {
-        Runner_EndRow ended = {job, RunnerFix_Run(job, 1), RUNNER_END_FAILED};
+        Runner_EndedRun ended = {job, RunnerFix_Run(job, 1),
+                                 RUNNER_END_FAILED};
         RunnerFix_CallRun(&fix, job, 1, 1000, 500);
         fix.now_ms += 10;
-        RunnerFix_AnswerLook(&fix, NULL, 0, &ended, 1);
+        RunnerFix_AnswerPoll(&fix, NULL, 0, &ended, 1);
     }
     fix.now_ms += 300;
     RunnerFix_CallRun(&fix, 10, 1, 1000, 500);
@@ -312,16 +313,16 @@
 test_other_incarnation(void)
 {
     runner_fixture fix;
-    Runner_Listing other = {.end = RUNNER_ORDER_OTHER};
+    Runner_Listing other = {.end = RUNNER_ORDER_OTHER_INCARNATION};
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 1000, 500);
-    Runner_OnLook(fix.runner, fix.now_ms, fix.look_id, &other);
+    Runner_OnPollAnswer(fix.runner, fix.now_ms, fix.poll_id, &other);
     g_assert_cmpint(fix.status, ==, LC_RUN_CRASHED);
     Runner_Free(fix.runner);
 }
 
-static const RuleTable_Row rules[] = {
+static const TestTable_Row rules[] = {
     {"/runner/refuses an expired run", test_expired_run},
     {"/runner/stops the runs of a silent entry", test_lease_expires},
     {"/runner/holds the upstream no longer than the lease",
@@ -350,5 +351,5 @@
 int
 main(int argc, char **argv)
 {
-    return RuleTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
+    return TestTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
 }
--- a/tests/slopes.c
+++ b/tests/slopes.c
@@ -17,8 +17,8 @@
 
 #include "core/companion.h"
 #include "core/entry.h"
-#include "core/fold.h"
-#include "core/records.h"
+#include "core/replica.h"
+#include "core/task_records.h"
 
 #define SIZES 4
 #define WALL_MS 1700000000000LL
@@ -164,11 +164,11 @@
     uint32_t i;
 
     for (i = 0; i < fixture->inherited; i++) {
-        Key key = Key_Mint(fixture->now.wall_ms, node->incarnation,
-                           (uint64_t)i * 7919);
+        Key key = Key_Create(fixture->now.wall_ms, node->incarnation,
+                             (uint64_t)i * 7919);
         lc_started started;
         memset(&started, 0, sizeof(started));
-        started.key = Node_WireKey(&key);
+        started.key = Node_KeyToWire(&key);
         started.total = 2;
         started.state = LC_TASK_DONE;
         started.group = group;
@@ -262,8 +262,8 @@
 static void
 change_view(slope_fixture *fixture, GArray *changes)
 {
-    char *text = View_Record(Entry_View(fixture->entry), fixture->now.wall_ms,
-                             changes);
+    char *text = View_EncodeRecord(Entry_View(fixture->entry),
+                                   fixture->now.wall_ms, changes);
 
     apply_record(fixture, text);
     free(text);
@@ -295,9 +295,9 @@
 {
     slope_fixture *fixture = g_new0(slope_fixture, 1);
     lc_node self = {0x7f0000010001ULL, 100};
-    Board_Config config = Board_Defaults(self);
+    Entry_Config config = Entry_Defaults(self);
     GArray *changes = g_array_new(FALSE, FALSE, sizeof(View_Change));
-    Members_Host *hosts = g_new0(Members_Host, companions + 1);
+    Membership_Host *hosts = g_new0(Membership_Host, companions + 1);
     uint32_t i;
 
     fixture->now.mono_ms = 1000000;
@@ -514,14 +514,14 @@
 snapshot_bytes_by_members(double size)
 {
     slope_fixture *fixture = new_fixture((uint32_t)size, 70);
-    Fold *fold = Fold_New(600000);
+    Replica *replica = Replica_New(600000);
     json_t *view = View_ToJson(Entry_View(fixture->entry));
     char *text = json_dumps(view, JSON_COMPACT);
     double length = (double)strlen(text);
 
     free(text);
     json_decref(view);
-    Fold_Free(fold);
+    Replica_Free(replica);
     free_fixture(fixture);
     return length;
 }
@@ -530,7 +530,7 @@
 snapshot_bytes_by_groups(double size)
 {
     slope_fixture *fixture = new_fixture(1, (uint32_t)size);
-    json_t *table = Table_ToJson(Entry_Table(fixture->entry));
+    json_t *table = GroupTable_ToJson(Entry_Table(fixture->entry));
     char *text = json_dumps(table, JSON_COMPACT);
     double length = (double)strlen(text);
 
@@ -575,7 +575,7 @@
 
     memset(result, 'x', sizeof(result));
     for (i = 0; i < (uint32_t)size; i++) {
-        Key key = Key_Mint(WALL_MS, i, i);
+        Key key = Key_Create(WALL_MS, i, i);
         TaskRecord *record = TaskRecords_Add(records, &key, 0);
         TaskRecords_End(records, record, LC_TASK_DONE, 200, result,
                         sizeof(result), 0);
--- a/tests/soak/checker.cc
+++ b/tests/soak/checker.cc
@@ -167,7 +167,7 @@
     job.done = true;
     durable_done++;
     for (uint32_t i = 0; i < job.tasks; i++) {
-        if (!succeeded[lease::TaskName(job.id, 0, i)]) {
+        if (!succeeded[lease::TaskKey(job.id, 0, i)]) {
             violation(now_ms, "durable job " + std::to_string(job.id) +
                                   " reported as done with a task that is not");
         }
@@ -221,7 +221,7 @@
             done_after_recovery++;
         }
         for (uint32_t i = 0; i < job.tasks; i++) {
-            if (!succeeded[lease::TaskName(job.id, 0, i)]) {
+            if (!succeeded[lease::TaskKey(job.id, 0, i)]) {
                 violation(now_ms,
                           "job " + std::to_string(job.id) +
                               " reported as done with a task that is not");
--- a/tests/soak/checker.h
+++ b/tests/soak/checker.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "tests/lease_upstream.h"
+#include "tests/upstream_model.h"
 
 namespace soak {
 
@@ -90,10 +90,10 @@
     void check_durable_start(int64_t now_ms, const lc_run_id &id);
     void check_durable_ended(int64_t now_ms, const Job &job);
 
-    std::map<lease::TaskName, std::vector<SuccessfulEnd>> successful_ends;
+    std::map<lease::TaskKey, std::vector<SuccessfulEnd>> successful_ends;
     std::map<uint64_t, Job> jobs;
-    std::map<lease::TaskName, std::map<std::string, lc_run_id>> running;
-    std::map<lease::TaskName, bool> succeeded;
+    std::map<lease::TaskKey, std::map<std::string, lc_run_id>> running;
+    std::map<lease::TaskKey, bool> succeeded;
     std::map<std::string, uint32_t> used_cpu_milli;
 };
 
--- a/tests/soak/cluster.cc
+++ b/tests/soak/cluster.cc
@@ -305,11 +305,11 @@
             checker.on_end(now(), upstream->name, upstream->model.born(), id,
                            end);
         };
-        upstream->model.on_noted = [this, upstream](const lc_run_id &id,
-                                                    Runner_End end) {
-            checker.on_acknowledged_end(now(), upstream->name,
-                                        upstream->model.born(), id, end);
-        };
+        upstream->model.on_end_acknowledged =
+            [this, upstream](const lc_run_id &id, Runner_End end) {
+                checker.on_acknowledged_end(now(), upstream->name,
+                                            upstream->model.born(), id, end);
+            };
         upstream->model.work_of = [this](const lc_run_id &id) {
             const Job *job = checker.find(id.job);
             return job == nullptr ? 100 : job->work_ms;
@@ -454,7 +454,7 @@
                                          self->now() - attempt->sent_ms);
         answer.body.assign(http->body, http->length);
     }
-    if (http->end == HTTP_CLIENT_UNREACHED) {
+    if (http->end == HTTP_CLIENT_UNSENT) {
         answer = {true, 503, ""};
     }
     self->checker.on_answer(self->now(), *job, answer);
@@ -583,7 +583,7 @@
         proxy->heal();
     }
     for (auto &member : upstreams) {
-        member->model.manner = {false, false, 1};
+        member->model.fault_mode = {false, false, 1};
         member->delay_orders = false;
         if (!member->model.is_up()) {
             member->start_incarnation();
--- a/tests/soak/scenario.cc
+++ b/tests/soak/scenario.cc
@@ -91,8 +91,8 @@
 void
 play_grey()
 {
-    cluster->upstreams[0]->model.manner.stuck = true;
-    cluster->upstreams[1]->model.manner.stuck = true;
+    cluster->upstreams[0]->model.fault_mode.stuck = true;
+    cluster->upstreams[1]->model.fault_mode.stuck = true;
     last_job = cluster->submit_job(6, 3000, 200, false);
 }
 
@@ -125,7 +125,7 @@
 play_stalled_reader()
 {
     for (auto &upstream : cluster->upstreams) {
-        upstream->model.manner.failing = true;
+        upstream->model.fault_mode.failing = true;
     }
     stalled_load();
 }
@@ -274,13 +274,14 @@
          at += FAILING_INTERVAL_MS) {
         cluster->run_after(at, [] {
             for (auto &upstream : cluster->upstreams) {
-                upstream->model.manner.failing = cluster->random_below(4) == 0;
+                upstream->model.fault_mode.failing = cluster->random_below(
+                                                         4) == 0;
             }
         });
     }
     cluster->run_after(LATE_STARTS_LOAD_MS, [] {
         for (auto &upstream : cluster->upstreams) {
-            upstream->model.manner.failing = false;
+            upstream->model.fault_mode.failing = false;
         }
     });
 }
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -196,21 +196,21 @@
         break;
     case 1:
         cluster->log_event("stuck " + upstream->name);
-        upstream->model.manner.stuck = true;
+        upstream->model.fault_mode.stuck = true;
         cluster->run_after(
-            ms, [upstream] { upstream->model.manner.stuck = false; });
+            ms, [upstream] { upstream->model.fault_mode.stuck = false; });
         break;
     case 2:
         cluster->log_event("failing " + upstream->name);
-        upstream->model.manner.failing = true;
+        upstream->model.fault_mode.failing = true;
         cluster->run_after(
-            ms, [upstream] { upstream->model.manner.failing = false; });
+            ms, [upstream] { upstream->model.fault_mode.failing = false; });
         break;
     case 3:
         cluster->log_event("slow " + upstream->name);
-        upstream->model.manner.slow = 6;
-        cluster->run_after(ms,
-                           [upstream] { upstream->model.manner.slow = 1; });
+        upstream->model.fault_mode.slow = 6;
+        cluster->run_after(
+            ms, [upstream] { upstream->model.fault_mode.slow = 1; });
         break;
     default:
         cluster->log_event("late orders at " + upstream->name);
--- a/tests/soak/upstream.cc
+++ b/tests/soak/upstream.cc
@@ -98,28 +98,28 @@
 {
     /* Every second incarnation keeps the instance name of the previous one. */
     if (incarnations++ % 2 == 1) {
-        model.come_again(now());
+        model.bring_up_same_name(now());
     }
     else {
-        model.come_up(now());
+        model.bring_up(now());
     }
     heartbeats = 0;
 }
 
 void
-Upstream::respond(uint64_t request, Runner_OrderEnd result,
+Upstream::respond(uint64_t request, Runner_OrderResult result,
                   const std::string &extra_fields)
 {
     static const struct {
-        Runner_OrderEnd result;
+        Runner_OrderResult result;
         int status;
         const char *reason;
     } rows[] = {
-        {RUNNER_ORDER_TAKEN, 200, nullptr},
-        {RUNNER_ORDER_OLD, 409, "old"},
-        {RUNNER_ORDER_LATE, 409, "late"},
+        {RUNNER_ORDER_ACCEPTED, 200, nullptr},
+        {RUNNER_ORDER_SUPERSEDED, 409, "old"},
+        {RUNNER_ORDER_EXPIRED, 409, "late"},
         {RUNNER_ORDER_FENCED, 409, "fence"},
-        {RUNNER_ORDER_OTHER, 421, nullptr},
+        {RUNNER_ORDER_OTHER_INCARNATION, 421, nullptr},
     };
     std::string body = "{\"clock_ms\":" + std::to_string(model.clock(now()));
     Http_Response response = {};
@@ -142,16 +142,17 @@
 bool
 Upstream::answer_poll(PendingPoll &pending)
 {
-    std::vector<Runner_Row> running;
-    std::vector<Runner_EndRow> ended;
+    std::vector<Runner_ActiveRun> running;
+    std::vector<Runner_EndedRun> ended;
     std::string extra_fields = ",\"born\":" + std::to_string(model.born()) +
                                ",\"running\":[";
     static const char *const ends[] = {"done", "failed", "stopped", "lapsed"};
 
     pending.poll.instance = pending.instance.c_str();
-    Runner_OrderEnd result = model.look(now(), pending.poll, &running, &ended);
+    Runner_OrderResult result = model.look(now(), pending.poll, &running,
+                                           &ended);
     pending.poll.deadline_ms = 0; /* a poll extends the hold once */
-    if (result == RUNNER_ORDER_TAKEN && ended.empty() &&
+    if (result == RUNNER_ORDER_ACCEPTED && ended.empty() &&
         now() < pending.until_ms) {
         return false;
     }
--- a/tests/soak/upstream.h
+++ b/tests/soak/upstream.h
@@ -1,7 +1,7 @@
 /**
  * @file upstream.h
  * @brief A stand-in upstream with the platform's HTTP interface, around the
- * model of tests/lease_upstream.h.
+ * model of tests/upstream_model.h.
  */
 #ifndef LC_TESTS_SOAK_UPSTREAM_H
 #define LC_TESTS_SOAK_UPSTREAM_H
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "tests/lease_upstream.h"
+#include "tests/upstream_model.h"
 
 extern "C" {
 #include "daemon/http_server.h"
@@ -45,7 +45,7 @@
     struct PendingPoll {
         uint64_t request;
         int64_t until_ms;
-        Runner_Look poll;
+        Runner_Poll poll;
         std::string instance;
     };
 
@@ -60,7 +60,7 @@
     void handle(uint64_t request, const std::string &path,
                 const std::string &body, const std::string &expected);
     bool answer_poll(PendingPoll &pending);
-    void respond(uint64_t request, Runner_OrderEnd result,
+    void respond(uint64_t request, Runner_OrderResult result,
                  const std::string &extra_fields);
     int64_t
     now() const
--- a/tests/rule_table.c
+++ b/tests/test_table.c
@@ -1,9 +1,9 @@
-#include "tests/rule_table.h"
+#include "tests/test_table.h"
 
 #include <glib.h>
 
 int
-RuleTable_Main(int argc, char **argv, const RuleTable_Row *tests, size_t count)
+TestTable_Main(int argc, char **argv, const TestTable_Row *tests, size_t count)
 {
     size_t i;
 
--- a/tests/rule_table.h
+++ b/tests/test_table.h
@@ -1,9 +1,9 @@
 /**
- * @file rule_table.h
+ * @file test_table.h
  * @brief A table of named tests, run by GLib.
  */
-#ifndef LC_TESTS_RULE_TABLE_H
-#define LC_TESTS_RULE_TABLE_H
+#ifndef LC_TESTS_TEST_TABLE_H
+#define LC_TESTS_TEST_TABLE_H
 
 #include <stddef.h>
 
@@ -11,10 +11,10 @@
 typedef struct {
     const char *name;
     void (*run)(void);
-} RuleTable_Row;
+} TestTable_Row;
 
 /** Runs all tests as the body of main(); returns the exit code. */
-int RuleTable_Main(int argc, char **argv, const RuleTable_Row *tests,
+int TestTable_Main(int argc, char **argv, const TestTable_Row *tests,
                    size_t count);
 
 #endif
--- a/tests/lease_upstream.cc
+++ b/tests/upstream_model.cc
@@ -1,4 +1,4 @@
-#include "tests/lease_upstream.h"
+#include "tests/upstream_model.h"
 
 namespace lease {
 
@@ -17,10 +17,10 @@
 
 } // namespace
 
-TaskName
+TaskKey
 task_of(const lc_run_id &id)
 {
-    return TaskName(id.job, id.step | id.occurrence << 16, id.index);
+    return TaskKey(id.job, id.step | id.occurrence << 16, id.index);
 }
 
 Upstream::Upstream(std::string instance_prefix, double rate)
@@ -64,7 +64,7 @@
 }
 
 void
-Upstream::come_up(int64_t now_ms)
+Upstream::bring_up(int64_t now_ms)
 {
     incarnation++;
     instance_name = name + "-" + std::to_string(incarnation);
@@ -72,7 +72,7 @@
 }
 
 void
-Upstream::come_again(int64_t now_ms)
+Upstream::bring_up_same_name(int64_t now_ms)
 {
     /* Companions ignore a clock that is not positive. */
     bool clock_goes_back = incarnation % 2 == 1 &&
@@ -103,7 +103,7 @@
 void
 Upstream::crash(int64_t now_ms, bool restart_now)
 {
-    std::map<TaskName, RunningTask> lost = running;
+    std::map<TaskKey, RunningTask> lost = running;
 
     for (auto &pair : lost) {
         on_end(pair.second.id, RUNNER_END_LAPSED);
@@ -111,14 +111,14 @@
     running.clear();
     up = false;
     if (restart_now) {
-        come_up(now_ms);
+        bring_up(now_ms);
     }
 }
 
 void
 Upstream::end(const lc_run_id &id, Runner_End how)
 {
-    Runner_EndRow row = {++last_end, id, how};
+    Runner_EndedRun row = {++last_end, id, how};
 
     running.erase(task_of(id));
     rejected_up_to[task_of(id)] = id.run;
@@ -130,7 +130,7 @@
 void
 Upstream::advance(int64_t now_ms)
 {
-    std::map<TaskName, RunningTask> now_running = running;
+    std::map<TaskKey, RunningTask> now_running = running;
 
     if (suspended_until_ms > 0) {
         return;
@@ -148,11 +148,11 @@
         else if (task.stop_at_ms != 0 && now_ms >= task.stop_at_ms) {
             end(task.id, RUNNER_END_STOPPED);
         }
-        else if (manner.failing) {
+        else if (fault_mode.failing) {
             end(task.id, RUNNER_END_FAILED);
         }
-        else if (!manner.stuck &&
-                 now_ms - task.started_ms >= task.work_ms * manner.slow) {
+        else if (!fault_mode.stuck &&
+                 now_ms - task.started_ms >= task.work_ms * fault_mode.slow) {
             end(task.id, RUNNER_END_DONE);
         }
     }
@@ -167,44 +167,44 @@
     hold_expired = hold_expired && clock(now_ms) >= deadline_clock_ms;
 }
 
-Runner_OrderEnd
+Runner_OrderResult
 Upstream::start(int64_t now_ms, const Runner_Start &order)
 {
-    TaskName task = task_of(order.id);
+    TaskKey task = task_of(order.id);
     RunningTask row = {order.id, now_ms, work_of(order.id), 0};
 
     if (instance_name != order.instance) {
-        return RUNNER_ORDER_OTHER;
+        return RUNNER_ORDER_OTHER_INCARNATION;
     }
     if (order.token < token) {
         return RUNNER_ORDER_FENCED;
     }
     token = order.token;
     if (clock(now_ms) >= order.deadline_ms) {
-        return RUNNER_ORDER_LATE;
+        return RUNNER_ORDER_EXPIRED;
     }
     extend(now_ms, order.deadline_ms);
     if (running.count(task) != 0) {
-        return running[task].id.run == order.id.run ? RUNNER_ORDER_TAKEN
-                                                    : RUNNER_ORDER_OLD;
+        return running[task].id.run == order.id.run ? RUNNER_ORDER_ACCEPTED
+                                                    : RUNNER_ORDER_SUPERSEDED;
     }
     if (rejected_up_to.count(task) != 0 &&
         order.id.run <= rejected_up_to[task]) {
-        return RUNNER_ORDER_OLD;
+        return RUNNER_ORDER_SUPERSEDED;
     }
     running[task] = row;
     on_start(order.id);
-    return RUNNER_ORDER_TAKEN;
+    return RUNNER_ORDER_ACCEPTED;
 }
 
-Runner_OrderEnd
+Runner_OrderResult
 Upstream::stop(int64_t now_ms, const lc_run_id &id, const std::string &expect,
                int64_t order_token)
 {
-    TaskName task = task_of(id);
+    TaskKey task = task_of(id);
 
     if (!expect.empty() && instance_name != expect) {
-        return RUNNER_ORDER_OTHER;
+        return RUNNER_ORDER_OTHER_INCARNATION;
     }
     if (order_token < token) {
         return RUNNER_ORDER_FENCED;
@@ -215,17 +215,18 @@
         running[task].stop_at_ms == 0) {
         running[task].stop_at_ms = now_ms + STOP_MS;
     }
-    return RUNNER_ORDER_TAKEN;
+    return RUNNER_ORDER_ACCEPTED;
 }
 
-Runner_OrderEnd
-Upstream::look(int64_t now_ms, const Runner_Look &order,
-               std::vector<Runner_Row> *rows, std::vector<Runner_EndRow> *list)
+Runner_OrderResult
+Upstream::look(int64_t now_ms, const Runner_Poll &order,
+               std::vector<Runner_ActiveRun> *rows,
+               std::vector<Runner_EndedRun> *list)
 {
     std::string expect = order.instance;
 
     if (!expect.empty() && instance_name != expect) {
-        return RUNNER_ORDER_OTHER;
+        return RUNNER_ORDER_OTHER_INCARNATION;
     }
     if (order.token < token) {
         return RUNNER_ORDER_FENCED;
@@ -235,22 +236,23 @@
         extend(now_ms, order.deadline_ms);
     }
     while (!ends.empty() && ends.front().number <= order.last_seen) {
-        const Runner_EndRow row = ends.front();
+        const Runner_EndedRun row = ends.front();
         ends.erase(ends.begin());
-        if (on_noted && expiries_at_end[row.number] == hold_expiries) {
-            on_noted(row.id, row.end);
+        if (on_end_acknowledged &&
+            expiries_at_end[row.number] == hold_expiries) {
+            on_end_acknowledged(row.id, row.end);
         }
         expiries_at_end.erase(row.number);
     }
     for (auto &pair : running) {
         const RunningTask &task = pair.second;
-        int64_t part = manner.stuck ? 0
-                                    : (now_ms - task.started_ms) * 100 /
-                                          (task.work_ms * manner.slow);
+        int64_t part = fault_mode.stuck ? 0
+                                        : (now_ms - task.started_ms) * 100 /
+                                              (task.work_ms * fault_mode.slow);
         rows->push_back({task.id, (uint32_t)std::min<int64_t>(part, 99)});
     }
     *list = ends;
-    return RUNNER_ORDER_TAKEN;
+    return RUNNER_ORDER_ACCEPTED;
 }
 
 } // namespace lease
--- a/tests/lease_upstream.h
+++ b/tests/upstream_model.h
@@ -1,12 +1,12 @@
 /**
- * @file lease_upstream.h
+ * @file upstream_model.h
  * @brief Model of an upstream according to its owners' description: it starts
  * every task that it is ordered to, whatever its free capacity, holds all runs
  * under one lease on a clock of its own, and lists running and ended runs. It
  * checks nothing; the simulation around it does.
  */
-#ifndef LC_TESTS_LEASE_UPSTREAM_H
-#define LC_TESTS_LEASE_UPSTREAM_H
+#ifndef LC_TESTS_UPSTREAM_MODEL_H
+#define LC_TESTS_UPSTREAM_MODEL_H
 
 #include <cstdint>
 #include <functional>
@@ -24,10 +24,10 @@
 
 /** Identifies a task over all its runs: its job, its step with the occurrence
  * in the upper 16 bits, its index. */
-using TaskName = std::tuple<uint64_t, uint32_t, uint32_t>;
+using TaskKey = std::tuple<uint64_t, uint32_t, uint32_t>;
 
 /** The task that a run belongs to. */
-TaskName task_of(const lc_run_id &id);
+TaskKey task_of(const lc_run_id &id);
 
 /** A run that is executing. Times are true ms. */
 struct RunningTask {
@@ -53,7 +53,7 @@
     std::function<void(const lc_run_id &, Runner_End)> on_end;
     /** Called when a poll acknowledges an end, unless the upstream's hold has
      * expired since that end. */
-    std::function<void(const lc_run_id &, Runner_End)> on_noted;
+    std::function<void(const lc_run_id &, Runner_End)> on_end_acknowledged;
     /** Duration of a task in ms. */
     std::function<int64_t(const lc_run_id &)> work_of;
 
@@ -63,10 +63,10 @@
      * once if @p up. */
     void crash(int64_t now_ms, bool up);
     /** Starts a new incarnation under a new instance name. */
-    void come_up(int64_t now_ms);
+    void bring_up(int64_t now_ms);
     /** Starts a new incarnation under the same instance name, without any
      * state and with another clock. */
-    void come_again(int64_t now_ms);
+    void bring_up_same_name(int64_t now_ms);
     /** Suspends its machine until @p until_ms: its clock and all work stand
      * still. */
     void suspend(int64_t now_ms, int64_t until_ms);
@@ -75,12 +75,12 @@
     void advance(int64_t now_ms);
 
     /** Orders, as a companion sends them. */
-    Runner_OrderEnd start(int64_t now_ms, const Runner_Start &start);
-    Runner_OrderEnd stop(int64_t now_ms, const lc_run_id &id,
-                         const std::string &instance, int64_t token);
-    Runner_OrderEnd look(int64_t now_ms, const Runner_Look &look,
-                         std::vector<Runner_Row> *running,
-                         std::vector<Runner_EndRow> *ended);
+    Runner_OrderResult start(int64_t now_ms, const Runner_Start &start);
+    Runner_OrderResult stop(int64_t now_ms, const lc_run_id &id,
+                            const std::string &instance, int64_t token);
+    Runner_OrderResult look(int64_t now_ms, const Runner_Poll &look,
+                            std::vector<Runner_ActiveRun> *running,
+                            std::vector<Runner_EndedRun> *ended);
 
     int64_t clock(int64_t now_ms) const;
     bool
@@ -104,7 +104,7 @@
     {
         return instance_name;
     }
-    const std::map<TaskName, RunningTask> &
+    const std::map<TaskKey, RunningTask> &
     tasks() const
     {
         return running;
@@ -121,7 +121,7 @@
         return ends.size();
     }
 
-    FaultMode manner = {false, false, 1};
+    FaultMode fault_mode = {false, false, 1};
     uint64_t heartbeats_sent = 0; /**< by this incarnation */
     uint32_t cpu_milli = 16000;
     int64_t capacity_reduced_ms = 0; /**< time of the last reduction */
@@ -146,10 +146,10 @@
     uint64_t hold_expiries = 0;
     bool hold_expired = false;
     std::map<uint64_t, uint64_t> expiries_at_end; /* by number of the end */
-    std::map<TaskName, RunningTask> running;
+    std::map<TaskKey, RunningTask> running;
     /* Highest run that was stopped or has ended. */
-    std::map<TaskName, uint32_t> rejected_up_to;
-    std::vector<Runner_EndRow> ends;
+    std::map<TaskKey, uint32_t> rejected_up_to;
+    std::vector<Runner_EndedRun> ends;
 };
 
 } // namespace lease
--- a/tests/view_rules.c
+++ b/tests/view_rules.c
@@ -9,8 +9,8 @@
 
 #include "base/random.h"
 #include "lease/partial_view.h"
-#include "lease/store_wait.h"
-#include "tests/rule_table.h"
+#include "lease/store_poll.h"
+#include "tests/test_table.h"
 
 #define NOW_MS 10000
 #define HALLS 5
@@ -46,7 +46,8 @@
         u_quad_t entry = entry_at(i);
         g_array_append_val(list, entry);
     }
-    Peers_TakeList(peers, (u_quad_t *)(void *)list->data, list->len, NOW_MS);
+    Peers_ReplaceList(peers, (u_quad_t *)(void *)list->data, list->len,
+                      NOW_MS);
     g_array_unref(list);
 }
 
@@ -212,7 +213,7 @@
     while (!Peers_Find(&peers, entry_at(lost))->chosen) {
         lost++;
     }
-    Peers_Hear(&peers, entry_at(lost), NOW_MS);
+    Peers_MarkAlive(&peers, entry_at(lost), NOW_MS);
     receive_list(&peers, lost + 1, 100);
     PartialView_Choose(&peers, NOW_MS + 1000, companion_at(1), "a", false);
     g_assert_true(Peers_Find(&peers, entry_at(lost))->chosen);
@@ -289,13 +290,13 @@
     for (i = 0; i < 20; i++) {
         now_ms += 3000;
         Peers_ConfirmList(&peers, now_ms);
-        Peers_Forget(&peers, now_ms);
+        Peers_Expire(&peers, now_ms);
     }
     g_assert_cmpuint(peers.rows->len, ==, 100);
     receive_list(&peers, 50, 100);
     now_ms += 60000;
     Peers_ConfirmList(&peers, now_ms);
-    Peers_Forget(&peers, now_ms);
+    Peers_Expire(&peers, now_ms);
     g_assert_cmpuint(peers.rows->len, ==, 50);
     Peers_Clear(&peers);
 }
@@ -309,7 +310,7 @@
     uint32_t i;
 
     for (i = 0; i < 1000; i++) {
-        total_ms += StoreWait_Draw(entries - 1, &random);
+        total_ms += StorePoll_RandomWaitMs(entries - 1, &random);
     }
     return (uint64_t)entries * 1000 * 1000 * 100 / total_ms;
 }
@@ -326,11 +327,11 @@
         uint32_t j;
         Peers_Init(&peers, entry_at(i));
         for (j = 0; j < 184; j++) {
-            Peers_Hear(&peers, entry_at(j), NOW_MS);
+            Peers_MarkAlive(&peers, entry_at(j), NOW_MS);
         }
-        watchers += StoreWait_IsWatcher(&peers, NOW_MS);
+        watchers += StorePoll_IsWatcher(&peers, NOW_MS);
         /* All others have been silent for long. */
-        g_assert_true(StoreWait_IsWatcher(&peers, NOW_MS + 60000));
+        g_assert_true(StorePoll_IsWatcher(&peers, NOW_MS + 60000));
         Peers_Clear(&peers);
     }
     g_assert_cmpuint(watchers, ==, 8);
@@ -341,20 +342,20 @@
 {
     uint64_t random = Random_Seed(7);
 
-    g_assert_cmpuint(StoreWait_Draw(0, &random), ==, 1000);
-    g_assert_cmpuint(StoreWait_Draw(9, &random), ==, 1000);
+    g_assert_cmpuint(StorePoll_RandomWaitMs(0, &random), ==, 1000);
+    g_assert_cmpuint(StorePoll_RandomWaitMs(9, &random), ==, 1000);
     g_assert_cmpuint(reads_per_100_s(20), <=, 1400);
     g_assert_cmpuint(reads_per_100_s(184), <=, 1400);
     g_assert_cmpuint(reads_per_100_s(300), <=, 1400);
     g_assert_cmpuint(reads_per_100_s(184), >=, 1000);
-    g_assert_cmpuint(StoreWait_Draw(5000, &random), <=, 30000);
-    g_assert_cmpuint(StoreWait_Quiet(0), <=, 500);
-    g_assert_cmpuint(StoreWait_Quiet(39), <=, 500);
-    g_assert_cmpuint(StoreWait_Quiet(183), ==, 2000);
-    g_assert_cmpuint(StoreWait_Quiet(5000), ==, 2000);
+    g_assert_cmpuint(StorePoll_RandomWaitMs(5000, &random), <=, 30000);
+    g_assert_cmpuint(StorePoll_IdleLogWaitMs(0), <=, 500);
+    g_assert_cmpuint(StorePoll_IdleLogWaitMs(39), <=, 500);
+    g_assert_cmpuint(StorePoll_IdleLogWaitMs(183), ==, 2000);
+    g_assert_cmpuint(StorePoll_IdleLogWaitMs(5000), ==, 2000);
 }
 
-static const RuleTable_Row rules[] = {
+static const TestTable_Row rules[] = {
     {"/view/a small fleet: all entries are chosen", test_few_entries},
     {"/view/own hall first", test_own_hall_first},
     {"/view/a hall without entries", test_hall_without_entries},
@@ -371,5 +372,5 @@
 int
 main(int argc, char **argv)
 {
-    return RuleTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
+    return TestTable_Main(argc, argv, rules, G_N_ELEMENTS(rules));
 }
--- a/wire/levercove.x
+++ b/wire/levercove.x
@@ -557,7 +557,7 @@
     opaque body<LC_MAX_ANSWER>;
 };
 
-/* Records of kept jobs in the store: lease/kept.h. */
+/* Records of kept jobs in the store: lease/durable_log.h. */
 enum lc_kept_kind {
     LC_KEPT_SUBMIT = 0,
     LC_KEPT_PROGRESS = 1,
--- a/wire/msg.c
+++ b/wire/msg.c
@@ -156,7 +156,7 @@
 static void
 refuse(Msg_Record *record, enum accept_stat reason)
 {
-    record->type = MSG_IS_BAD;
+    record->type = MSG_IS_INVALID_CALL;
     record->refusal = reason;
 }
 
@@ -210,7 +210,7 @@
     XDR xdr;
 
     memset(record, 0, sizeof(*record));
-    record->type = MSG_IS_JUNK;
+    record->type = MSG_IS_NOT_RPC;
     if (length < 8) {
         return;
     }
@@ -271,7 +271,7 @@
 }
 
 void
-Msg_EncodeKept(const lc_kept_record *record, GByteArray *out)
+Msg_EncodeDurableRecord(const lc_kept_record *record, GByteArray *out)
 {
     /* XDR filters take no const, but only read their object when encoding. */
     lc_kept_record *body = (lc_kept_record *)(uintptr_t)record;
@@ -286,7 +286,8 @@
 }
 
 bool
-Msg_DecodeKept(const uint8_t *data, size_t length, lc_kept_record *record)
+Msg_DecodeDurableRecord(const uint8_t *data, size_t length,
+                        lc_kept_record *record)
 {
     bool read;
     XDR xdr;
@@ -296,13 +297,13 @@
     read = xdr_lc_kept_record(&xdr, record);
     xdr_destroy(&xdr);
     if (!read) {
-        Msg_FreeKept(record);
+        Msg_FreeDurableRecord(record);
     }
     return read;
 }
 
 void
-Msg_FreeKept(lc_kept_record *record)
+Msg_FreeDurableRecord(lc_kept_record *record)
 {
     xdr_free((xdrproc_t)xdr_lc_kept_record, (char *)record);
     memset(record, 0, sizeof(*record));
--- a/wire/msg.h
+++ b/wire/msg.h
@@ -82,15 +82,15 @@
     MSG_IS_NULL,   /**< NULL procedure call: answer with Msg_EncodeNull */
     MSG_IS_REPLY,  /**< a reply with results to the call with this xid */
     MSG_IS_DENIED, /**< a reply that refuses the call with this xid */
-    MSG_IS_BAD,    /**< invalid call: answer with Msg_EncodeRefusal */
-    MSG_IS_JUNK    /**< not an RPC message: close the connection */
-} Msg_Type;
+    MSG_IS_INVALID_CALL, /**< invalid call: answer with Msg_EncodeRefusal */
+    MSG_IS_NOT_RPC       /**< not an RPC message: close the connection */
+} Msg_RecordType;
 
 /** A decoded record. */
 typedef struct {
-    Msg_Type type;
+    Msg_RecordType type;
     uint32_t xid;
-    enum accept_stat refusal; /**< for MSG_IS_BAD */
+    enum accept_stat refusal; /**< for MSG_IS_INVALID_CALL */
     size_t body;              /**< for MSG_IS_REPLY: offset of the results */
     Msg_Call call;            /**< for MSG_IS_CALL; free with Msg_FreeCall */
 } Msg_Record;
@@ -127,14 +127,14 @@
                      Msg_Reply *reply);
 
 /** Appends a durable job's record in the format of the store. */
-void Msg_EncodeKept(const lc_kept_record *record, GByteArray *out);
+void Msg_EncodeDurableRecord(const lc_kept_record *record, GByteArray *out);
 
 /** Decodes a durable job's record; false if it is malformed. To be freed with
- * Msg_FreeKept. */
-bool Msg_DecodeKept(const uint8_t *data, size_t length,
-                    lc_kept_record *record);
+ * Msg_FreeDurableRecord. */
+bool Msg_DecodeDurableRecord(const uint8_t *data, size_t length,
+                             lc_kept_record *record);
 
-void Msg_FreeKept(lc_kept_record *record);
+void Msg_FreeDurableRecord(lc_kept_record *record);
 
 void Msg_FreeCall(Msg_Call *call);
 void Msg_FreeReply(Msg_Reply *reply);
--- a/wire/rpc.c
+++ b/wire/rpc.c
@@ -3,8 +3,8 @@
 #include <string.h>
 
 #include "base/event.h"
-#include "base/handle.h"
-#include "wire/runs.h"
+#include "base/handle_table.h"
+#include "wire/run_batch.h"
 
 #define LISTEN_BACKLOG 512
 #define READ_CHUNK 65536
@@ -87,8 +87,8 @@
     if (!rpc->closing || rpc->handles > 0) {
         return;
     }
-    for (i = 0; i < Handle_Size(rpc->incoming); i++) {
-        g_free(Handle_At(rpc->incoming, i));
+    for (i = 0; i < Handle_RowCount(rpc->incoming); i++) {
+        g_free(Handle_ItemAt(rpc->incoming, i));
     }
     Handle_FreeTable(rpc->incoming);
     Handle_FreeTable(rpc->connections);
@@ -265,7 +265,7 @@
     }
     for (i = 0; i < runs->rows.rows_len; i++) {
         Msg_Call run;
-        Runs_Get(runs, i, &run);
+        RunBatch_DecodeRow(runs, i, &run);
         deliver_call(rpc, handle, first_xid + i, &run);
     }
 }
@@ -357,14 +357,14 @@
         Msg_EncodeNull(record.xid, out);
         write_bytes(conn, out);
         break;
-    case MSG_IS_BAD:
+    case MSG_IS_INVALID_CALL:
         refuse_call(conn, record.xid, record.refusal);
         break;
     case MSG_IS_REPLY:
     case MSG_IS_DENIED:
         handle_reply(conn, &record, data, length);
         break;
-    case MSG_IS_JUNK:
+    case MSG_IS_NOT_RPC:
         Counter_Add(rpc->counters, COUNTER_RPC_BAD, 1);
         Event_Log(EVENT_RPC_BAD, "not an RPC message, connection closed");
         close_connection(conn);
@@ -553,8 +553,8 @@
     uint32_t i;
 
     rpc->checked_ms = now;
-    for (i = 0; i < Handle_Size(rpc->connections); i++) {
-        connection *conn = Handle_At(rpc->connections, i);
+    for (i = 0; i < Handle_RowCount(rpc->connections); i++) {
+        connection *conn = Handle_ItemAt(rpc->connections, i);
         if (conn != NULL && stalled) {
             conn->active_ms = now;
         }
@@ -565,7 +565,7 @@
 }
 
 void
-Rpc_KeepAlive(Rpc *rpc, uint32_t silence_ms)
+Rpc_EnableKeepAlive(Rpc *rpc, uint32_t silence_ms)
 {
     rpc->silence_ms = silence_ms;
     rpc->checked_ms = (int64_t)uv_now(rpc->loop);
@@ -727,7 +727,7 @@
 }
 
 void
-Rpc_Reset(Rpc *rpc, Address to)
+Rpc_Disconnect(Rpc *rpc, Address to)
 {
     connection *conn = g_hash_table_lookup(rpc->by_peer, &to);
 
@@ -737,7 +737,7 @@
 }
 
 int
-Rpc_Writing(const Rpc *rpc)
+Rpc_HasPendingWrites(const Rpc *rpc)
 {
     return rpc->writes > 0;
 }
@@ -754,8 +754,8 @@
     uint32_t i;
 
     rpc->closing = true;
-    for (i = 0; i < Handle_Size(rpc->connections); i++) {
-        connection *conn = Handle_At(rpc->connections, i);
+    for (i = 0; i < Handle_RowCount(rpc->connections); i++) {
+        connection *conn = Handle_ItemAt(rpc->connections, i);
         if (conn != NULL) {
             close_connection(conn);
         }
--- a/wire/runs.c
+++ b/wire/run_batch.c
@@ -1,9 +1,9 @@
-#include "wire/runs.h"
+#include "wire/run_batch.h"
 
 #include <string.h>
 
 void
-Runs_Get(const lc_runs_args *runs, u_int index, Msg_Call *run)
+RunBatch_DecodeRow(const lc_runs_args *runs, u_int index, Msg_Call *run)
 {
     const lc_runs_row *row = &runs->rows.rows_val[index];
     lc_run_args *args = &run->u.run;
@@ -26,7 +26,7 @@
 }
 
 void
-Runs_Put(const lc_run_args *run, lc_runs_row *row)
+RunBatch_EncodeRow(const lc_run_args *run, lc_runs_row *row)
 {
     row->occurrence = run->id.occurrence;
     row->step = run->id.step;
