--- a/lease/active_job.c
+++ b/lease/active_job.c
@@ -16,7 +16,7 @@
 
     for (occurrence = 0; occurrence < times; occurrence++) {
         for (step = 0; step < job->spec.step_count; step++) {
-            job->lasts |= job->spec.steps[step].long_running;
+            job->has_long_running |= job->spec.steps[step].long_running;
             for (index = 0; index < job->spec.steps[step].count; index++) {
                 task->id.job = job->spec.id;
                 task->id.occurrence = occurrence;
--- a/lease/active_job.h
+++ b/lease/active_job.h
@@ -22,7 +22,7 @@
 #define ACTIVE_STATE_LIST(X)                                                  \
     X(BLOCKED, "blocked")   /* steps it depends on have not ended */          \
     X(WAITING, "waiting")   /* ready to be sent to a companion */             \
-    X(SENT, "sent")         /* sent to a companion that has not ended it */   \
+    X(SENT, "sent")         /* sent to a companion, which may refuse it */    \
     X(ORPHANED, "orphaned") /* connection lost: it may still run */           \
     X(HALTING, "halting")   /* a stop has been requested */                   \
     X(AWAY, "away")         /* the job is forwarded to another entry */       \
@@ -41,18 +41,18 @@
     lc_run_id id; /**< includes the number of the latest run */
     Active_State state;
     bool done;
-    uint32_t failures; /**< run ends that count as attempts */
-    uint32_t crashes;  /**< upstreams that crashed while running it */
-    Address crashed;   /**< address of the companion of the last one */
-    lc_node host;      /**< companion of the latest run */
-    Address avoid;     /**< companion where it last failed */
-    int64_t again_ms;  /**< nothing is sent for it before this time */
-    uint32_t refused;  /**< consecutive refused starts */
-    uint32_t asks;     /**< queries for the outcome of the current run that
-                          brought no answer */
+    uint32_t failures;     /**< run ends that count as attempts */
+    uint32_t crashes;      /**< upstreams that crashed while running it */
+    Address crashed;       /**< address of the companion of the last one */
+    lc_node host;          /**< companion of the latest run */
+    Address avoid;         /**< companion where it last failed */
+    int64_t not_before_ms; /**< nothing is sent for it before this time */
+    uint32_t refused;      /**< consecutive refused starts */
+    uint32_t call_retries; /**< repeated calls about the current run */
     int64_t outcome_queried_ms; /**< when the outcome of the run was first
-                               queried: the run may have ended, and must not
-                               be started again. 0 if it may be started */
+                                     queried: the run may have ended, and must
+                                     not be started again. 0 if it may be
+                                     started */
 } Active_Task;
 
 /** One job. */
@@ -75,10 +75,10 @@
     uint32_t starts;       /**< runs sent and not refused */
     int64_t first_sent_ms; /**< 0 until the first run is sent */
     JobTrace *trace;
-    bool lasts;       /**< has long-running tasks, which are restarted
-                           however they end */
-    bool kept;        /**< durable: it has no caller and no deadline */
-    Address delegate; /**< entry that this job was forwarded to, or 0 */
+    bool has_long_running; /**< some of its tasks are restarted however they
+                                end */
+    bool durable;          /**< it has no caller and no deadline */
+    Address delegate;      /**< entry that this job was forwarded to, or 0 */
     struct Dispatcher_Origin *origin; /**< entry that forwarded the job to this
                                            one, or NULL */
     uint64_t forward_number;          /**< identifies the forwarded job to both
--- a/lease/delegates.c
+++ b/lease/delegates.c
@@ -23,7 +23,7 @@
 {
     Delegate *row = item;
 
-    g_array_unref(row->gone);
+    g_array_unref(row->withdrawn);
     g_free(row);
 }
 
@@ -68,7 +68,7 @@
 }
 
 /* Removes the delegates that are no longer candidates, once they have no job,
- * no pending call and no dropped job to be told of. */
+ * no pending call and no withdrawn job to be told of. */
 static void
 remove_unlisted(Delegates *delegates, const Address *addresses, guint count)
 {
@@ -76,8 +76,8 @@
 
     while (i < delegates->rows->len) {
         const Delegate *row = g_ptr_array_index(delegates->rows, i);
-        if (row->jobs == 0 && row->asking == 0 && row->gone->len == 0 &&
-            !is_candidate(row, addresses, count)) {
+        if (row->jobs == 0 && row->extend_call_id == 0 &&
+            row->withdrawn->len == 0 && !is_candidate(row, addresses, count)) {
             g_ptr_array_remove_index_fast(delegates->rows, i);
         }
         else {
@@ -101,7 +101,7 @@
         }
         row = g_new0(Delegate, 1);
         row->node.address = address;
-        row->gone = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+        row->withdrawn = g_array_new(FALSE, FALSE, sizeof(uint64_t));
         g_ptr_array_add(delegates->rows, row);
     }
 }
@@ -109,12 +109,12 @@
 bool
 Delegates_IsExtendDue(const Delegate *row, int64_t now_ms, bool wanted)
 {
-    int64_t since_ms = now_ms - row->asked_ms;
+    int64_t since_ms = now_ms - row->extend_sent_ms;
 
-    if (row->asking != 0) {
+    if (row->extend_call_id != 0) {
         return false;
     }
-    if (row->jobs > 0 || row->gone->len > 0) {
+    if (row->jobs > 0 || row->withdrawn->len > 0) {
         return since_ms >= RENEW_INTERVAL_MS;
     }
     return wanted && since_ms >= QUERY_INTERVAL_MS;
--- a/lease/delegates.h
+++ b/lease/delegates.h
@@ -26,12 +26,12 @@
     int64_t stamp_ms;     /**< on its clock: when its last answer was sent */
     int64_t received_ms;  /**< when that answer arrived; 0 for never */
     int64_t credit_bytes; /**< link cost of the jobs it may still be sent */
-    uint64_t asking;      /**< call id of the pending EXTEND, or 0 */
-    int64_t asked_ms;     /**< when that was sent */
-    uint32_t jobs;        /**< forwarded to it and not ended */
-    GArray *gone;         /**< uint64_t, numbers of dropped jobs it has not
-                               acknowledged */
-    guint gone_in_flight; /**< how many of them the pending EXTEND carries */
+    uint64_t extend_call_id; /**< call id of the pending EXTEND, or 0 */
+    int64_t extend_sent_ms;  /**< when that was sent */
+    uint32_t jobs;           /**< forwarded to it and not ended */
+    GArray *withdrawn; /**< uint64_t, numbers of withdrawn jobs it has not
+                            acknowledged */
+    guint withdrawn_in_flight; /**< how many are in the pending EXTEND */
 } Delegate;
 
 /** All delegates. */
--- a/lease/dispatcher.c
+++ b/lease/dispatcher.c
@@ -99,7 +99,7 @@
     if (job == NULL) {
         return false;
     }
-    if (job->closing || job->kept ||
+    if (job->closing || job->durable ||
         g_strcmp0(job->queue, submit->route->name) != 0) {
         refuse(self, submit->request_id, submit->job.id, ERR_UNSETTLED,
                "an earlier run of this job is still being stopped",
@@ -202,10 +202,10 @@
         }
     }
     if (job->requests->len == 0) {
-        DispatcherEnd_RecordOutcome(
+        DispatcherCompletion_RecordOutcome(
             self, now_ms, job, QUEUE_OUTCOME_CALLER_GONE,
             "the caller disconnected; stopping the job's runs");
-        DispatcherEnd_Close(self, job);
+        DispatcherCompletion_CloseJob(self, job);
     }
 }
 
@@ -222,7 +222,7 @@
         return false;
     }
     if (!job->closing) {
-        DispatcherEnd_Job(self, now_ms, job, &answer);
+        DispatcherCompletion_EndJob(self, now_ms, job, &answer);
     }
     return true;
 }
@@ -305,7 +305,7 @@
 retry_valid_until_ms(const Dispatcher *self, const Active_Job *job,
                      const Active_Task *task)
 {
-    const Fleet_Host *host = DispatcherEnd_HostOf(self, task);
+    const Fleet_Host *host = DispatcherCompletion_HostOf(self, task);
 
     if (host == NULL || task->outcome_queried_ms != 0) {
         return LC_HOLD_NONE;
@@ -322,11 +322,11 @@
 
     for (i = 0; i < job->task_count; i++) {
         Active_Task *task = &job->tasks[i];
-        if (task->again_ms > now_ms) {
+        if (task->not_before_ms > now_ms) {
             continue;
         }
-        task->asks += task->state == ACTIVE_HALTING ||
-                      task->state == ACTIVE_ORPHANED;
+        task->call_retries += task->state == ACTIVE_HALTING ||
+                              task->state == ACTIVE_ORPHANED;
         if (task->state == ACTIVE_HALTING) {
             DispatcherCall_Halt(self, job, task);
         }
@@ -365,8 +365,9 @@
 refuse_if_not_started(Dispatcher *self, int64_t now_ms, Active_Job *job)
 {
     if (!Active_HasStarted(job)) {
-        DispatcherEnd_GiveUp(self, now_ms, job, ERR_WAIT_TOO_LONG,
-                             "this entry is cut off from all companions");
+        DispatcherCompletion_GiveUp(
+            self, now_ms, job, ERR_WAIT_TOO_LONG,
+            "this entry is cut off from all companions");
     }
 }
 
@@ -374,38 +375,41 @@
 check_job(Dispatcher *self, int64_t now_ms, Active_Job *job, bool isolated)
 {
     if (now_ms >= job->deadline_ms) {
-        DispatcherEnd_GiveUp(self, now_ms, job, ERR_DEADLINE,
-                             "its deadline passed");
+        DispatcherCompletion_GiveUp(self, now_ms, job, ERR_DEADLINE,
+                                    "its deadline passed");
     }
     else if (now_ms >= self->shutdown_ms) {
-        DispatcherEnd_GiveUp(self, now_ms, job, ERR_STOPPING,
-                             "this entry is being stopped");
+        DispatcherCompletion_GiveUp(self, now_ms, job, ERR_STOPPING,
+                                    "this entry is being stopped");
     }
     else if (cannot_finish_in_time(job, now_ms)) {
-        DispatcherEnd_GiveUp(self, now_ms, job, ERR_DEADLINE,
-                             "the job cannot finish before its deadline");
+        DispatcherCompletion_GiveUp(
+            self, now_ms, job, ERR_DEADLINE,
+            "the job cannot finish before its deadline");
     }
     else if (!Active_HasStarted(job) &&
              DispatcherHalls_AllClosedFor(self, now_ms, &job->spec,
                                           job->service)) {
-        DispatcherEnd_GiveUp(
+        DispatcherCompletion_GiveUp(
             self, now_ms, job, ERR_HALL_CLOSED,
             "operators have closed all halls that could run the job");
     }
     else if (!Active_HasStarted(job) &&
              DispatcherCapacity_ExceedsAll(self, now_ms, &job->spec,
                                            job->service)) {
-        DispatcherEnd_GiveUp(self, now_ms, job, ERR_WAIT_TOO_LONG,
-                             "a task of the job exceeds the capacity of every "
-                             "upstream");
+        DispatcherCompletion_GiveUp(
+            self, now_ms, job, ERR_WAIT_TOO_LONG,
+            "a task of the job exceeds the capacity of every "
+            "upstream");
     }
     else if (cannot_meet_objective(self, job, now_ms)) {
-        DispatcherEnd_GiveUp(self, now_ms, job, ERR_WAIT_TOO_LONG,
-                             LinkBudget_IsCongested(&self->link, now_ms)
-                                 ? "this entry's network link was too busy to "
-                                   "start the job in time for its objective"
-                                 : "no companion had room in time for the "
-                                   "job's objective");
+        DispatcherCompletion_GiveUp(
+            self, now_ms, job, ERR_WAIT_TOO_LONG,
+            LinkBudget_IsCongested(&self->link, now_ms)
+                ? "this entry's network link was too busy to "
+                  "start the job in time for its objective"
+                : "no companion had room in time for the "
+                  "job's objective");
     }
     else if (isolated) {
         refuse_if_not_started(self, now_ms, job);
@@ -430,7 +434,7 @@
         if (job->spec.repeat_count > 0 && !job->closing) {
             Active_Unblock(job, now_ms + self->wall_offset_ms);
         }
-        if (!job->closing && !job->kept) {
+        if (!job->closing && !job->durable) {
             check_job(self, now_ms, job, isolated);
         }
     }
--- a/lease/dispatcher.h
+++ b/lease/dispatcher.h
@@ -102,10 +102,10 @@
     const Route *route;
     LeasedJob job;          /**< contents move to the dispatcher */
     const GByteArray *done; /**< bitmap of the finished tasks */
-    const GArray
-        *failures;      /**< lc_kept_failures, see DURABLE_LOG_CRASH_COUNT */
-    const GArray *runs; /**< Dispatcher_Placement */
-    uint32_t run_base;  /**< highest run number used before */
+    const GArray *failures; /**< lc_kept_failures, see
+                                 DURABLE_LOG_CRASH_COUNT */
+    const GArray *runs;     /**< Dispatcher_Placement */
+    uint32_t run_base;      /**< highest run number used before */
 } Dispatcher_DurableJob;
 
 /** Opaque dispatcher. */
--- a/lease/dispatcher_calls.c
+++ b/lease/dispatcher_calls.c
@@ -31,7 +31,7 @@
 {
     lc_node owner = self->config.node;
 
-    if (job->kept) {
+    if (job->durable) {
         owner.incarnation = self->durable_owner;
     }
     else if (job->origin != NULL) {
@@ -174,7 +174,7 @@
     call.u.halt.owner = owner_of(self, job);
     call.u.halt.target = task->host.incarnation;
     call.u.halt.id = task->id;
-    task->again_ms = INT64_MAX;
+    task->not_before_ms = INT64_MAX;
     DispatcherCall_Send(self, &about, &call);
 }
 
--- a/lease/dispatcher_completion.c
+++ b/lease/dispatcher_completion.c
@@ -11,7 +11,7 @@
 #define MAX_CRASHES_LONG_RUNNING 3
 
 Fleet_Host *
-DispatcherEnd_HostOf(const Dispatcher *self, const Active_Task *task)
+DispatcherCompletion_HostOf(const Dispatcher *self, const Active_Task *task)
 {
     Fleet_Host *host = Fleet_Find(&self->fleet, task->host.address);
 
@@ -22,44 +22,45 @@
 }
 
 bool
-DispatcherEnd_IsInFlight(const Active_Task *task)
+DispatcherCompletion_IsInFlight(const Active_Task *task)
 {
     return task->state == ACTIVE_SENT || task->state == ACTIVE_ORPHANED ||
            task->state == ACTIVE_HALTING;
 }
 
 void
-DispatcherEnd_ReleaseHost(Dispatcher *self, const Active_Task *task)
+DispatcherCompletion_ReleaseHost(Dispatcher *self, const Active_Task *task)
 {
-    Fleet_Host *host = DispatcherEnd_HostOf(self, task);
+    Fleet_Host *host = DispatcherCompletion_HostOf(self, task);
 
-    if (host != NULL && DispatcherEnd_IsInFlight(task) && host->running > 0) {
+    if (host != NULL && DispatcherCompletion_IsInFlight(task) &&
+        host->running > 0) {
         host->running--;
     }
 }
 
 void
-DispatcherEnd_QueryRun(Dispatcher *self, int64_t now_ms, Active_Job *job,
-                       Active_Task *task, lc_node host)
+DispatcherCompletion_QueryRun(Dispatcher *self, int64_t now_ms,
+                              Active_Job *job, Active_Task *task, lc_node host)
 {
     Fleet_Host *row;
 
-    DispatcherEnd_ReleaseHost(self, task);
+    DispatcherCompletion_ReleaseHost(self, task);
     task->host = host;
-    task->asks = 0;
+    task->call_retries = 0;
     if (task->outcome_queried_ms == 0) {
         task->outcome_queried_ms = now_ms;
     }
-    task->again_ms = now_ms;
+    task->not_before_ms = now_ms;
     Active_SetState(job, task, ACTIVE_ORPHANED);
-    row = DispatcherEnd_HostOf(self, task);
+    row = DispatcherCompletion_HostOf(self, task);
     if (row != NULL) {
         row->running++;
     }
 }
 
 void
-DispatcherEnd_FreeJob(Dispatcher *self, Active_Job *job)
+DispatcherCompletion_FreeJob(Dispatcher *self, Active_Job *job)
 {
     DispatcherOrigin_RemoveJob(self, job);
     if (g_hash_table_lookup(self->by_id, &job->spec.id) == job) {
@@ -105,9 +106,10 @@
 }
 
 void
-DispatcherEnd_RecordOutcome(Dispatcher *self, int64_t now_ms,
-                            const Active_Job *job, QueueStats_Outcome outcome,
-                            const char *detail)
+DispatcherCompletion_RecordOutcome(Dispatcher *self, int64_t now_ms,
+                                   const Active_Job *job,
+                                   QueueStats_Outcome outcome,
+                                   const char *detail)
 {
     QueueStats *stats = QueueStats_Get(&self->stats, job->queue);
 
@@ -132,12 +134,12 @@
     };
     guint i;
 
-    if (job->kept) {
+    if (job->durable) {
         self->ports->on_durable_job_end(self->context, job->spec.id,
                                         answer->outcome);
     }
     Counter_Add(&self->counters, counters[answer->outcome], 1);
-    DispatcherEnd_RecordOutcome(
+    DispatcherCompletion_RecordOutcome(
         self, now_ms, job, outcome_of(now_ms, job, answer), answer->message);
     for (i = 0; i < job->requests->len; i++) {
         uint64_t request = g_array_index(job->requests, uint64_t, i);
@@ -151,7 +153,7 @@
 }
 
 void
-DispatcherEnd_Close(Dispatcher *self, Active_Job *job)
+DispatcherCompletion_CloseJob(Dispatcher *self, Active_Job *job)
 {
     uint32_t i;
 
@@ -170,21 +172,21 @@
         }
     }
     if (job->open == 0) {
-        DispatcherEnd_FreeJob(self, job);
+        DispatcherCompletion_FreeJob(self, job);
     }
 }
 
 void
-DispatcherEnd_Job(Dispatcher *self, int64_t now_ms, Active_Job *job,
-                  const Dispatcher_Answer *answer)
+DispatcherCompletion_EndJob(Dispatcher *self, int64_t now_ms, Active_Job *job,
+                            const Dispatcher_Answer *answer)
 {
     answer_job(self, now_ms, job, answer);
-    DispatcherEnd_Close(self, job);
+    DispatcherCompletion_CloseJob(self, job);
 }
 
 void
-DispatcherEnd_GiveUp(Dispatcher *self, int64_t now_ms, Active_Job *job,
-                     Err_Kind kind, const char *message)
+DispatcherCompletion_GiveUp(Dispatcher *self, int64_t now_ms, Active_Job *job,
+                            Err_Kind kind, const char *message)
 {
     Dispatcher_Answer answer = {
         .outcome = DISPATCHER_GIVEN_UP, .kind = kind, .message = message};
@@ -196,12 +198,12 @@
         }
         answer.retry_ms = DISPATCHER_RETRY_MS;
     }
-    DispatcherEnd_Job(self, now_ms, job, &answer);
+    DispatcherCompletion_EndJob(self, now_ms, job, &answer);
 }
 
 void
-DispatcherEnd_Finish(Dispatcher *self, int64_t now_ms, Active_Job *job,
-                     Active_Task *task)
+DispatcherCompletion_FinishTask(Dispatcher *self, int64_t now_ms,
+                                Active_Job *job, Active_Task *task)
 {
     Dispatcher_Answer answer = {
         .outcome = DISPATCHER_SUCCEEDED, .kind = ERR_OK, .message = ""};
@@ -209,7 +211,7 @@
     task->done = true;
     Active_SetState(job, task, ACTIVE_OVER);
     if (Active_IsDone(job)) {
-        DispatcherEnd_Job(self, now_ms, job, &answer);
+        DispatcherCompletion_EndJob(self, now_ms, job, &answer);
         return;
     }
     if (job->spec.step_count > 1) {
@@ -218,18 +220,18 @@
 }
 
 void
-DispatcherEnd_Requeue(Dispatcher *self, Active_Job *job, Active_Task *task,
-                      int64_t not_before_ms)
+DispatcherCompletion_Requeue(Dispatcher *self, Active_Job *job,
+                             Active_Task *task, int64_t not_before_ms)
 {
     if (job->closing) {
         Active_SetState(job, task, ACTIVE_OVER);
         if (job->open == 0) {
-            DispatcherEnd_FreeJob(self, job);
+            DispatcherCompletion_FreeJob(self, job);
         }
         return;
     }
     Active_SetState(job, task, ACTIVE_WAITING);
-    task->again_ms = not_before_ms;
+    task->not_before_ms = not_before_ms;
 }
 
 static void
@@ -251,8 +253,8 @@
 }
 
 bool
-DispatcherEnd_CheckCrashLimit(Dispatcher *self, int64_t now_ms,
-                              Active_Job *job, const Active_Task *task)
+DispatcherCompletion_CheckCrashLimit(Dispatcher *self, int64_t now_ms,
+                                     Active_Job *job, const Active_Task *task)
 {
     Dispatcher_Answer answer = {
         .outcome = DISPATCHER_FAILED,
@@ -267,30 +269,31 @@
         return false;
     }
     Counter_Add(&self->counters, COUNTER_JOBS_CRASHING, 1);
-    DispatcherEnd_Job(self, now_ms, job, &answer);
+    DispatcherCompletion_EndJob(self, now_ms, job, &answer);
     return true;
 }
 
 bool
-DispatcherEnd_Crash(Dispatcher *self, int64_t now_ms, Active_Job *job,
-                    Active_Task *task)
+DispatcherCompletion_OnRunCrashed(Dispatcher *self, int64_t now_ms,
+                                  Active_Job *job, Active_Task *task)
 {
     task->crashes++;
     Counter_Add(&self->counters, COUNTER_TASKS_CRASHED, 1);
     log_crash(self, now_ms, job, task);
     task->crashed = task->host.address;
-    if (job->kept) {
+    if (job->durable) {
         self->ports->on_durable_run_crash(
             self->context, &task->id,
             LeasedJob_TaskNumber(&job->spec, &task->id));
     }
     Active_SetState(job, task, ACTIVE_WAITING);
-    return DispatcherEnd_CheckCrashLimit(self, now_ms, job, task);
+    return DispatcherCompletion_CheckCrashLimit(self, now_ms, job, task);
 }
 
 void
-DispatcherEnd_Fail(Dispatcher *self, int64_t now_ms, Active_Job *job,
-                   Active_Task *task, const Fleet_Host *host)
+DispatcherCompletion_OnRunFailed(Dispatcher *self, int64_t now_ms,
+                                 Active_Job *job, Active_Task *task,
+                                 const Fleet_Host *host)
 {
     Dispatcher_Answer answer = {
         .outcome = DISPATCHER_FAILED,
@@ -300,13 +303,13 @@
 
     task->failures++;
     task->avoid = task->host.address;
-    if (host != NULL && host->state == LC_UPSTREAM_TRIAL && !job->kept) {
+    if (host != NULL && host->state == LC_UPSTREAM_TRIAL && !job->durable) {
         limit += TRIAL_EXTRA_ATTEMPTS;
     }
     if (!job->closing && task->failures >= limit) {
         Active_SetState(job, task, ACTIVE_OVER);
-        DispatcherEnd_Job(self, now_ms, job, &answer);
+        DispatcherCompletion_EndJob(self, now_ms, job, &answer);
         return;
     }
-    DispatcherEnd_Requeue(self, job, task, now_ms);
+    DispatcherCompletion_Requeue(self, job, task, now_ms);
 }
--- a/lease/dispatcher_durable.c
+++ b/lease/dispatcher_durable.c
@@ -13,13 +13,13 @@
     self->durable_owner = incarnation;
     for (i = 0; i < Handle_RowCount(self->jobs); i++) {
         Active_Job *job = Handle_ItemAt(self->jobs, i);
-        if (job == NULL || !job->kept) {
+        if (job == NULL || !job->durable) {
             continue;
         }
         for (j = 0; j < job->task_count; j++) {
-            DispatcherEnd_ReleaseHost(self, &job->tasks[j]);
+            DispatcherCompletion_ReleaseHost(self, &job->tasks[j]);
         }
-        DispatcherEnd_FreeJob(self, job);
+        DispatcherCompletion_FreeJob(self, job);
     }
 }
 
@@ -87,11 +87,12 @@
         Active_Task *task = &job->tasks[i];
         if (task->done || task->id.occurrence != run->id.occurrence ||
             task->id.step != run->id.step || task->id.index != run->id.index ||
-            (DispatcherEnd_IsInFlight(task) && task->id.run >= run->id.run)) {
+            (DispatcherCompletion_IsInFlight(task) &&
+             task->id.run >= run->id.run)) {
             continue;
         }
         task->id.run = run->id.run;
-        DispatcherEnd_QueryRun(self, now_ms, job, task, run->host);
+        DispatcherCompletion_QueryRun(self, now_ms, job, task, run->host);
         job->starts++;
     }
 }
@@ -105,7 +106,7 @@
     uint32_t i;
 
     if (Active_IsDone(job)) {
-        DispatcherEnd_Job(self, now_ms, job, &answer);
+        DispatcherCompletion_EndJob(self, now_ms, job, &answer);
         return;
     }
     for (i = 0; i < job->task_count; i++) {
@@ -113,10 +114,11 @@
             answer.outcome = DISPATCHER_FAILED;
             answer.kind = ERR_UPSTREAM_FAILED;
             answer.message = "a task failed in all its attempts";
-            DispatcherEnd_Job(self, now_ms, job, &answer);
+            DispatcherCompletion_EndJob(self, now_ms, job, &answer);
             return;
         }
-        if (DispatcherEnd_CheckCrashLimit(self, now_ms, job, &job->tasks[i])) {
+        if (DispatcherCompletion_CheckCrashLimit(self, now_ms, job,
+                                                 &job->tasks[i])) {
             return;
         }
     }
@@ -130,7 +132,7 @@
                                  NO_DEADLINE_MS);
     guint i;
 
-    job->kept = true;
+    job->durable = true;
     job->handle = Handle_Add(self->jobs, job);
     g_hash_table_replace(self->by_id, &job->spec.id, job);
     restore_done(job, start, now_ms + self->wall_offset_ms);
--- a/lease/dispatcher_forward.c
+++ b/lease/dispatcher_forward.c
@@ -1,6 +1,6 @@
 /*
  * Jobs that this entry forwards to others: sent while its link is congested,
- * held by leases, answered when the other entry answers.
+ * kept alive by leases, answered when the other entry answers.
  */
 #include "lease/dispatcher_state.h"
 #include "lease/job_wire.h"
@@ -11,15 +11,15 @@
 static bool
 may_forward(const Dispatcher *self, int64_t now_ms, const Active_Job *job)
 {
-    return LinkBudget_IsCongested(&self->link, now_ms) && !job->kept &&
+    return LinkBudget_IsCongested(&self->link, now_ms) && !job->durable &&
            job->origin == NULL && !job->forward_refused &&
            job->first_sent_ms == 0 && job->spec.repeat_count == 0 &&
            self->shutdown_ms == INT64_MAX &&
            job->deadline_ms - now_ms > FORWARD_OVERHEAD_MS;
 }
 
-/* Moves all tasks in one state to another, as the other entry accepts or
- * returns the job. */
+/* Moves all tasks in one state to another, as the job is forwarded or comes
+ * back. */
 static void
 move_tasks(Active_Job *job, Active_State from, Active_State to)
 {
@@ -128,7 +128,7 @@
     Delegate *delegate = end_forward(self, job);
 
     if (delegate != NULL) {
-        g_array_append_val(delegate->gone, job->forward_number);
+        g_array_append_val(delegate->withdrawn, job->forward_number);
     }
 }
 
@@ -157,8 +157,8 @@
 {
     Counter_Add(&self->counters, COUNTER_FORWARDS_LOST, 1);
     DispatcherForward_Withdraw(self, job);
-    DispatcherEnd_GiveUp(self, now_ms, job, ERR_LOST,
-                         "the entry that ran it was lost");
+    DispatcherCompletion_GiveUp(self, now_ms, job, ERR_LOST,
+                                "the entry that ran it was lost");
 }
 
 static void
@@ -178,7 +178,7 @@
     if (answer.outcome == DISPATCHER_NOT_RUN) {
         job->starts--;
     }
-    DispatcherEnd_Job(self, now_ms, job, &answer);
+    DispatcherCompletion_EndJob(self, now_ms, job, &answer);
 }
 
 void
@@ -209,17 +209,17 @@
     Msg_Call call = {.kind = MSG_EXTEND};
     /* If the numbers of withdrawn jobs exceed one message, the lease is not
      * extended, as it would also keep alive those left out. */
-    bool extends = row->jobs > 0 && row->gone->len <= LC_MAX_PEERS;
+    bool extends = row->jobs > 0 && row->withdrawn->len <= LC_MAX_PEERS;
 
     call.u.extend.from = self->config.node;
     call.u.extend.target = row->node.incarnation;
     call.u.extend.valid_until_ms =
         extends ? Delegates_ValidUntil(row, &self->config.term, now_ms) : 0;
-    call.u.extend.gone.gone_len = MIN(row->gone->len, LC_MAX_PEERS);
-    call.u.extend.gone.gone_val = (u_quad_t *)(void *)row->gone->data;
-    row->gone_in_flight = call.u.extend.gone.gone_len;
-    row->asked_ms = now_ms;
-    row->asking = DispatcherCall_Send(self, &about, &call);
+    call.u.extend.gone.gone_len = MIN(row->withdrawn->len, LC_MAX_PEERS);
+    call.u.extend.gone.gone_val = (u_quad_t *)(void *)row->withdrawn->data;
+    row->withdrawn_in_flight = call.u.extend.gone.gone_len;
+    row->extend_sent_ms = now_ms;
+    row->extend_call_id = DispatcherCall_Send(self, &about, &call);
 }
 
 void
@@ -243,16 +243,16 @@
 {
     Delegate *row = Delegates_Find(&self->delegates, about->host.address);
 
-    if (row == NULL || row->asking != call_id) {
+    if (row == NULL || row->extend_call_id != call_id) {
         return;
     }
-    row->asking = 0;
+    row->extend_call_id = 0;
     if (result == NULL) {
         Delegates_ClearCredit(row);
         return;
     }
-    g_array_remove_range(row->gone, 0, row->gone_in_flight);
-    row->gone_in_flight = 0;
+    g_array_remove_range(row->withdrawn, 0, row->withdrawn_in_flight);
+    row->withdrawn_in_flight = 0;
     Delegates_ApplyAnswer(row, now_ms, result);
 }
 
--- a/lease/dispatcher_hosts.c
+++ b/lease/dispatcher_hosts.c
@@ -31,11 +31,11 @@
 query_outcome(Dispatcher *self, int64_t now_ms, Active_Job *job,
               Active_Task *task, Fleet_Host *host, bool restarted)
 {
-    if (!job->kept || job->closing) {
+    if (!job->durable || job->closing) {
         return false;
     }
     if (restarted) {
-        DispatcherEnd_QueryRun(self, now_ms, job, task, host->node);
+        DispatcherCompletion_QueryRun(self, now_ms, job, task, host->node);
         return true;
     }
     if (now_ms - host->received_ms >= DISPATCHER_OUTCOME_TIMEOUT_MS) {
@@ -60,7 +60,7 @@
         Active_Job *job = Handle_ItemAt(self->jobs, i);
         for (j = 0; job != NULL && j < job->task_count; j++) {
             Active_Task *task = &job->tasks[j];
-            if (!DispatcherEnd_IsInFlight(task) ||
+            if (!DispatcherCompletion_IsInFlight(task) ||
                 task->host.address != address ||
                 task->host.incarnation == except_incarnation) {
                 continue;
@@ -74,7 +74,7 @@
                                                  : JOB_TRACE_REBORN,
                          &task->id, address, 0);
             task->avoid = address;
-            DispatcherEnd_Requeue(self, job, task, now_ms);
+            DispatcherCompletion_Requeue(self, job, task, now_ms);
             /* A job that was closing may have been freed. */
             job = Handle_ItemAt(self->jobs, i);
         }
--- a/lease/dispatcher_origin.c
+++ b/lease/dispatcher_origin.c
@@ -73,7 +73,7 @@
     for (i = 0; i < Handle_RowCount(self->jobs); i++) {
         Active_Job *job = Handle_ItemAt(self->jobs, i);
         if (job != NULL && job->origin == row && !job->closing) {
-            DispatcherEnd_GiveUp(
+            DispatcherCompletion_GiveUp(
                 self, now_ms, job, ERR_LOST,
                 "the lease of the entry that forwarded it expired");
         }
@@ -134,8 +134,10 @@
             continue;
         }
         for (j = 0; j < job->task_count; j++) {
-            Fleet_Host *host = DispatcherEnd_HostOf(self, &job->tasks[j]);
-            if (host != NULL && DispatcherEnd_IsInFlight(&job->tasks[j])) {
+            Fleet_Host *host = DispatcherCompletion_HostOf(self,
+                                                           &job->tasks[j]);
+            if (host != NULL &&
+                DispatcherCompletion_IsInFlight(&job->tasks[j])) {
                 g_hash_table_add(hosts, host);
             }
         }
@@ -190,7 +192,7 @@
 
     if (args->target != self->config.node.incarnation ||
         args->valid_until_ms <= now_ms) {
-        return "its lease is over";
+        return "its lease has expired";
     }
     if (route == NULL || self->routes_version < args->routes_version) {
         return "its routes are not known here";
@@ -220,8 +222,8 @@
 }
 
 static void
-take_job(Dispatcher *self, int64_t now_ms, uint64_t reply_id,
-         const lc_forward_args *args, const Route *route, LeasedJob *spec)
+accept_job(Dispatcher *self, int64_t now_ms, uint64_t reply_id,
+           const lc_forward_args *args, const Route *route, LeasedJob *spec)
 {
     Dispatcher_Origin *row = find_origin(self, &args->from);
     int64_t arrived_ms = now_ms - (int64_t)args->waited_ms;
@@ -276,7 +278,7 @@
         reply_refused(self, reply_id, reason);
         return;
     }
-    take_job(self, now_ms, reply_id, args, route, &spec);
+    accept_job(self, now_ms, reply_id, args, route, &spec);
 }
 
 bool
--- a/lease/dispatcher_queue.c
+++ b/lease/dispatcher_queue.c
@@ -36,7 +36,7 @@
 {
     queue_entry entry = {.job = job, .slack_ms = Active_SlackMs(job, now_ms)};
 
-    if (job->lasts || job->spec.repeat_count > 0) {
+    if (job->has_long_running || job->spec.repeat_count > 0) {
         /* A long-running job is always needed; a recurring one that waits is
          * due. */
         entry.slack_ms = 0;
@@ -83,7 +83,7 @@
     Histogram_Add(&self->belief_age, now_ms - host->received_ms);
     task->id.run++;
     task->host = host->node;
-    task->asks = 0;
+    task->call_retries = 0;
     task->outcome_queried_ms = 0;
     Active_SetState(job, task, ACTIVE_SENT);
     job->starts++;
@@ -146,7 +146,7 @@
     for (i = 0; i < job->task_count && job->waiting > 0; i++) {
         Active_Task *task = &job->tasks[i];
         Fleet_Host *host;
-        if (task->state != ACTIVE_WAITING || task->again_ms > now_ms) {
+        if (task->state != ACTIVE_WAITING || task->not_before_ms > now_ms) {
             continue;
         }
         if (!Resources_Fit(&Active_Step(job, task)->need, largest) ||
@@ -159,7 +159,7 @@
             return;
         }
         place_task(self, now_ms, job, task, host);
-        choice.with = host;
+        choice.previous_host = host;
         choice.packed_tasks = few_calls ? job->waiting : 0;
         g_ptr_array_add(placed, task);
     }
@@ -192,7 +192,7 @@
     for (i = 0; i < Handle_RowCount(self->jobs); i++) {
         Active_Job *job = Handle_ItemAt(self->jobs, i);
         if (job != NULL && !job->closing && job->waiting > 0 &&
-            (self->durable_enabled || !job->kept)) {
+            (self->durable_enabled || !job->durable)) {
             queue_entry entry = entry_of(job, now_ms);
             g_array_append_val(queue, entry);
         }
--- a/lease/dispatcher_replies.c
+++ b/lease/dispatcher_replies.c
@@ -29,7 +29,7 @@
         return NULL;
     }
     task = &(*job)->tasks[about->task];
-    if (task->id.run != about->run || !DispatcherEnd_IsInFlight(task)) {
+    if (task->id.run != about->run || !DispatcherCompletion_IsInFlight(task)) {
         return NULL;
     }
     return task;
@@ -57,7 +57,8 @@
 static int64_t
 retry_delay_ms(const Active_Task *task)
 {
-    return MIN((int64_t)RETRY_BASE_MS << MIN(task->asks, RETRY_MAX_DOUBLINGS),
+    return MIN((int64_t)RETRY_BASE_MS
+                   << MIN(task->call_retries, RETRY_MAX_DOUBLINGS),
                RETRY_MAX_MS);
 }
 
@@ -77,17 +78,17 @@
     if (status == LC_RUN_OLD) {
         task->id.run += SKIPPED_RUN_NUMBERS;
     }
-    DispatcherEnd_Requeue(self, job, task, now_ms);
+    DispatcherCompletion_Requeue(self, job, task, now_ms);
 }
 
 static void
 on_run_ended(Dispatcher *self, int64_t now_ms, Active_Job *job,
              Active_Task *task, lc_run_status status)
 {
-    Fleet_Host *host = DispatcherEnd_HostOf(self, task);
+    Fleet_Host *host = DispatcherCompletion_HostOf(self, task);
 
-    DispatcherEnd_ReleaseHost(self, task);
-    if (job->kept && (status == LC_RUN_DONE || status == LC_RUN_FAILED)) {
+    DispatcherCompletion_ReleaseHost(self, task);
+    if (job->durable && (status == LC_RUN_DONE || status == LC_RUN_FAILED)) {
         self->ports->on_durable_run_end(
             self->context, &task->id,
             LeasedJob_RecordedEndNumber(&job->spec, &task->id), task->host,
@@ -96,27 +97,27 @@
     JobTrace_Add(job->trace, now_ms, JOB_TRACE_ENDED, &task->id,
                  task->host.address, (int32_t)status);
     if (status == LC_RUN_CRASHED &&
-        DispatcherEnd_Crash(self, now_ms, job, task)) {
+        DispatcherCompletion_OnRunCrashed(self, now_ms, job, task)) {
         return;
     }
     if (Active_Step(job, task)->long_running &&
         (status <= LC_RUN_STALLED || status == LC_RUN_CRASHED)) {
         task->avoid = task->host.address;
-        DispatcherEnd_Requeue(self, job, task,
-                              now_ms + LONG_RUNNING_RESTART_MS);
+        DispatcherCompletion_Requeue(self, job, task,
+                                     now_ms + LONG_RUNNING_RESTART_MS);
         return;
     }
     switch (status) {
     case LC_RUN_DONE:
         if (job->closing) {
-            DispatcherEnd_Requeue(self, job, task, now_ms);
+            DispatcherCompletion_Requeue(self, job, task, now_ms);
         }
         else {
-            DispatcherEnd_Finish(self, now_ms, job, task);
+            DispatcherCompletion_FinishTask(self, now_ms, job, task);
         }
         break;
     case LC_RUN_FAILED:
-        DispatcherEnd_Fail(self, now_ms, job, task, host);
+        DispatcherCompletion_OnRunFailed(self, now_ms, job, task, host);
         break;
     case LC_RUN_STOPPED:
     case LC_RUN_LOST:
@@ -124,7 +125,7 @@
     case LC_RUN_CRASHED:
     case LC_RUN_OTHER_NODE:
         task->avoid = task->host.address;
-        DispatcherEnd_Requeue(self, job, task, now_ms);
+        DispatcherCompletion_Requeue(self, job, task, now_ms);
         break;
     default:
         on_run_refused(self, now_ms, job, task, host, status);
@@ -145,27 +146,28 @@
     if (result == NULL) {
         if (task->state == ACTIVE_SENT) {
             Active_SetState(job, task, ACTIVE_ORPHANED);
-            if (task->asks == 0) {
+            if (task->call_retries == 0) {
                 JobTrace_Add(job->trace, now_ms, JOB_TRACE_ORPHANED, &task->id,
                              task->host.address, 0);
             }
-            task->again_ms = now_ms + retry_delay_ms(task);
+            task->not_before_ms = now_ms + retry_delay_ms(task);
         }
         return;
     }
     if (task->outcome_queried_ms != 0 && result->status == LC_RUN_NOT_READY &&
         now_ms - task->outcome_queried_ms < DISPATCHER_OUTCOME_TIMEOUT_MS) {
         Active_SetState(job, task, ACTIVE_ORPHANED);
-        task->again_ms = now_ms + retry_delay_ms(task);
+        task->not_before_ms = now_ms + retry_delay_ms(task);
         return;
     }
     if (is_inconclusive(result->status, &result->host, about)) {
-        task->again_ms = now_ms + retry_delay_ms(task);
+        task->not_before_ms = now_ms + retry_delay_ms(task);
         return;
     }
-    if (result->status == LC_RUN_OTHER_NODE && job->kept && !job->closing) {
+    if (result->status == LC_RUN_OTHER_NODE && job->durable && !job->closing) {
         /* The companion's next incarnation may know how the run ended. */
-        DispatcherEnd_QueryRun(self, now_ms, job, task, result->host.node);
+        DispatcherCompletion_QueryRun(self, now_ms, job, task,
+                                      result->host.node);
         return;
     }
     on_run_ended(self, now_ms, job, task,
@@ -184,15 +186,15 @@
     }
     if (result == NULL ||
         is_inconclusive(result->status, &result->host, about)) {
-        task->again_ms = now_ms + retry_delay_ms(task);
+        task->not_before_ms = now_ms + retry_delay_ms(task);
         return;
     }
     on_run_ended(self, now_ms, job, task, result->status);
 }
 
 static void
-take_state(const Dispatcher *self, int64_t now_ms,
-           const Dispatcher_Call *about, const Msg_Reply *reply)
+apply_state(const Dispatcher *self, int64_t now_ms,
+            const Dispatcher_Call *about, const Msg_Reply *reply)
 {
     Fleet_Host *host = Fleet_Find(&self->fleet, about->host.address);
 
@@ -239,7 +241,7 @@
         return;
     }
     if (reply != NULL) {
-        take_state(self, now_ms, about, reply);
+        apply_state(self, now_ms, about, reply);
     }
     switch (about->kind) {
     case MSG_RUN:
--- a/lease/dispatcher_state.h
+++ b/lease/dispatcher_state.h
@@ -178,67 +178,73 @@
 /* Completion of runs and jobs: dispatcher_completion.c. */
 
 /** Frees a job and removes it from the tables. */
-void DispatcherEnd_FreeJob(Dispatcher *self, Active_Job *job);
+void DispatcherCompletion_FreeJob(Dispatcher *self, Active_Job *job);
 
 /** Returns the companion that has the task's run, or NULL if it is unknown or
  * has restarted since. */
-Fleet_Host *DispatcherEnd_HostOf(const Dispatcher *self,
-                                 const Active_Task *task);
+Fleet_Host *DispatcherCompletion_HostOf(const Dispatcher *self,
+                                        const Active_Task *task);
 
 /** Whether a run of the task may be in progress. */
-bool DispatcherEnd_IsInFlight(const Active_Task *task);
+bool DispatcherCompletion_IsInFlight(const Active_Task *task);
 
 /** Decrements the host's running count for a run that is over or was never
  * started. */
-void DispatcherEnd_ReleaseHost(Dispatcher *self, const Active_Task *task);
+void DispatcherCompletion_ReleaseHost(Dispatcher *self,
+                                      const Active_Task *task);
 
 /** Schedules a query to @p host, which may know the task's run, for the next
  * tick. */
-void DispatcherEnd_QueryRun(Dispatcher *self, int64_t now_ms, Active_Job *job,
-                            Active_Task *task, lc_node host);
+void DispatcherCompletion_QueryRun(Dispatcher *self, int64_t now_ms,
+                                   Active_Job *job, Active_Task *task,
+                                   lc_node host);
 
 /** Marks a task as done. May free its job. */
-void DispatcherEnd_Finish(Dispatcher *self, int64_t now_ms, Active_Job *job,
-                          Active_Task *task);
+void DispatcherCompletion_FinishTask(Dispatcher *self, int64_t now_ms,
+                                     Active_Job *job, Active_Task *task);
 
 /** Makes a task whose run is certainly over wait again, until @p not_before_ms
  * at least. May free its job. */
-void DispatcherEnd_Requeue(Dispatcher *self, Active_Job *job,
-                           Active_Task *task, int64_t not_before_ms);
+void DispatcherCompletion_Requeue(Dispatcher *self, Active_Job *job,
+                                  Active_Task *task, int64_t not_before_ms);
 
 /** Counts a failed run; ends the job when the task has used up its attempts.
  * May free the job. */
-void DispatcherEnd_Fail(Dispatcher *self, int64_t now_ms, Active_Job *job,
-                        Active_Task *task, const Fleet_Host *host);
+void DispatcherCompletion_OnRunFailed(Dispatcher *self, int64_t now_ms,
+                                      Active_Job *job, Active_Task *task,
+                                      const Fleet_Host *host);
 
 /** Counts a crash of an upstream during the task's run. Returns true if this
  * ended the job, which may then be freed. */
-bool DispatcherEnd_Crash(Dispatcher *self, int64_t now_ms, Active_Job *job,
-                         Active_Task *task);
+bool DispatcherCompletion_OnRunCrashed(Dispatcher *self, int64_t now_ms,
+                                       Active_Job *job, Active_Task *task);
 
 /** Ends a job if the task has reached the limit of upstream crashes; returns
  * whether it did. May free the job. */
-bool DispatcherEnd_CheckCrashLimit(Dispatcher *self, int64_t now_ms,
-                                   Active_Job *job, const Active_Task *task);
+bool DispatcherCompletion_CheckCrashLimit(Dispatcher *self, int64_t now_ms,
+                                          Active_Job *job,
+                                          const Active_Task *task);
 
 /** Answers a job and stops its runs. May free it. */
-void DispatcherEnd_Job(Dispatcher *self, int64_t now_ms, Active_Job *job,
-                       const Dispatcher_Answer *answer);
+void DispatcherCompletion_EndJob(Dispatcher *self, int64_t now_ms,
+                                 Active_Job *job,
+                                 const Dispatcher_Answer *answer);
 
 /** Counts and logs the outcome of a job. */
-void DispatcherEnd_RecordOutcome(Dispatcher *self, int64_t now_ms,
-                                 const Active_Job *job,
-                                 QueueStats_Outcome outcome,
-                                 const char *detail);
+void DispatcherCompletion_RecordOutcome(Dispatcher *self, int64_t now_ms,
+                                        const Active_Job *job,
+                                        QueueStats_Outcome outcome,
+                                        const char *detail);
 
 /** Stops the runs of a job that needs no answer any more, or frees the job if
  * it has none. */
-void DispatcherEnd_Close(Dispatcher *self, Active_Job *job);
+void DispatcherCompletion_CloseJob(Dispatcher *self, Active_Job *job);
 
 /** Ends a job without a result: as not run if none of its runs can have
  * started, otherwise as given up. May free it. */
-void DispatcherEnd_GiveUp(Dispatcher *self, int64_t now_ms, Active_Job *job,
-                          Err_Kind kind, const char *message);
+void DispatcherCompletion_GiveUp(Dispatcher *self, int64_t now_ms,
+                                 Active_Job *job, Err_Kind kind,
+                                 const char *message);
 
 /* Admission control by link capacity: dispatcher_link.c. */
 
--- a/lease/fleet.c
+++ b/lease/fleet.c
@@ -56,7 +56,7 @@
 }
 
 static void
-take_labels(Fleet_Host *host, const lc_report_args *report)
+update_labels(Fleet_Host *host, const lc_report_args *report)
 {
     u_int count = report->labels.labels_len;
     u_int i;
@@ -74,7 +74,7 @@
     host->node = *node;
     host->stamp_ms = 0;
     host->valid_until_ms = 0;
-    host->held_ms = 0;
+    host->hold_sent_ms = 0;
     host->renew_call_id = 0;
     host->renew_sent_ms = 0;
     host->suspect = false;
@@ -117,7 +117,7 @@
     replace_text(&host->hall, report->hall);
     replace_text(&host->service, report->service);
     replace_text(&host->instance, report->instance);
-    take_labels(host, report);
+    update_labels(host, report);
     host->capacity = report->capacity;
     host->next_ms = report->next_ms;
     host->reported_ms = now_ms;
@@ -152,15 +152,16 @@
                                            host->received_ms, now_ms);
 
     host->valid_until_ms = MAX(host->valid_until_ms, until);
-    host->held_ms = now_ms;
+    host->hold_sent_ms = now_ms;
     return host->valid_until_ms;
 }
 
 int64_t
 Fleet_CertainEnd(const Fleet_Host *host, const LeaseTiming *term)
 {
-    return host->held_ms == 0 ? 0
-                              : LeaseTiming_CertainEnd(term, host->held_ms);
+    return host->hold_sent_ms == 0
+               ? 0
+               : LeaseTiming_CertainEnd(term, host->hold_sent_ms);
 }
 
 bool
--- a/lease/fleet.h
+++ b/lease/fleet.h
@@ -33,14 +33,13 @@
                              there */
     uint32_t held_long; /**< those of them that have waited for long */
 
-    int64_t
-        held_queried_ms; /**< when this entry last requested the held ends */
+    int64_t held_queried_ms; /**< when this entry last asked for them */
     int64_t stamp_ms;    /**< on its clock: when its last message was sent */
     int64_t received_ms; /**< when that message arrived */
     int64_t reported_ms; /**< when its last report arrived */
     uint32_t next_ms; /**< interval within which it promised the next report */
     int64_t valid_until_ms; /**< on its clock: end of the latest hold sent */
-    int64_t held_ms;        /**< when that hold was sent; 0 for never */
+    int64_t hold_sent_ms;   /**< when that hold was sent; 0 for never */
     uint32_t running;       /**< runs of this entry that have not ended */
     uint64_t renew_call_id; /**< call id of the pending RENEW, or 0 */
     int64_t renew_sent_ms;  /**< when the last RENEW was sent */
--- a/lease/job.h
+++ b/lease/job.h
@@ -16,7 +16,7 @@
 /** Most tasks of one job over all its occurrences: a bit for each is recorded.
  */
 #define LEASED_JOB_MAX_RECORDED_ENDS (8 * LC_MAX_TASKS)
-/** Most tasks of one job, the largest size that its developers state. */
+/** Most tasks of one job: the largest size that job developers have named. */
 #define LEASED_JOB_MAX_TASKS 1500
 /** Most steps of one job. */
 #define LEASED_JOB_MAX_STEPS 64
--- a/lease/placement.c
+++ b/lease/placement.c
@@ -96,7 +96,7 @@
         !Fleet_HasLabel(host, step->requirement)) {
         return false;
     }
-    if (job->kept && host->held >= RUNNER_MAX_HELD_ENDS) {
+    if (job->durable && host->held >= RUNNER_MAX_HELD_ENDS) {
         return false; /* it could not hold their ends */
     }
     if (is_too_slow(context, job, step, host)) {
@@ -178,10 +178,10 @@
     host_sample sample = {.cost_ms = INT64_MAX};
     guint i;
 
-    if (context->packed_tasks > 0 && context->with != NULL &&
-        context->with->node.address != task->avoid &&
-        may_run(context, job, task, context->with)) {
-        return context->with;
+    if (context->packed_tasks > 0 && context->previous_host != NULL &&
+        context->previous_host->node.address != task->avoid &&
+        may_run(context, job, task, context->previous_host)) {
+        return context->previous_host;
     }
     for (i = 0; i < context->fleet->hosts->len; i++) {
         Fleet_Host *host = g_ptr_array_index(context->fleet->hosts, i);
--- a/lease/placement.h
+++ b/lease/placement.h
@@ -1,14 +1,14 @@
 /**
- * @file placement.h
- * @brief Placement: chooses the companion that runs a task.
+ * @file host_choice.h
+ * @brief Chooses the companion (host) that runs a task.
  */
-#ifndef LC_LEASE_PLACEMENT_H
-#define LC_LEASE_PLACEMENT_H
+#ifndef LC_LEASE_HOST_CHOICE_H
+#define LC_LEASE_HOST_CHOICE_H
 
 #include "lease/active_job.h"
 #include "lease/fleet.h"
 
-/** Inputs of a placement decision; all pointers are borrowed. */
+/** Inputs of a choice; all pointers are borrowed. */
 typedef struct {
     const Fleet *fleet;
     const char *hall; /**< of the entry that chooses */
@@ -17,7 +17,7 @@
     /** Tasks of the job, including this one, that are to be placed on as few
      * hosts as possible; 0 if each is placed independently. */
     uint32_t packed_tasks;
-    Fleet_Host *with; /**< host of the previous one of them, or NULL */
+    Fleet_Host *previous_host; /**< of the task before, or NULL */
 } Placement_Context;
 
 /** Returns the companion that should run @p task now, or NULL if none can. */
--- a/lease/priority_reserve.c
+++ b/lease/priority_reserve.c
@@ -9,9 +9,9 @@
 /* Weight of a new value in the moving average, as a divisor. */
 #define AVERAGE_DIVISOR 16
 /* Half of an average job is reserved, as the rest of it finds room that falls
- * free meanwhile. */
+ * free meanwhile. From a quarter to a whole job the effect is alike. */
 #define JOB_DIVISOR 2
-/* At most this part of the total capacity of the open hosts is
+/* At most this part of the total capacity of the schedulable hosts is
  * reserved, so that jobs of many tasks do not leave much of it idle. */
 #define CAPACITY_DIVISOR 16
 
