--- a/lease/dead_incarnations.c
+++ b/lease/dead_incarnations.c
@@ -10,13 +10,13 @@
 void
 DeadIncarnations_Init(DeadIncarnations *list)
 {
-    g_queue_init(&list->gone);
+    g_queue_init(&list->incarnations);
 }
 
 void
 DeadIncarnations_Clear(DeadIncarnations *list)
 {
-    g_queue_clear_full(&list->gone, g_free);
+    g_queue_clear_full(&list->incarnations, g_free);
 }
 
 bool
@@ -25,7 +25,7 @@
 {
     const GList *item;
 
-    for (item = list->gone.head; item != NULL; item = item->next) {
+    for (item = list->incarnations.head; item != NULL; item = item->next) {
         const dead_incarnation *incarnation = item->data;
         if (incarnation->born_ms == born_ms &&
             strcmp(incarnation->instance, instance) == 0) {
@@ -49,8 +49,8 @@
     incarnation = g_malloc(sizeof(*incarnation) + size);
     incarnation->born_ms = born_ms;
     memcpy(incarnation->instance, instance, size);
-    g_queue_push_head(&list->gone, incarnation);
-    if (g_queue_get_length(&list->gone) > DEAD_INCARNATIONS_MAX) {
-        g_free(g_queue_pop_tail(&list->gone));
+    g_queue_push_head(&list->incarnations, incarnation);
+    if (g_queue_get_length(&list->incarnations) > DEAD_INCARNATIONS_MAX) {
+        g_free(g_queue_pop_tail(&list->incarnations));
     }
 }
--- a/lease/dead_incarnations.h
+++ b/lease/dead_incarnations.h
@@ -20,7 +20,7 @@
 
 /** Ended incarnations, the latest first. */
 typedef struct {
-    GQueue gone;
+    GQueue incarnations;
 } DeadIncarnations;
 
 void DeadIncarnations_Init(DeadIncarnations *list);
--- a/lease/durable_jobs.c
+++ b/lease/durable_jobs.c
@@ -178,7 +178,7 @@
 static void
 drop_expired_jobs(DurableJobs *self, int64_t now_ms)
 {
-    GPtrArray *over;
+    GPtrArray *ended;
     char key[DURABLE_LOG_KEY_SIZE];
     guint i;
     guint j;
@@ -191,9 +191,9 @@
             return;
         }
     }
-    over = DurableLog_EndedJobs(self->log, now_ms - self->config.keep_ms);
-    for (i = 0; i < over->len; i++) {
-        const DurableLog_Job *job = g_ptr_array_index(over, i);
+    ended = DurableLog_EndedJobs(self->log, now_ms - self->config.keep_ms);
+    for (i = 0; i < ended->len; i++) {
+        const DurableLog_Job *job = g_ptr_array_index(ended, i);
         for (j = 0; j < job->submitters->len; j++) {
             DurableLog_SubmitKey(
                 job->id, g_array_index(job->submitters, lc_node, j), key);
@@ -209,7 +209,7 @@
             self->ports->put(self->context, key, NULL, 0);
         }
     }
-    g_ptr_array_unref(over);
+    g_ptr_array_unref(ended);
 }
 
 void
--- a/lease/durable_jobs.h
+++ b/lease/durable_jobs.h
@@ -1,7 +1,7 @@
 /**
  * @file durable_jobs.h
  * @brief Management of durable jobs in an entry: when a submission may be
- * acknowledged, which progress is recorded, when the jobs of a failed owner
+ * acknowledged, which progress is recorded, when the jobs of another owner
  * are taken over, and when their tasks may be started again.
  *
  * All entries read the same log of records (durable_log.h); the order of the
@@ -163,7 +163,8 @@
  * has been processed. */
 void DurableJobs_Flush(DurableJobs *self, int64_t now_ms);
 
-/** Handles timeouts; to be called at least every `term.tick_ms`. */
+/** Handles timeouts; to be called every `LeaseTiming.tick_ms`, or more often.
+ */
 void DurableJobs_Tick(DurableJobs *self, int64_t now_ms);
 
 /** Hands all jobs over to another entry, including those submitted later. */
--- a/lease/durable_jobs_callers.c
+++ b/lease/durable_jobs_callers.c
@@ -136,7 +136,7 @@
     }
     else if (DurableLog_OpenCount(self->log) + self->waiters->len >=
              self->config.max_jobs) {
-        Err_Set(&status, ERR_QUEUE_FULL, "%u kept jobs are open",
+        Err_Set(&status, ERR_QUEUE_FULL, "%u durable jobs are open",
                 DurableLog_OpenCount(self->log));
     }
     else {
@@ -392,7 +392,7 @@
 }
 
 /* The record may still be written, so the caller gets an indefinite answer.
- * The waiter stays, and the job is known here as pending, until then. */
+ * Until it is, the waiter stays and the job is reported as pending. */
 void
 DurableCaller_ExpireWaiters(DurableJobs *self, int64_t now_ms)
 {
--- a/lease/durable_jobs_state.h
+++ b/lease/durable_jobs_state.h
@@ -1,9 +1,9 @@
 /**
  * @file durable_jobs_state.h
  * @brief Private state of the durable jobs of an entry: waiting callers, owned
- * jobs and their unwritten progress, takeovers of failed owners.
+ * jobs and their unwritten progress, takeovers from claimed owners.
  *
- * Included only by lease/keeper*.c.
+ * Included only by lease/durable_jobs*.c.
  */
 #ifndef LC_LEASE_DURABLE_JOBS_STATE_H
 #define LC_LEASE_DURABLE_JOBS_STATE_H
@@ -180,7 +180,7 @@
 /** Removes a job whose outcome is in the log; queues its ends for release. */
 void DurableOwned_Remove(DurableJobs *self, DurableJobs_OwnJob *row);
 
-/* Takeover of failed owners: durable_jobs_takeover.c. */
+/* Takeover from claimed owners: durable_jobs_takeover.c. */
 
 /** Claims the jobs of owners that have been silent for too long. */
 void DurableTakeover_ClaimSilentOwners(DurableJobs *self, int64_t now_ms);
--- a/lease/durable_jobs_takeover.c
+++ b/lease/durable_jobs_takeover.c
@@ -251,7 +251,7 @@
 reset_identity(DurableJobs *self)
 {
     self->ports->event(self->context, EVENT_KEPT_LOST,
-                       "another entry has claimed the kept jobs of this "
+                       "another entry has claimed the durable jobs of this "
                        "one");
     g_hash_table_remove_all(self->changed);
     g_hash_table_remove_all(self->jobs);
--- a/lease/durable_log.c
+++ b/lease/durable_log.c
@@ -15,12 +15,12 @@
     lc_node claimed_owner;
     lc_node successor;
     bool effective;
-} kept_claim;
+} claim_record;
 
 struct DurableLog {
     GHashTable *jobs; /* id -> DurableLog_Job */
     GHashTable *open; /* ids of submitted jobs that have not ended */
-    GArray *claims;   /* kept_claim, by offset */
+    GArray *claims;   /* claim_record, by offset */
 };
 
 static void
@@ -45,7 +45,7 @@
     log->jobs = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
                                       free_job);
     log->open = g_hash_table_new(g_int64_hash, g_int64_equal);
-    log->claims = g_array_new(FALSE, TRUE, sizeof(kept_claim));
+    log->claims = g_array_new(FALSE, TRUE, sizeof(claim_record));
     return log;
 }
 
@@ -253,26 +253,27 @@
     note_writer(job->writers, DurableLog_Writer(record));
     merge_progress(job, progress);
     if (progress->outcome == LC_KEPT_OPEN ||
-        (job->outcome != LC_KEPT_OPEN && job->over_offset <= record->offset)) {
+        (job->outcome != LC_KEPT_OPEN &&
+         job->outcome_offset <= record->offset)) {
         return change;
     }
     if (job->outcome == LC_KEPT_OPEN) {
-        job->over_ms = now_ms;
+        job->outcome_ms = now_ms;
     }
     job->outcome = progress->outcome;
-    job->over_offset = record->offset;
+    job->outcome_offset = record->offset;
     g_clear_pointer(&job->body, g_free);
     g_hash_table_remove(log->open, &job->id);
     return change;
 }
 
-static kept_claim *
+static claim_record *
 find_claim(const DurableLog *log, const lc_node *claimed_owner)
 {
     guint i;
 
     for (i = 0; i < log->claims->len; i++) {
-        kept_claim *claim = &g_array_index(log->claims, kept_claim, i);
+        claim_record *claim = &g_array_index(log->claims, claim_record, i);
         if (claim->effective &&
             Msg_SameNode(&claim->claimed_owner, claimed_owner)) {
             return claim;
@@ -284,8 +285,8 @@
 static gint
 compare_claims(gconstpointer a, gconstpointer b)
 {
-    const kept_claim *left = a;
-    const kept_claim *right = b;
+    const claim_record *left = a;
+    const claim_record *right = b;
 
     return left->offset < right->offset ? -1 : left->offset > right->offset;
 }
@@ -299,10 +300,10 @@
 
     g_array_sort(log->claims, compare_claims);
     for (i = 0; i < log->claims->len; i++) {
-        g_array_index(log->claims, kept_claim, i).effective = false;
+        g_array_index(log->claims, claim_record, i).effective = false;
     }
     for (i = 0; i < log->claims->len; i++) {
-        kept_claim *claim = &g_array_index(log->claims, kept_claim, i);
+        claim_record *claim = &g_array_index(log->claims, claim_record, i);
         claim->effective = find_claim(log, &claim->claimed_owner) == NULL &&
                            find_claim(log, &claim->successor) == NULL;
     }
@@ -314,7 +315,7 @@
     guint i;
 
     for (i = 0; i < log->claims->len; i++) {
-        if (g_array_index(log->claims, kept_claim, i).offset == offset) {
+        if (g_array_index(log->claims, claim_record, i).offset == offset) {
             return true;
         }
     }
@@ -325,8 +326,8 @@
 apply_claim(DurableLog *log, uint64_t offset, const lc_kept_claim *taken)
 {
     DurableLog_Change change = {.kind = DURABLE_LOG_UNCHANGED};
-    kept_claim fresh = {offset, taken->gone, taken->successor, false};
-    const kept_claim *effective;
+    claim_record fresh = {offset, taken->gone, taken->successor, false};
+    const claim_record *effective;
 
     if (is_claim_known(log, offset)) {
         return change;
@@ -409,7 +410,7 @@
 follow_claims(const DurableLog *log, lc_node *node)
 {
     uint32_t count = 0;
-    const kept_claim *claim = find_claim(log, node);
+    const claim_record *claim = find_claim(log, node);
 
     while (claim != NULL && count < MAX_CLAIM_CHAIN) {
         *node = claim->successor;
@@ -442,7 +443,7 @@
     uint32_t count;
 
     for (count = 0; count < MAX_CLAIM_CHAIN; count++) {
-        const kept_claim *claim = find_claim(log, &from);
+        const claim_record *claim = find_claim(log, &from);
         if (Msg_SameNode(&from, node)) {
             return true;
         }
@@ -471,7 +472,7 @@
     for (i = 0; i < log->claims->len && predecessors->len < LC_MAX_PEERS;
          i++) {
         lc_node claimed_owner =
-            g_array_index(log->claims, kept_claim, i).claimed_owner;
+            g_array_index(log->claims, claim_record, i).claimed_owner;
         if (!Msg_SameNode(&claimed_owner, node) &&
             claims_lead_to(log, claimed_owner, node)) {
             g_array_append_val(predecessors, claimed_owner);
@@ -504,7 +505,7 @@
     g_hash_table_iter_init(&iter, log->jobs);
     while (g_hash_table_iter_next(&iter, NULL, &item)) {
         const DurableLog_Job *job = item;
-        if (job->outcome != LC_KEPT_OPEN && job->over_ms <= until_ms) {
+        if (job->outcome != LC_KEPT_OPEN && job->outcome_ms <= until_ms) {
             g_ptr_array_add(list, item);
         }
     }
--- a/lease/durable_log.h
+++ b/lease/durable_log.h
@@ -33,16 +33,15 @@
     bool submitted;  /**< its submission record was applied */
     char *body;      /**< as submitted; NULL once the job has ended */
     uint64_t offset; /**< of the effective submission */
-    lc_node
-        owner; /**< first owner; see DurableLog_OwnerOf for the current one */
-    bool cancelled; /**< a caller has cancelled it */
+    lc_node owner;   /**< first owner; the current one: DurableLog_OwnerOf */
+    bool cancelled;  /**< a caller has cancelled it */
     lc_kept_outcome outcome;
-    uint64_t over_offset; /**< of the effective outcome */
-    int64_t over_ms;      /**< when an outcome was first applied */
-    GByteArray *done;     /**< a bit for each task */
-    GArray *failures;     /**< lc_kept_failures */
-    GArray *submitters;   /**< lc_node, writers of submission records */
-    GArray *writers;      /**< lc_node, writers of progress records */
+    uint64_t outcome_offset; /**< of the effective outcome */
+    int64_t outcome_ms;      /**< when an outcome was first applied */
+    GByteArray *done;        /**< a bit for each task */
+    GArray *failures;        /**< lc_kept_failures */
+    GArray *submitters;      /**< lc_node, writers of submission records */
+    GArray *writers;         /**< lc_node, writers of progress records */
 } DurableLog_Job;
 
 /** Kind of change made by a record. */
@@ -61,7 +60,7 @@
 typedef struct {
     DurableLog_ChangeKind kind;
     DurableLog_Job *job;   /**< or NULL */
-    lc_node claimed_owner; /**< of a claim; sender of a heartbeat */
+    lc_node claimed_owner; /**< of a claim; for a heartbeat, its sender */
     lc_node successor;
 } DurableLog_Change;
 
--- a/lease/hall_closures.h
+++ b/lease/hall_closures.h
@@ -74,7 +74,7 @@
 /** State for operators; the caller owns the result. */
 json_t *HallClosures_Dump(const Hall_Closures *closures, int64_t now_ms);
 
-/** Appends metrics in the text format of scrapers. */
+/** Appends metrics in the text exposition format. */
 void HallClosures_Metrics(const Hall_Closures *closures, int64_t now_ms,
                           GString *out);
 
--- a/lease/route_table.h
+++ b/lease/route_table.h
@@ -3,8 +3,8 @@
  * @brief The route table that operators configure: which requests belong to
  * which queue, the service that runs the queue's tasks, and its policy.
  *
- * Queues of a table in use are never changed: a newer table replaces the whole
- * one. Errors: BAD_RECORD.
+ * A table in use is never changed, except that the first search builds its
+ * index: a newer table replaces it as a whole. Errors: BAD_RECORD.
  */
 #ifndef LC_LEASE_ROUTE_TABLE_H
 #define LC_LEASE_ROUTE_TABLE_H
--- a/lease/rto_estimator.c
+++ b/lease/rto_estimator.c
@@ -23,41 +23,42 @@
 #define LOSSY_PERMILLE 50
 
 void
-RtoEstimator_AddSample(RtoEstimator *times, int64_t answer_ms)
+RtoEstimator_AddSample(RtoEstimator *estimator, int64_t answer_ms)
 {
     int64_t sample_us = MAX(answer_ms, 0) * US_PER_MS;
-    int64_t error_us = sample_us - times->mean_us;
+    int64_t error_us = sample_us - estimator->mean_us;
 
-    if (!times->sampled) {
-        times->sampled = true;
-        times->mean_us = sample_us;
-        times->deviation_us = sample_us / 2;
+    if (!estimator->sampled) {
+        estimator->sampled = true;
+        estimator->mean_us = sample_us;
+        estimator->deviation_us = sample_us / 2;
         return;
     }
-    times->mean_us += error_us / MEAN_DIVISOR;
-    times->deviation_us += (ABS(error_us) - times->deviation_us) /
-                           DEVIATION_DIVISOR;
+    estimator->mean_us += error_us / MEAN_DIVISOR;
+    estimator->deviation_us += (ABS(error_us) - estimator->deviation_us) /
+                               DEVIATION_DIVISOR;
 }
 
 void
-RtoEstimator_OnAnswered(RtoEstimator *times)
+RtoEstimator_OnAnswered(RtoEstimator *estimator)
 {
-    times->lost_permille -= times->lost_permille / LOST_DIVISOR;
+    estimator->lost_permille -= estimator->lost_permille / LOST_DIVISOR;
 }
 
 void
-RtoEstimator_OnTimeout(RtoEstimator *times)
+RtoEstimator_OnTimeout(RtoEstimator *estimator)
 {
-    times->lost_permille += (PERMILLE - times->lost_permille) / LOST_DIVISOR;
+    estimator->lost_permille += (PERMILLE - estimator->lost_permille) /
+                                LOST_DIVISOR;
 }
 
 int64_t
-RtoEstimator_TimeoutMs(const RtoEstimator *times)
+RtoEstimator_TimeoutMs(const RtoEstimator *estimator)
 {
-    int64_t timeout_us = times->mean_us +
-                         TIMEOUT_DEVIATIONS * times->deviation_us;
+    int64_t timeout_us = estimator->mean_us +
+                         TIMEOUT_DEVIATIONS * estimator->deviation_us;
 
-    if (!times->sampled) {
+    if (!estimator->sampled) {
         return TIMEOUT_INITIAL_MS;
     }
     return CLAMP((timeout_us + US_PER_MS - 1) / US_PER_MS, TIMEOUT_MIN_MS,
@@ -65,7 +66,7 @@
 }
 
 bool
-RtoEstimator_IsLossy(const RtoEstimator *times)
+RtoEstimator_IsLossy(const RtoEstimator *estimator)
 {
-    return times->lost_permille >= LOSSY_PERMILLE;
+    return estimator->lost_permille >= LOSSY_PERMILLE;
 }
--- a/lease/rto_estimator.h
+++ b/lease/rto_estimator.h
@@ -17,23 +17,24 @@
     int64_t mean_us;        /**< smoothed mean of the samples */
     int64_t deviation_us;   /**< smoothed mean deviation */
     bool sampled;           /**< at least one sample was added */
-    uint32_t lost_permille; /**< moving average, unanswered in time */
+    uint32_t lost_permille; /**< moving share of requests without an answer
+                                 in time */
 } RtoEstimator;
 
 /** Adds a sample: the time in ms that an answer took. */
-void RtoEstimator_AddSample(RtoEstimator *times, int64_t answer_ms);
+void RtoEstimator_AddSample(RtoEstimator *estimator, int64_t answer_ms);
 
 /** Records a request that was answered in time. */
-void RtoEstimator_OnAnswered(RtoEstimator *times);
+void RtoEstimator_OnAnswered(RtoEstimator *estimator);
 
 /** Records a request that was not answered in time. */
-void RtoEstimator_OnTimeout(RtoEstimator *times);
+void RtoEstimator_OnTimeout(RtoEstimator *estimator);
 
 /** Timeout in ms after which a request counts as unanswered. */
-int64_t RtoEstimator_TimeoutMs(const RtoEstimator *times);
+int64_t RtoEstimator_TimeoutMs(const RtoEstimator *estimator);
 
 /** Whether the loss rate is high enough that more frequent requests pay off.
  */
-bool RtoEstimator_IsLossy(const RtoEstimator *times);
+bool RtoEstimator_IsLossy(const RtoEstimator *estimator);
 
 #endif
--- a/lease/runner.c
+++ b/lease/runner.c
@@ -8,7 +8,7 @@
 #include "lease/run_id.h"
 #include "lease/runner_state.h"
 
-/* Heartbeats that may be missed before an upstream is reported as absent. */
+/* Heartbeats that may be missed before an upstream counts as absent. */
 #define MAX_MISSED_HEARTBEATS 3
 
 Runner *
@@ -29,7 +29,7 @@
     runner->fenced = g_array_new(FALSE, TRUE, sizeof(lc_node));
     runner->token = config->first_token;
     runner->up.instance = g_strdup("");
-    DeadIncarnations_Init(&runner->ended_incarnations);
+    DeadIncarnations_Init(&runner->dead_incarnations);
     HallClosures_Init(&runner->closures, now_ms);
     runner->up.service = g_strdup("");
     runner->up.labels = g_new0(char *, 1);
@@ -264,13 +264,14 @@
          const lc_renew_args *args)
 {
     Msg_Reply reply = {.kind = MSG_RENEW};
-    lc_node keeper = {args->owner.address, args->kept};
+    lc_node durable_owner = {args->owner.address, args->kept};
 
     if (args->target == runner->config.node.incarnation &&
         args->valid_until_ms >= now_ms) {
         RunnerOwner_Extend(runner, &args->owner, args->valid_until_ms);
-        if (args->kept != 0 && !RunnerDurable_IsFenced(runner, &keeper)) {
-            RunnerOwner_Extend(runner, &keeper,
+        if (args->kept != 0 &&
+            !RunnerDurable_IsFenced(runner, &durable_owner)) {
+            RunnerOwner_Extend(runner, &durable_owner,
                                args->valid_until_ms +
                                    LEASE_TIMING_DURABLE_GRACE_MS);
         }
@@ -414,11 +415,11 @@
 
 void
 Runner_MergeClosures(Runner *runner, int64_t now_ms, int64_t asked_ms,
-                     const lc_closures *told, const char *source)
+                     const lc_closures *received, const char *source)
 {
     char *names;
 
-    if (HallClosures_Merge(&runner->closures, now_ms, asked_ms, told) !=
+    if (HallClosures_Merge(&runner->closures, now_ms, asked_ms, received) !=
         HALL_CLOSURES_CHANGED) {
         return;
     }
--- a/lease/runner.h
+++ b/lease/runner.h
@@ -48,8 +48,7 @@
 typedef enum {
     RUNNER_ORDER_ACCEPTED,
     RUNNER_ORDER_NO_ROOM,
-    RUNNER_ORDER_SUPERSEDED, /**< it knows a later run, or this one has ended
-                              */
+    RUNNER_ORDER_SUPERSEDED, /**< it knows a later run, or the end of this */
     RUNNER_ORDER_EXPIRED,    /**< the deadline of the order had passed */
     RUNNER_ORDER_FENCED,     /**< it has seen a higher fencing token */
     RUNNER_ORDER_UNHEALTHY,  /**< not executed: the upstream is unhealthy */
@@ -161,7 +160,7 @@
 
 /** Handles a heartbeat of the upstream. */
 void Runner_OnHeartbeat(Runner *runner, int64_t now_ms,
-                        const Runner_Heartbeat *upstream);
+                        const Runner_Heartbeat *heartbeat);
 
 /** Handles the upstream's announcement that it terminates; @p born_ms as in
  * Runner_Heartbeat. */
@@ -192,7 +191,7 @@
 void Runner_OnPollAnswer(Runner *runner, int64_t now_ms, uint64_t poll_id,
                          const Runner_Listing *listing);
 
-/** Performs periodic work; must be called every `term.tick_ms`. */
+/** Performs periodic work; must be called every `LeaseTiming.tick_ms`. */
 void Runner_Tick(Runner *runner, int64_t now_ms);
 
 /** Time at which the next answer of the upstream becomes overdue, or INT64_MAX
@@ -219,7 +218,7 @@
 /** Merges the halls that operators have closed, as received from @p source;
  * see HallClosures_Merge for @p asked_ms. */
 void Runner_MergeClosures(Runner *runner, int64_t now_ms, int64_t asked_ms,
-                          const lc_closures *told, const char *source);
+                          const lc_closures *received, const char *source);
 
 /** The closed halls as known to this companion. */
 const Hall_Closures *Runner_Closures(const Runner *runner);
@@ -228,7 +227,7 @@
  * change. */
 uint64_t Runner_Version(const Runner *runner);
 
-/** Appends the metrics in the text format of common scrapers. */
+/** Appends metrics in the text exposition format. */
 void Runner_Metrics(const Runner *runner, int64_t now_ms, GString *out);
 
 Counters *Runner_Counters(Runner *runner);
--- a/lease/runner_poll.c
+++ b/lease/runner_poll.c
@@ -417,9 +417,9 @@
  * counts as one miss, and only once. */
 static void
 take_poll_failure(Runner *runner, int64_t now_ms,
-                  const Runner_PendingPoll *poll, Runner_OrderResult end)
+                  const Runner_PendingPoll *poll, Runner_OrderResult result)
 {
-    if (end == RUNNER_ORDER_UNSENT) {
+    if (result == RUNNER_ORDER_UNSENT) {
         RunnerUpstream_NoteRefused(runner);
     }
     if (poll->due_ms != INT64_MAX) {
--- a/lease/runner_state.h
+++ b/lease/runner_state.h
@@ -90,7 +90,7 @@
     uint64_t acknowledged; /* highest last_seen of an answered poll */
     bool doubtful;         /* suspected: answers nothing, or not reliably from
                               the current incarnation */
-    bool refused;          /* and nothing listens at its address */
+    bool refused;          /* suspected because no connection can be opened */
 } Runner_UpstreamInfo;
 
 /* A heartbeat of an incarnation other than the current one. The upstream's
@@ -136,7 +136,7 @@
     Health health;
     Runner_UpstreamInfo up;
     Runner_Successor successor;
-    DeadIncarnations ended_incarnations;
+    DeadIncarnations dead_incarnations;
     Hall_Closures closures;
     lc_resources used;
     GHashTable *tasks; /* lc_run_id -> Runner_Task */
@@ -260,7 +260,7 @@
                                  int64_t until_ms);
 
 /** Longest hold in ms from now: does not exceed the longest lease of an owner
- * with active tasks, nor `term.hold_ms`. */
+ * with active tasks, nor `LeaseTiming.hold_ms`. */
 int64_t RunnerOwner_MaxHoldMs(const Runner *runner, int64_t now_ms);
 
 /** Removes owners without active tasks whose leases have expired. */
--- a/lease/runner_upstream.c
+++ b/lease/runner_upstream.c
@@ -65,15 +65,15 @@
  * name, so the new one executes none that were sent to the old one. */
 static void
 switch_instance(Runner *runner, int64_t now_ms,
-                const Runner_Heartbeat *upstream)
+                const Runner_Heartbeat *heartbeat)
 {
     bool first = !runner->up.known && runner->up.instance[0] == '\0';
 
     RunnerTask_LoseAll(runner, now_ms, !runner->up.draining);
-    reset_for_incarnation(runner, now_ms, upstream->born_ms);
+    reset_for_incarnation(runner, now_ms, heartbeat->born_ms);
     runner->hold_until_ms = 0;
     g_free(runner->up.instance);
-    runner->up.instance = g_strdup(upstream->instance);
+    runner->up.instance = g_strdup(heartbeat->instance);
     RunnerUpstream_Log(runner, EVENT_UPSTREAM_KNOWN,
                        first ? "first heartbeat" : "new incarnation");
 }
@@ -156,7 +156,7 @@
     if (successor->pending && poll_id > successor->after_poll) {
         ignore_heartbeat(runner, &successor->heartbeat,
                          "another incarnation answers at this address");
-        DeadIncarnations_Add(&runner->ended_incarnations, successor->instance,
+        DeadIncarnations_Add(&runner->dead_incarnations, successor->instance,
                              successor->heartbeat.born_ms);
         drop_successor(runner);
     }
@@ -165,9 +165,9 @@
 /* ---- heartbeats ---- */
 
 static void
-take_state(Runner *runner, int64_t now_ms, const Runner_Heartbeat *upstream)
+take_state(Runner *runner, int64_t now_ms, const Runner_Heartbeat *heartbeat)
 {
-    bool draining = upstream->reported_state == RUNNER_UPSTREAM_DRAINING;
+    bool draining = heartbeat->reported_state == RUNNER_UPSTREAM_DRAINING;
 
     if (draining != runner->up.draining) {
         RunnerUpstream_Log(runner, EVENT_UPSTREAM_DRAINING,
@@ -177,28 +177,28 @@
     runner->version++;
     runner->up.known = true;
     runner->up.draining = draining;
-    runner->up.sequence = upstream->sequence;
+    runner->up.sequence = heartbeat->sequence;
     runner->up.heard_ms = now_ms;
-    runner->up.capacity = upstream->capacity;
+    runner->up.capacity = heartbeat->capacity;
     g_free(runner->up.service);
-    runner->up.service = g_strdup(upstream->service);
+    runner->up.service = g_strdup(heartbeat->service);
     g_strfreev(runner->up.labels);
-    runner->up.labels = g_strdupv((char **)upstream->labels);
-    RunnerUpstream_TakeClock(runner, now_ms, upstream->clock_ms);
+    runner->up.labels = g_strdupv((char **)heartbeat->labels);
+    RunnerUpstream_TakeClock(runner, now_ms, heartbeat->clock_ms);
     RunnerPoll_Send(runner, now_ms);
 }
 
 static void
 adopt_incarnation(Runner *runner, int64_t now_ms,
-                  const Runner_Heartbeat *upstream)
+                  const Runner_Heartbeat *heartbeat)
 {
-    if (strcmp(runner->up.instance, upstream->instance) == 0) {
-        restart_instance(runner, now_ms, upstream->born_ms);
+    if (strcmp(runner->up.instance, heartbeat->instance) == 0) {
+        restart_instance(runner, now_ms, heartbeat->born_ms);
     }
     else {
-        switch_instance(runner, now_ms, upstream);
+        switch_instance(runner, now_ms, heartbeat);
     }
-    take_state(runner, now_ms, upstream);
+    take_state(runner, now_ms, heartbeat);
 }
 
 /* If the current incarnation may be alive, the upstream is polled first. Only
@@ -206,21 +206,21 @@
  * the heartbeat may be a late one of an incarnation that is dead. */
 static void
 take_other_heartbeat(Runner *runner, int64_t now_ms,
-                     const Runner_Heartbeat *upstream)
+                     const Runner_Heartbeat *heartbeat)
 {
     if (runner->up.known && !runner->up.doubtful) {
-        store_successor(runner, now_ms, upstream);
+        store_successor(runner, now_ms, heartbeat);
         return;
     }
     drop_successor(runner);
-    adopt_incarnation(runner, now_ms, upstream);
+    adopt_incarnation(runner, now_ms, heartbeat);
 }
 
 static bool
-is_in_force(const Runner *runner, const Runner_Heartbeat *upstream)
+is_current(const Runner *runner, const Runner_Heartbeat *heartbeat)
 {
-    return strcmp(runner->up.instance, upstream->instance) == 0 &&
-           (upstream->born_ms == runner->up.born_ms ||
+    return strcmp(runner->up.instance, heartbeat->instance) == 0 &&
+           (heartbeat->born_ms == runner->up.born_ms ||
             runner->up.born_ms == 0);
 }
 
@@ -228,24 +228,24 @@
  * reported its start time continues to do so, and never changes its service
  * within one incarnation. */
 static const char *
-reason_to_ignore(const Runner *runner, const Runner_Heartbeat *upstream)
+reason_to_ignore(const Runner *runner, const Runner_Heartbeat *heartbeat)
 {
-    if (DeadIncarnations_Contains(&runner->ended_incarnations,
-                                  upstream->instance, upstream->born_ms)) {
+    if (DeadIncarnations_Contains(&runner->dead_incarnations,
+                                  heartbeat->instance, heartbeat->born_ms)) {
         return "this incarnation is known to be gone";
     }
-    if (strcmp(runner->up.instance, upstream->instance) == 0 &&
-        upstream->born_ms == 0 && runner->up.born_ms != 0) {
+    if (strcmp(runner->up.instance, heartbeat->instance) == 0 &&
+        heartbeat->born_ms == 0 && runner->up.born_ms != 0) {
         return "has no start time, unlike the current incarnation";
     }
-    if (!is_in_force(runner, upstream)) {
+    if (!is_current(runner, heartbeat)) {
         return NULL;
     }
-    if (upstream->sequence <= runner->up.sequence) {
+    if (heartbeat->sequence <= runner->up.sequence) {
         return "its sequence number is not above the last one";
     }
     if (runner->up.known &&
-        strcmp(runner->up.service, upstream->service) != 0) {
+        strcmp(runner->up.service, heartbeat->service) != 0) {
         return "names another service than the current incarnation";
     }
     return NULL;
@@ -253,19 +253,19 @@
 
 void
 Runner_OnHeartbeat(Runner *runner, int64_t now_ms,
-                   const Runner_Heartbeat *upstream)
+                   const Runner_Heartbeat *heartbeat)
 {
-    const char *reason = reason_to_ignore(runner, upstream);
+    const char *reason = reason_to_ignore(runner, heartbeat);
 
     if (reason != NULL) {
-        ignore_heartbeat(runner, upstream, reason);
+        ignore_heartbeat(runner, heartbeat, reason);
     }
-    else if (!is_in_force(runner, upstream)) {
-        take_other_heartbeat(runner, now_ms, upstream);
+    else if (!is_current(runner, heartbeat)) {
+        take_other_heartbeat(runner, now_ms, heartbeat);
     }
     else {
-        runner->up.born_ms = upstream->born_ms;
-        take_state(runner, now_ms, upstream);
+        runner->up.born_ms = heartbeat->born_ms;
+        take_state(runner, now_ms, heartbeat);
     }
 }
 
@@ -302,7 +302,7 @@
         RunnerPoll_Send(runner, now_ms);
         return;
     }
-    DeadIncarnations_Add(&runner->ended_incarnations, instance, born_ms);
+    DeadIncarnations_Add(&runner->dead_incarnations, instance, born_ms);
     if (runner->up.known && same && born_ms == runner->up.born_ms) {
         lose_upstream(runner, now_ms, "the upstream has left", false);
     }
@@ -352,7 +352,7 @@
         runner->up.born_ms = born_ms;
         return false;
     }
-    DeadIncarnations_Add(&runner->ended_incarnations, runner->up.instance,
+    DeadIncarnations_Add(&runner->dead_incarnations, runner->up.instance,
                          runner->up.born_ms);
     restart_instance(runner, now_ms, born_ms);
     if (next->pending && next->heartbeat.born_ms == born_ms &&
@@ -375,7 +375,7 @@
     }
     lose_upstream(runner, now_ms, "another incarnation answers",
                   !runner->up.draining);
-    DeadIncarnations_Add(&runner->ended_incarnations, runner->up.instance,
+    DeadIncarnations_Add(&runner->dead_incarnations, runner->up.instance,
                          runner->up.born_ms);
     if (next.pending && strcmp(next.instance, runner->up.instance) != 0) {
         switch_instance(runner, now_ms, &next.heartbeat);
@@ -394,7 +394,7 @@
 RunnerUpstream_Clear(Runner *runner)
 {
     drop_successor(runner);
-    DeadIncarnations_Clear(&runner->ended_incarnations);
+    DeadIncarnations_Clear(&runner->dead_incarnations);
     g_free(runner->up.instance);
     g_free(runner->up.service);
     g_strfreev(runner->up.labels);
