--- a/cli/commands.c
+++ b/cli/commands.c
@@ -14,13 +14,13 @@
 
 /* Sends a request; prints an error, if any. Returns the exit code. */
 static int
-call(const Exchange_Request *request, Exchange_Answer *answer)
+call(const HttpExchange_Request *request, HttpExchange_Answer *answer)
 {
     Status status = {ERR_OK, ""};
 
-    if (Exchange_Perform(request, answer, &status) != ERR_OK ||
-        Exchange_Check(answer, &status) != ERR_OK) {
-        return Exchange_PrintError(&status);
+    if (HttpExchange_Perform(request, answer, &status) != ERR_OK ||
+        HttpExchange_Check(answer, &status) != ERR_OK) {
+        return HttpExchange_PrintError(&status);
     }
     return 0;
 }
@@ -36,16 +36,16 @@
 static json_t *
 fetch_table(Address entry, int *code)
 {
-    Exchange_Request request = {
+    HttpExchange_Request request = {
         .to = entry, .method = "GET", .path = "/v1/table"};
-    Exchange_Answer answer;
+    HttpExchange_Answer answer;
     json_t *body = NULL;
 
     *code = call(&request, &answer);
     if (*code == 0) {
         body = json_loadb(answer.body, answer.length, 0, NULL);
     }
-    Exchange_Clear(&answer);
+    HttpExchange_Clear(&answer);
     return body;
 }
 
@@ -86,15 +86,16 @@
 fetch_row(Address entry, const char *group, json_t **row, char etag[40])
 {
     char *path = row_path(group);
-    Exchange_Request request = {.to = entry, .method = "GET", .path = path};
+    HttpExchange_Request request = {
+        .to = entry, .method = "GET", .path = path};
     Status status = {ERR_OK, ""};
-    Exchange_Answer answer;
+    HttpExchange_Answer answer;
     int code = 0;
 
     *row = NULL;
     etag[0] = '\0';
-    if (Exchange_Perform(&request, &answer, &status) != ERR_OK) {
-        code = Exchange_PrintError(&status);
+    if (HttpExchange_Perform(&request, &answer, &status) != ERR_OK) {
+        code = HttpExchange_PrintError(&status);
     }
     else if (answer.status == 200) {
         *row = json_loadb(answer.body, answer.length, 0, NULL);
@@ -102,10 +103,10 @@
         g_strlcpy(etag, answer.etag, 40);
     }
     else if (answer.status != 404) {
-        Exchange_Check(&answer, &status);
-        code = Exchange_PrintError(&status);
+        HttpExchange_Check(&answer, &status);
+        code = HttpExchange_PrintError(&status);
     }
-    Exchange_Clear(&answer);
+    HttpExchange_Clear(&answer);
     g_free(path);
     return code;
 }
@@ -119,19 +120,19 @@
     char *headers = etag[0] == '\0'
                         ? NULL
                         : g_strdup_printf("If-Match: %s\r\n", etag);
-    Exchange_Request request = {.to = entry,
-                                .method = method,
-                                .path = path,
-                                .headers = headers,
-                                .body = body,
-                                .length = body == NULL ? 0 : strlen(body)};
-    Exchange_Answer answer;
+    HttpExchange_Request request = {.to = entry,
+                                    .method = method,
+                                    .path = path,
+                                    .headers = headers,
+                                    .body = body,
+                                    .length = body == NULL ? 0 : strlen(body)};
+    HttpExchange_Answer answer;
     int code = call(&request, &answer);
 
     if (code == 0) {
         printf("%s: accepted, version %s\n", group, answer.etag);
     }
-    Exchange_Clear(&answer);
+    HttpExchange_Clear(&answer);
     g_free(headers);
     free(body);
     g_free(path);
@@ -209,7 +210,7 @@
     if (table == NULL) {
         return code;
     }
-    text = Csv_Write(json_object_get(table, "groups"));
+    text = TableCsv_Write(json_object_get(table, "groups"));
     fputs(text, stdout);
     g_free(text);
     json_decref(table);
@@ -274,8 +275,8 @@
 static int
 run_state(const Command_Options *options, int count, char **arguments)
 {
-    Exchange_Request request = {.method = "GET", .path = "/state"};
-    Exchange_Answer answer;
+    HttpExchange_Request request = {.method = "GET", .path = "/state"};
+    HttpExchange_Answer answer;
     int code;
 
     (void)options;
@@ -288,7 +289,7 @@
     if (code == 0) {
         puts(answer.body);
     }
-    Exchange_Clear(&answer);
+    HttpExchange_Clear(&answer);
     return code;
 }
 
@@ -312,9 +313,9 @@
 static int
 run_submit(const Command_Options *options, int count, char **arguments)
 {
-    Exchange_Request request = {
+    HttpExchange_Request request = {
         .to = options->entry, .method = "POST", .path = "/v1/jobs"};
-    Exchange_Answer answer;
+    HttpExchange_Answer answer;
     Status status = {ERR_OK, ""};
     GError *error = NULL;
     char *headers = NULL;
@@ -334,14 +335,14 @@
     request.headers = headers;
     request.body = text;
     request.length = length;
-    if (Exchange_Perform(&request, &answer, &status) != ERR_OK) {
-        code = Exchange_PrintError(&status);
+    if (HttpExchange_Perform(&request, &answer, &status) != ERR_OK) {
+        code = HttpExchange_PrintError(&status);
     }
     else {
         puts(answer.body);
-        code = Err_ExitCode(Exchange_Check(&answer, &status));
+        code = Err_ExitCode(HttpExchange_Check(&answer, &status));
     }
-    Exchange_Clear(&answer);
+    HttpExchange_Clear(&answer);
     g_free(headers);
     g_free(text);
     return code;
--- a/cli/commands.h
+++ b/cli/commands.h
@@ -1,6 +1,6 @@
 /**
  * @file commands.h
- * @brief GroupTable of the commands of `levercove`.
+ * @brief Table of the commands of `levercove`.
  */
 #ifndef LC_CLI_COMMANDS_H
 #define LC_CLI_COMMANDS_H
--- a/cli/hall_commands.c
+++ b/cli/hall_commands.c
@@ -7,17 +7,17 @@
 #include "cli/http_exchange.h"
 #include "platform/hall_records.h"
 
-#define OK_STATUS 200
+#define STATUS_OK 200
 #define ABSENT (-1)
 
 static Err_Kind
-call_store(const Exchange_Request *request, Exchange_Answer *answer,
+call_store(const HttpExchange_Request *request, HttpExchange_Answer *answer,
            Status *status)
 {
-    if (Exchange_Perform(request, answer, status) != ERR_OK) {
+    if (HttpExchange_Perform(request, answer, status) != ERR_OK) {
         return status->kind;
     }
-    if (answer->status != OK_STATUS) {
+    if (answer->status != STATUS_OK) {
         return Err_Set(status, ERR_LOG_DOWN,
                        "the store answered with status %d; try again: "
                        "repeating a change is safe",
@@ -31,16 +31,16 @@
 {
     Status status = {ERR_OK, ""};
     GByteArray *record = g_byte_array_new();
-    Exchange_Request request = {
+    HttpExchange_Request request = {
         .to = options->store,
         .method = "POST",
         .path = hall_records_append_path,
         .headers = "Content-Type: application/octet-stream\r\n"};
-    Exchange_Answer answer = {0};
+    HttpExchange_Answer answer = {0};
     int code = 0;
 
     if (HallRecords_CheckName(hall, &status) != ERR_OK) {
-        code = Exchange_PrintError(&status);
+        code = HttpExchange_PrintError(&status);
         goto done;
     }
     if (close) {
@@ -52,12 +52,12 @@
     request.body = record->data;
     request.length = record->len;
     if (call_store(&request, &answer, &status) != ERR_OK) {
-        code = Exchange_PrintError(&status);
+        code = HttpExchange_PrintError(&status);
         goto done;
     }
     printf("%s: %s\n", hall, close ? "closed" : "open");
 done:
-    Exchange_Clear(&answer);
+    HttpExchange_Clear(&answer);
     g_byte_array_unref(record);
     return code;
 }
@@ -99,9 +99,9 @@
           Status *status)
 {
     char *path = HallRecords_PagePath(*after);
-    Exchange_Request request = {
+    HttpExchange_Request request = {
         .to = options->store, .method = "GET", .path = path};
-    Exchange_Answer answer = {0};
+    HttpExchange_Answer answer = {0};
     Err_Kind kind = call_store(&request, &answer, status);
 
     g_clear_pointer(after, g_free);
@@ -109,7 +109,7 @@
         kind = HallRecords_ParsePage(answer.body, answer.length, print_row,
                                      rows, after, status);
     }
-    Exchange_Clear(&answer);
+    HttpExchange_Clear(&answer);
     g_free(path);
     return kind;
 }
@@ -123,7 +123,7 @@
 
     do {
         if (show_page(options, &after, &rows, &status) != ERR_OK) {
-            return Exchange_PrintError(&status);
+            return HttpExchange_PrintError(&status);
         }
     } while (after != NULL);
     if (rows == 0) {
@@ -204,17 +204,17 @@
 static int
 show_process(const char *text)
 {
-    Exchange_Request request = {.method = "GET", .path = "/state"};
-    Exchange_Answer answer = {0};
+    HttpExchange_Request request = {.method = "GET", .path = "/state"};
+    HttpExchange_Answer answer = {0};
     Status status = {ERR_OK, ""};
     json_t *state = NULL;
     int code = 0;
 
     if (!Address_Parse(text, &request.to)) {
         Err_Set(&status, ERR_BAD_REQUEST, "%s: expected IP:port", text);
-        return Exchange_PrintError(&status);
+        return HttpExchange_PrintError(&status);
     }
-    if (Exchange_Perform(&request, &answer, &status) == ERR_OK) {
+    if (HttpExchange_Perform(&request, &answer, &status) == ERR_OK) {
         state = json_loadb(answer.body, answer.length, 0, NULL);
     }
     if (!json_is_object(json_object_get(state, "closed"))) {
@@ -226,7 +226,7 @@
         print_process(text, state);
     }
     json_decref(state);
-    Exchange_Clear(&answer);
+    HttpExchange_Clear(&answer);
     return code;
 }
 
--- a/cli/http_exchange.c
+++ b/cli/http_exchange.c
@@ -11,8 +11,8 @@
 #define FIRST_ERROR_STATUS 400
 
 typedef struct {
-    Exchange_Answer *answer;
-    Http_ClientOutcome end;
+    HttpExchange_Answer *answer;
+    HttpClient_Outcome end;
 } exchange_result;
 
 static void
@@ -29,8 +29,8 @@
 }
 
 Err_Kind
-Exchange_Perform(const Exchange_Request *request, Exchange_Answer *answer,
-                 Status *status)
+HttpExchange_Perform(const HttpExchange_Request *request,
+                     HttpExchange_Answer *answer, Status *status)
 {
     static const char *const outcome_texts[] = {
         [HTTP_CLIENT_ANSWERED] = "",
@@ -54,7 +54,7 @@
     }
     memset(answer, 0, sizeof(*answer));
     Http_Send(client, &sent, on_done, &result);
-    while (Http_Pending(client) > 0) {
+    while (HttpClient_PendingCount(client) > 0) {
         uv_run(loop, UV_RUN_ONCE);
     }
     if (result.end != HTTP_CLIENT_ANSWERED) {
@@ -65,7 +65,7 @@
 }
 
 Err_Kind
-Exchange_Check(const Exchange_Answer *answer, Status *status)
+HttpExchange_Check(const HttpExchange_Answer *answer, Status *status)
 {
     json_t *body;
     const char *error;
@@ -89,14 +89,14 @@
 }
 
 int
-Exchange_PrintError(const Status *status)
+HttpExchange_PrintError(const Status *status)
 {
     fprintf(stderr, "levercove: %s\n", status->message);
     return Err_ExitCode(status->kind);
 }
 
 void
-Exchange_Clear(Exchange_Answer *answer)
+HttpExchange_Clear(HttpExchange_Answer *answer)
 {
     g_free(answer->body);
     answer->body = NULL;
--- a/cli/table_csv.c
+++ b/cli/table_csv.c
@@ -24,7 +24,7 @@
 }
 
 char *
-Csv_Write(const json_t *groups)
+TableCsv_Write(const json_t *groups)
 {
     GString *out = g_string_new(NULL);
     const json_t *row;
--- a/cli/table_csv.h
+++ b/cli/table_csv.h
@@ -1,6 +1,6 @@
 /**
  * @file table_csv.h
- * @brief The table of groups as CSV (RFC 4180), for editing in spreadsheets.
+ * @brief The group table as CSV (RFC 4180), for editing in spreadsheets.
  */
 #ifndef LC_CLI_TABLE_CSV_H
 #define LC_CLI_TABLE_CSV_H
@@ -11,7 +11,7 @@
 #include "core/group_table.h"
 
 /** Formats rows as CSV with a header line; free with g_free. */
-char *Csv_Write(const json_t *groups);
+char *TableCsv_Write(const json_t *groups);
 
 /**
  * Parses rows into an array of GroupTable_Row (free with g_array_unref).
--- a/daemon/http_server.c
+++ b/daemon/http_server.c
@@ -198,11 +198,12 @@
     fill_request(request, &in);
     route = find_route(server, in.path, &in.rest);
     if (route == NULL) {
-        Http_RespondError(server, in.id, ERR_NOT_FOUND, "no such path", 0);
+        HttpServer_RespondError(server, in.id, ERR_NOT_FOUND, "no such path",
+                                0);
     }
     else if (in.length > HTTP_MAX_BODY_BYTES) {
-        Http_RespondError(server, in.id, ERR_TOO_LARGE,
-                          "the body is longer than 8 MiB", 0);
+        HttpServer_RespondError(server, in.id, ERR_TOO_LARGE,
+                                "the body is longer than 8 MiB", 0);
     }
     else {
         route->handler(server->handler_context, &in);
@@ -288,7 +289,7 @@
     if (result != 0) {
         Err_Set(status, ERR_IO, "cannot listen on %s: %s",
                 Address_Text(address), uv_strerror(result));
-        Http_FreeServer(server);
+        HttpServer_Free(server);
         return NULL;
     }
     return server;
@@ -336,14 +337,14 @@
 }
 
 uint64_t
-Http_BytesOut(const Http_Server *server)
+HttpServer_BytesOut(const Http_Server *server)
 {
     return server->bytes_out;
 }
 
 void
-Http_RespondJson(Http_Server *server, uint64_t id, int status,
-                 uint32_t retry_ms, const char *text)
+HttpServer_RespondJson(Http_Server *server, uint64_t id, int status,
+                       uint32_t retry_ms, const char *text)
 {
     Http_Response response = {.status = status,
                               .retry_ms = retry_ms,
@@ -354,8 +355,8 @@
 }
 
 void
-Http_RespondError(Http_Server *server, uint64_t id, Err_Kind kind,
-                  const char *message, uint32_t retry_ms)
+HttpServer_RespondError(Http_Server *server, uint64_t id, Err_Kind kind,
+                        const char *message, uint32_t retry_ms)
 {
     json_t *body = json_pack("{s:s, s:s, s:s}", "outcome",
                              Err_OutcomeText(Err_Outcome(kind)), "error",
@@ -369,7 +370,7 @@
         json_object_set_new(body, "retry_after_ms", json_integer(retry_ms));
     }
     text = json_dumps(body, JSON_COMPACT);
-    Http_RespondJson(server, id, Err_HttpStatus(kind), retry_ms, text);
+    HttpServer_RespondJson(server, id, Err_HttpStatus(kind), retry_ms, text);
     free(text);
     json_decref(body);
 }
@@ -383,20 +384,21 @@
 }
 
 void
-Http_SetDisconnectHandler(Http_Server *server,
-                          void (*on_disconnect)(void *context, uint64_t id))
+HttpServer_SetDisconnectHandler(Http_Server *server,
+                                void (*on_disconnect)(void *context,
+                                                      uint64_t id))
 {
     server->on_disconnect = on_disconnect;
 }
 
 void
-Http_CloseAfterResponses(Http_Server *server)
+HttpServer_CloseAfterResponses(Http_Server *server)
 {
     server->closing = true;
 }
 
 uint32_t
-Http_UnansweredCount(const Http_Server *server)
+HttpServer_UnansweredCount(const Http_Server *server)
 {
     return Handle_ItemCount(server->open);
 }
@@ -408,7 +410,7 @@
 }
 
 void
-Http_StopListening(Http_Server *server)
+HttpServer_StopListening(Http_Server *server)
 {
     if (server->listening) {
         server->listening = false;
@@ -421,8 +423,8 @@
  * memory is not freed; called once, right before the process exits.
  */
 void
-Http_FreeServer(Http_Server *server)
+HttpServer_Free(Http_Server *server)
 {
-    Http_StopListening(server);
+    HttpServer_StopListening(server);
     h2o_context_request_shutdown(&server->context);
 }
--- a/daemon/http_server.h
+++ b/daemon/http_server.h
@@ -48,12 +48,12 @@
 } Http_Response;
 
 /** Responds at once or later, with Http_Respond(request->id). */
-typedef void (*Http_Handler)(void *context, const Http_Request *request);
+typedef void (*HttpServer_Handler)(void *context, const Http_Request *request);
 
 /** One route: an exact path, or a prefix if it ends in "/". */
 typedef struct {
     const char *path;
-    Http_Handler handler;
+    HttpServer_Handler handler;
 } Http_Route;
 
 /** An HTTP server. */
@@ -73,38 +73,38 @@
 
 /** Calls @p on_disconnect for each request whose client disconnects before the
  * response; such a request needs no response. */
-void Http_SetDisconnectHandler(Http_Server *server,
-                               void (*on_disconnect)(void *context,
-                                                     uint64_t id));
+void HttpServer_SetDisconnectHandler(Http_Server *server,
+                                     void (*on_disconnect)(void *context,
+                                                           uint64_t id));
 
 /** From now on closes each connection after its next response; new
  * connections are still accepted. */
-void Http_CloseAfterResponses(Http_Server *server);
+void HttpServer_CloseAfterResponses(Http_Server *server);
 
 /** Responds to a request; does nothing if its client has disconnected. */
 void Http_Respond(Http_Server *server, uint64_t id,
                   const Http_Response *response);
 
 /** Responds with a JSON text; @p retry_ms as in Http_Response. */
-void Http_RespondJson(Http_Server *server, uint64_t id, int status,
-                      uint32_t retry_ms, const char *text);
+void HttpServer_RespondJson(Http_Server *server, uint64_t id, int status,
+                            uint32_t retry_ms, const char *text);
 
 /** Responds with an error as JSON, with the status and texts of @p kind;
  * @p retry_ms as in Http_Response. */
-void Http_RespondError(Http_Server *server, uint64_t id, Err_Kind kind,
-                       const char *message, uint32_t retry_ms);
+void HttpServer_RespondError(Http_Server *server, uint64_t id, Err_Kind kind,
+                             const char *message, uint32_t retry_ms);
 
 /** Requests that have not been answered. */
-uint32_t Http_UnansweredCount(const Http_Server *server);
+uint32_t HttpServer_UnansweredCount(const Http_Server *server);
 
 /** Bytes of all responses so far, with an estimate for their headers. */
-uint64_t Http_BytesOut(const Http_Server *server);
+uint64_t HttpServer_BytesOut(const Http_Server *server);
 
 /** Closes the listener; connections that are open are still served. */
-void Http_StopListening(Http_Server *server);
+void HttpServer_StopListening(Http_Server *server);
 
 /** Closes the listener and shuts the server down; its memory stays allocated
  * until the process exits. */
-void Http_FreeServer(Http_Server *server);
+void HttpServer_Free(Http_Server *server);
 
 #endif
--- a/daemon/leased_companion.c
+++ b/daemon/leased_companion.c
@@ -35,7 +35,7 @@
 /* An entry that needs the reports of every companion says so in each answer;
  * this is how long that holds: three times the longest report interval. */
 #define REPORT_ALL_MS 9000
-/* A planned stop ends this long before the kill. */
+/* A graceful shutdown ends this long before the kill. */
 #define STOP_MARGIN_MS 700
 #define STATUS_OK 200
 /* The closed halls are read from the store when no entry has confirmed them
@@ -62,7 +62,7 @@
     uint32_t left_out;           /* entries that get no reports */
     int64_t view_chosen_ms;      /* when the entries were last chosen */
     int64_t report_all_until_ms; /* until then all entries get reports */
-    int64_t stop_requested_ms; /* when the planned stop was requested, or 0 */
+    int64_t stop_requested_ms;   /* when the shutdown was requested, or 0 */
     Clock_SuspendTracker suspension;
 } leased_companion;
 
@@ -119,7 +119,7 @@
 
 static void
 send_order(leased_companion *self, uint64_t id, UpstreamApi_Order *order,
-           uint32_t timeout_ms, Http_ClientDone done)
+           uint32_t timeout_ms, HttpClient_Done done)
 {
     request_context *context = g_new0(request_context, 1);
     Http_ClientRequest request = {.to = self->process.options->upstream,
@@ -197,12 +197,12 @@
 }
 
 static void
-port_poll(void *context, uint64_t id, const Runner_Poll *look)
+port_poll(void *context, uint64_t id, const Runner_Poll *poll)
 {
     UpstreamApi_Order order;
 
-    UpstreamApi_PollOrder(look, &order);
-    send_order(context, id, &order, look->wait_ms + ANSWER_TIMEOUT_MS,
+    UpstreamApi_PollOrder(poll, &order);
+    send_order(context, id, &order, poll->wait_ms + ANSWER_TIMEOUT_MS,
                on_poll_answer);
 }
 
@@ -432,12 +432,13 @@
     if (UpstreamApi_ParseHeartbeat(instance, request->body, request->length,
                                    &beat, &status) != ERR_OK) {
         Counter_Add(role_counters(&self->process), COUNTER_HEARTBEATS_BAD, 1);
-        Http_RespondError(self->heartbeats, request->id, status.kind,
-                          status.message, 0);
+        HttpServer_RespondError(self->heartbeats, request->id, status.kind,
+                                status.message, 0);
     }
     else {
         Runner_OnHeartbeat(self->runner, now_ms(self), &beat.upstream);
-        Http_RespondJson(self->heartbeats, request->id, STATUS_OK, 0, "{}");
+        HttpServer_RespondJson(self->heartbeats, request->id, STATUS_OK, 0,
+                               "{}");
     }
     UpstreamApi_FreeHeartbeat(&beat);
     after_input(self);
@@ -457,12 +458,13 @@
         Runner_OnUpstreamGone(
             self->runner, now_ms(self), instance,
             UpstreamApi_ParseStartTime(request->body, request->length));
-        Http_RespondJson(self->heartbeats, request->id, STATUS_OK, 0, "{}");
+        HttpServer_RespondJson(self->heartbeats, request->id, STATUS_OK, 0,
+                               "{}");
         after_input(self);
         break;
     default:
-        Http_RespondError(self->heartbeats, request->id, ERR_NOT_FOUND,
-                          "no such path", 0);
+        HttpServer_RespondError(self->heartbeats, request->id, ERR_NOT_FOUND,
+                                "no such path", 0);
         break;
     }
     g_free(instance);
@@ -603,7 +605,8 @@
      * before its own times out, and upstreams leave requests unanswered on
      * connections that work: one timeout is no reason to close the idle
      * connections. */
-    Http_KeepAlive(self->http, options->upstream, MAX_CONNECTIONS, false);
+    HttpClient_KeepAlive(self->http, options->upstream, MAX_CONNECTIONS,
+                         false);
     Peers_Init(&self->peers, options->rpc);
     self->runner = new_runner(self, options);
     if (self->runner == NULL) {
@@ -626,7 +629,7 @@
         Event_Log(EVENT_LISTEN_FAILED, "%s", status.message);
         goto done;
     }
-    Rpc_EnableKeepAlive(self->process.rpc, PROCESS_IDLE_TIMEOUT_MS);
+    Rpc_EnableKeepAlive(self->process.rpc, PROCESS_KEEPALIVE_TIMEOUT_MS);
     RegistrySync_Open(&self->registry, loop, 0, options->store, options->hall,
                       &self->peers);
     if (options->store != 0) {
--- a/daemon/leased_durable.c
+++ b/daemon/leased_durable.c
@@ -73,13 +73,14 @@
     char *body;
 
     if (answer->outcome == DISPATCHER_NOT_RUN) {
-        Http_RespondError(self->callers, request, answer->kind,
-                          answer->message, answer->retry_ms);
+        HttpServer_RespondError(self->callers, request, answer->kind,
+                                answer->message, answer->retry_ms);
         return;
     }
     body = CallerApi_AnswerBody(answer);
-    Http_RespondJson(self->callers, request, CallerApi_AnswerStatus(answer),
-                     answer->retry_ms, body);
+    HttpServer_RespondJson(self->callers, request,
+                           CallerApi_AnswerStatus(answer), answer->retry_ms,
+                           body);
     g_free(body);
 }
 
@@ -89,8 +90,8 @@
     Leased_Entry *self = context;
     char *body = CallerApi_DurableBody(state);
 
-    Http_RespondJson(self->callers, request, CallerApi_DurableStatus(state), 0,
-                     body);
+    HttpServer_RespondJson(self->callers, request,
+                           CallerApi_DurableStatus(state), 0, body);
     g_free(body);
 }
 
@@ -196,7 +197,7 @@
     char *body;
 
     if (request->length > MAX_BODY_BYTES) {
-        Http_RespondError(
+        HttpServer_RespondError(
             self->callers, request->id, ERR_TOO_LARGE,
             "the body of a durable job is longer than 200000 bytes", 0);
         return;
--- a/daemon/leased_entry.c
+++ b/daemon/leased_entry.c
@@ -17,10 +17,10 @@
  */
 #define STARTUP_READY_MS 2000
 #define STORE_CONNECTIONS 4
-/* Least duration of a planned stop: new connections still arrive for some time
- * after the load balancer has been told that this entry is not ready. */
+/* Least duration of a graceful shutdown: new connections still arrive for some
+ * time after the load balancer has been told that this entry is not ready. */
 #define STOP_MIN_MS 2500
-/* A planned stop ends this long before the kill. */
+/* A graceful shutdown ends this long before the kill. */
 #define STOP_MARGIN_MS 500
 /* Jobs still open this long before that end are given up: four ticks, so that
  * their answers are sent in time. */
@@ -61,7 +61,7 @@
     const Rpc_Traffic *traffic = Rpc_GetTraffic(self->process.rpc);
     const Counters *counters = Dispatcher_Counters(self->dispatcher);
     uint64_t all = counters->value[COUNTER_RPC_BYTES_OUT] +
-                   Http_BytesOut(self->callers);
+                   HttpServer_BytesOut(self->callers);
     uint64_t starts = traffic->call_bytes_out[MSG_RUN] +
                       traffic->call_bytes_out[MSG_RUNS];
     uint64_t others = all > starts ? all - starts : 0;
@@ -110,8 +110,9 @@
     Leased_Entry *self = context;
     char *body = CallerApi_AnswerBody(answer);
 
-    Http_RespondJson(self->callers, request, CallerApi_AnswerStatus(answer),
-                     answer->retry_ms, body);
+    HttpServer_RespondJson(self->callers, request,
+                           CallerApi_AnswerStatus(answer), answer->retry_ms,
+                           body);
     g_free(body);
 }
 
@@ -166,13 +167,14 @@
 
     LeasedEntry_OnInput(self);
     if (is_ready(self)) {
-        Http_RespondJson(self->ready, request->id, STATUS_OK, 0, "{}");
+        HttpServer_RespondJson(self->ready, request->id, STATUS_OK, 0, "{}");
     }
     else {
-        Http_RespondError(self->ready, request->id, ERR_NO_ROUTES,
-                          "routes or companions are not known yet, or the "
-                          "process is stopping",
-                          DISPATCHER_RETRY_MS);
+        HttpServer_RespondError(
+            self->ready, request->id, ERR_NO_ROUTES,
+            "routes or companions are not known yet, or the "
+            "process is stopping",
+            DISPATCHER_RETRY_MS);
     }
 }
 
@@ -296,7 +298,7 @@
                                 process->options->grace_ms - STOP_MARGIN_MS;
     Dispatcher_SetShutdownTime(self->dispatcher,
                                process->stop_deadline_ms - FINAL_ANSWERS_MS);
-    Http_CloseAfterResponses(self->callers);
+    HttpServer_CloseAfterResponses(self->callers);
     DurableJobs_HandOver(self->durable_jobs, self->stop_requested_ms);
 }
 
@@ -309,7 +311,7 @@
     if (self->stop_requested_ms == 0 || since < STOP_MIN_MS) {
         return false;
     }
-    return Http_UnansweredCount(self->callers) == 0 &&
+    return HttpServer_UnansweredCount(self->callers) == 0 &&
            DurableJobs_IsIdle(self->durable_jobs) &&
            Dispatcher_IsIdle(self->dispatcher);
 }
@@ -456,7 +458,7 @@
     if (self->callers == NULL) {
         return status->kind;
     }
-    Http_SetDisconnectHandler(self->callers, LeasedJobsApi_OnCallerGone);
+    HttpServer_SetDisconnectHandler(self->callers, LeasedJobsApi_OnCallerGone);
     self->ready = Http_NewServer(loop, options->ready, ready_routes, self,
                                  status);
     if (self->ready == NULL) {
@@ -495,8 +497,8 @@
         goto done;
     }
     self->http = Http_NewClient(loop);
-    Http_SetCounters(self->http, role_counters(&self->process));
-    Http_KeepAlive(self->http, options->store, STORE_CONNECTIONS, true);
+    HttpClient_SetCounters(self->http, role_counters(&self->process));
+    HttpClient_KeepAlive(self->http, options->store, STORE_CONNECTIONS, true);
     LeasedDurable_Open(self, options);
     if (open_servers(self, loop, options, &status) != ERR_OK) {
         Event_Log(EVENT_LISTEN_FAILED, "%s", status.message);
@@ -506,7 +508,7 @@
     RegistrySync_Open(&self->registry, loop, options->rpc, options->store,
                       options->hall, &self->peers);
     RegistrySync_Tick(&self->registry, self->last_input_ms);
-    Rpc_EnableKeepAlive(self->process.rpc, PROCESS_IDLE_TIMEOUT_MS);
+    Rpc_EnableKeepAlive(self->process.rpc, PROCESS_KEEPALIVE_TIMEOUT_MS);
     code = Process_Run(&self->process);
 done:
     if (self->durable_jobs != NULL) {
--- a/daemon/leased_entry_state.h
+++ b/daemon/leased_entry_state.h
@@ -63,7 +63,7 @@
     int64_t routes_applied_ms; /* when the routes in force were applied */
     bool store_answers;
     int64_t last_input_ms;     /* time of the last input */
-    int64_t stop_requested_ms; /* when the planned stop was requested, or 0 */
+    int64_t stop_requested_ms; /* when the shutdown was requested, or 0 */
     bool stalled;              /* stalled; input that waited is being read */
     bool logged_ready;         /* readiness as last logged */
 } Leased_Entry;
@@ -79,7 +79,7 @@
  * the input that waited has been read. */
 int64_t LeasedEntry_OnInput(Leased_Entry *self);
 
-/* Requests of callers: the HTTP interface to leased jobs. */
+/* Requests of callers: daemon/leased_jobs_api.c. */
 
 /** Serves a caller's HTTP request. @p context is the Leased_Entry. */
 void LeasedJobsApi_Serve(void *context, const Http_Request *request);
@@ -98,7 +98,7 @@
 void LeasedJobsApi_OnWithdrawReply(Leased_Entry *self, uint64_t call_id,
                                    const Msg_Reply *reply);
 
-/* Durable jobs. */
+/* Durable jobs: daemon/leased_durable.c. */
 
 /** Creates the manager of durable jobs and starts to follow its log. */
 void LeasedDurable_Open(Leased_Entry *self, const Options *options);
@@ -143,7 +143,7 @@
 /** Sends a request to the store; while the store does not answer this entry,
  * relays it through another entry. @p context is the Leased_Entry. */
 void LeasedStore_Send(void *context, const Http_ClientRequest *request,
-                      Http_ClientDone done, void *done_context);
+                      HttpClient_Done done, void *done_context);
 
 /** Another entry cannot reach the store: sends its request there. */
 void LeasedStore_OnCall(Leased_Entry *self, uint64_t reply_id,
--- a/daemon/leased_jobs_api.c
+++ b/daemon/leased_jobs_api.c
@@ -5,8 +5,9 @@
 #include "base/event.h"
 #include "platform/caller_api.h"
 
-/* Near the end of a planned stop only jobs that can still finish are accepted:
- * a job takes at most its estimate times this factor, plus the slack. */
+/* Near the end of a graceful shutdown only jobs that can still finish are
+ * accepted: a job takes at most its estimate times this factor, plus the
+ * slack. */
 #define STOP_ESTIMATE_FACTOR 2
 #define STOP_SLACK_MS 150
 #define STATUS_OK 200
@@ -49,7 +50,7 @@
 {
     char *body = CallerApi_CountBody(count_waiting(self, route->name));
 
-    Http_RespondJson(self->callers, request->id, STATUS_OK, 0, body);
+    HttpServer_RespondJson(self->callers, request->id, STATUS_OK, 0, body);
     g_free(body);
 }
 
@@ -68,7 +69,7 @@
         return;
     }
     body = CallerApi_StateBody(started);
-    Http_RespondJson(self->callers, request->id, STATUS_OK, 0, body);
+    HttpServer_RespondJson(self->callers, request->id, STATUS_OK, 0, body);
     g_free(body);
 }
 
@@ -76,7 +77,8 @@
 end_cancel(Leased_Entry *self, pending_cancel *pending)
 {
     if (pending->known) {
-        Http_RespondJson(self->callers, pending->request, STATUS_OK, 0, "{}");
+        HttpServer_RespondJson(self->callers, pending->request, STATUS_OK, 0,
+                               "{}");
     }
     else {
         DurableJobs_CancelUnknown(self->durable_jobs, self->last_input_ms,
@@ -122,7 +124,8 @@
     }
 }
 
-/* Whether a planned stop is so near its end that the job could not finish. */
+/* Whether a graceful shutdown is so near its end that the job could not
+ * finish. */
 static bool
 is_too_late_to_accept(const Leased_Entry *self, int64_t now,
                       const LeasedJob *job)
@@ -156,8 +159,8 @@
         CallerApi_ParseJob(raw, parsed->job, &submit.job, &status);
     }
     if (status.kind != ERR_OK) {
-        Http_RespondError(self->callers, request->id, status.kind,
-                          status.message, 0);
+        HttpServer_RespondError(self->callers, request->id, status.kind,
+                                status.message, 0);
         return;
     }
     if (submit.job.needs_durability) {
@@ -167,8 +170,9 @@
     }
     if (is_too_late_to_accept(self, now, &submit.job)) {
         LeasedJob_Clear(&submit.job);
-        Http_RespondError(self->callers, request->id, ERR_STOPPING,
-                          "this entry is being stopped", DISPATCHER_RETRY_MS);
+        HttpServer_RespondError(self->callers, request->id, ERR_STOPPING,
+                                "this entry is being stopped",
+                                DISPATCHER_RETRY_MS);
         return;
     }
     Dispatcher_OnSubmit(self->dispatcher, now, &submit);
@@ -203,8 +207,9 @@
         serve_count(self, request, route);
         break;
     case CALLER_API_UNKNOWN:
-        Http_RespondError(self->callers, request->id, ERR_BAD_REQUEST,
-                          "expected a job's identity of 16 hex digits", 0);
+        HttpServer_RespondError(self->callers, request->id, ERR_BAD_REQUEST,
+                                "expected a job's identity of 16 hex digits",
+                                0);
         break;
     }
 }
@@ -220,8 +225,8 @@
               request->path, request->authority,
               (long long)LeasedRoutes_Version(self),
               (long long)(now - self->routes_applied_ms));
-    Http_RespondError(self->callers, request->id, ERR_UNKNOWN_QUEUE,
-                      "no such queue", 0);
+    HttpServer_RespondError(self->callers, request->id, ERR_UNKNOWN_QUEUE,
+                            "no such queue", 0);
 }
 
 void
@@ -232,8 +237,9 @@
     const Route *route;
 
     if (self->routes == NULL) {
-        Http_RespondError(self->callers, request->id, ERR_NO_ROUTES,
-                          "no routes are known yet", DISPATCHER_RETRY_MS);
+        HttpServer_RespondError(self->callers, request->id, ERR_NO_ROUTES,
+                                "no routes are known yet",
+                                DISPATCHER_RETRY_MS);
         return;
     }
     route = Route_FindByPrefix(self->routes, request->authority,
--- a/daemon/leased_store.c
+++ b/daemon/leased_store.c
@@ -23,7 +23,7 @@
 
 /* A request that another entry relays. */
 typedef struct {
-    Http_ClientDone done;
+    HttpClient_Done done;
     void *done_context;
     int64_t deadline_ms;
 } relayed_call;
@@ -31,7 +31,7 @@
 /* A request that was sent to the store itself. */
 typedef struct {
     Leased_Entry *self;
-    Http_ClientDone done; /* NULL: it is relayed for another entry */
+    HttpClient_Done done; /* NULL: it is relayed for another entry */
     void *done_context;
     uint64_t reply_id;
 } store_request;
@@ -74,7 +74,7 @@
 
 static void
 send_direct(Leased_Entry *self, const Http_ClientRequest *request,
-            Http_ClientDone done, void *done_context)
+            HttpClient_Done done, void *done_context)
 {
     store_request *call = g_new0(store_request, 1);
     Http_ClientRequest direct = *request;
@@ -88,7 +88,7 @@
 
 static void
 send_through_peer(Leased_Entry *self, Address peer,
-                  const Http_ClientRequest *request, Http_ClientDone done,
+                  const Http_ClientRequest *request, HttpClient_Done done,
                   void *done_context)
 {
     uint64_t call_id = ++self->last_call_id | LEASED_ENTRY_CALL_FLAG;
@@ -113,7 +113,7 @@
 
 void
 LeasedStore_Send(void *context, const Http_ClientRequest *request,
-                 Http_ClientDone done, void *done_context)
+                 HttpClient_Done done, void *done_context)
 {
     Leased_Entry *self = context;
     Address peer = DurableJobs_LivePeer(self->durable_jobs,
--- a/daemon/main.c
+++ b/daemon/main.c
@@ -79,7 +79,7 @@
         code = Err_ExitCode(ERR_BAD_SETTINGS);
     }
     else if (check_only) {
-        printf("%s: settings are well formed\n", file);
+        printf("%s: settings are valid\n", file);
     }
     else {
         code = run_role(&options);
--- a/daemon/options.h
+++ b/daemon/options.h
@@ -59,7 +59,7 @@
     int64_t beat_ms;
     int64_t close_ms; /**< from this long after operators have closed a hall,
                          no task starts in it */
-    int64_t grace_ms; /**< from the request of a planned stop to the kill */
+    int64_t grace_ms; /**< from the request of a shutdown to the kill */
     int64_t max_jobs;
     double link_mbps; /**< capacity of the host's link, Mbit/s; 0: unknown */
     int64_t max_answer_bytes;
--- a/daemon/owned_entry.c
+++ b/daemon/owned_entry.c
@@ -211,7 +211,7 @@
 
     Entry_Tick(self->entry, Process_Now());
     if (Entry_IsClosed(self->entry)) {
-        Http_StopListening(self->callers);
+        HttpServer_StopListening(self->callers);
     }
     if (Entry_IsDeposed(self->entry)) {
         start_new_incarnation(self);
@@ -230,7 +230,7 @@
     const owned_entry *self = (const owned_entry *)process;
 
     return Entry_IsDrained(self->entry) &&
-           Http_UnansweredCount(self->callers) == 0;
+           HttpServer_UnansweredCount(self->callers) == 0;
 }
 
 static json_t *
--- a/daemon/owned_jobs_api.c
+++ b/daemon/owned_jobs_api.c
@@ -147,7 +147,8 @@
     parsed_job job;
 
     if (strcmp(request->method, "POST") != 0) {
-        Http_RespondError(server, request->id, ERR_METHOD, "use POST", 0);
+        HttpServer_RespondError(server, request->id, ERR_METHOD, "use POST",
+                                0);
         return;
     }
     parse_job(&job, request, &status);
@@ -163,7 +164,8 @@
         Entry_Submit(entry, now, request->id, &job.spec);
     }
     else {
-        Http_RespondError(server, request->id, status.kind, status.message, 0);
+        HttpServer_RespondError(server, request->id, status.kind,
+                                status.message, 0);
     }
     clear_job(&job);
 }
@@ -175,11 +177,11 @@
     Admission_Spec spec = {.look = true, .group = ""};
 
     if (strcmp(request->method, "GET") != 0) {
-        Http_RespondError(server, request->id, ERR_METHOD, "use GET", 0);
+        HttpServer_RespondError(server, request->id, ERR_METHOD, "use GET", 0);
     }
     else if (!Key_Parse(request->rest, &spec.key)) {
-        Http_RespondError(server, request->id, ERR_BAD_KEY,
-                          "expected a UUID of version 7", 0);
+        HttpServer_RespondError(server, request->id, ERR_BAD_KEY,
+                                "expected a UUID of version 7", 0);
     }
     else {
         Entry_Submit(entry, now, request->id, &spec);
--- a/daemon/process.h
+++ b/daemon/process.h
@@ -13,10 +13,10 @@
 
 /** Interval between ticks of a role. */
 #define PROCESS_TICK_MS 50
-/** Idle timeout of connections between processes of leased jobs: as long as a
- * lease (LeaseTiming_Derive), since the leases of an owner that is not heard
- * from have expired by then. */
-#define PROCESS_IDLE_TIMEOUT_MS 600
+/** Keepalive timeout of connections between processes of leased jobs: as long
+ * as a lease (LeaseTiming_Derive), since the leases of an owner that is not
+ * heard from have expired by then. */
+#define PROCESS_KEEPALIVE_TIMEOUT_MS 600
 
 /** A running process; the first member of each role's own structure. */
 typedef struct Process Process;
@@ -25,9 +25,9 @@
 typedef struct {
     /** Called every PROCESS_TICK_MS. */
     void (*tick)(Process *process);
-    /** A planned stop was requested. */
+    /** A graceful shutdown was requested. */
     void (*drain)(Process *process);
-    /** Whether the planned stop is complete. */
+    /** Whether the graceful shutdown is complete. */
     bool (*is_drained)(const Process *process);
     /** State for operators; the caller owns the result. */
     json_t *(*dump)(const Process *process);
@@ -51,9 +51,9 @@
     uv_signal_t terminate;
     uv_signal_t interrupt;
     uv_signal_t hangup;
-    bool stopping;            /**< a planned stop was requested */
-    int64_t stop_deadline_ms; /**< monotonic; when a planned stop ends whatever
-                            is still open; 0 for never */
+    bool stopping;            /**< a graceful shutdown was requested */
+    int64_t stop_deadline_ms; /**< monotonic; when a graceful shutdown ends
+                            whatever is still open; 0 for never */
     int64_t drained_ms; /**< monotonic; since when the role is drained, or 0 */
     int exit_code;
 };
--- a/daemon/registry_sync.c
+++ b/daemon/registry_sync.c
@@ -35,33 +35,33 @@
     registry->hall = hall;
     EntryRegistry_Init(&registry->state, self, Process_Now().mono_ms);
     if (store != 0) {
-        registry->members = RegistryClient_New(Http_NewClient(loop), store,
-                                               &ports, registry);
+        registry->client = RegistryClient_New(Http_NewClient(loop), store,
+                                              &ports, registry);
     }
 }
 
 void
 RegistrySync_Tick(Registry_Sync *registry, int64_t now_ms)
 {
-    Address gone = 0;
+    Address expired = 0;
 
-    if (registry->members == NULL) {
+    if (registry->client == NULL) {
         return;
     }
-    switch (
-        EntryRegistry_Next(&registry->state, now_ms, registry->peers, &gone)) {
+    switch (EntryRegistry_Next(&registry->state, now_ms, registry->peers,
+                               &expired)) {
     case ENTRY_REGISTRY_WAIT:
         break;
     case ENTRY_REGISTRY_READ:
-        RegistryClient_Read(registry->members);
+        RegistryClient_Read(registry->client);
         break;
     case ENTRY_REGISTRY_WRITE:
-        RegistryClient_Write(registry->members, registry->state.self,
+        RegistryClient_Write(registry->client, registry->state.self,
                              registry->hall);
         break;
     case ENTRY_REGISTRY_DELETE:
-        Event_Log(EVENT_PEER_DROPPED, "%s", Address_Text(gone));
-        RegistryClient_Delete(registry->members, gone);
+        Event_Log(EVENT_PEER_DROPPED, "%s", Address_Text(expired));
+        RegistryClient_Delete(registry->client, expired);
         break;
     }
 }
--- a/daemon/table_api.c
+++ b/daemon/table_api.c
@@ -30,7 +30,7 @@
     guint i;
 
     if (strcmp(request->method, "GET") != 0) {
-        Http_RespondError(server, request->id, ERR_METHOD, "use GET", 0);
+        HttpServer_RespondError(server, request->id, ERR_METHOD, "use GET", 0);
         return;
     }
     rows = GroupTable_SortedRows(Entry_Table(entry), false);
@@ -54,8 +54,8 @@
     json_t *body;
 
     if (row == NULL) {
-        Http_RespondError(server, request->id, ERR_NOT_FOUND, "no such group",
-                          0);
+        HttpServer_RespondError(server, request->id, ERR_NOT_FOUND,
+                                "no such group", 0);
         return;
     }
     body = GroupTable_RowToJson(row);
@@ -131,7 +131,8 @@
         read_base(entry, request, &base, &status);
     }
     if (status.kind != ERR_OK) {
-        Http_RespondError(server, request->id, status.kind, status.message, 0);
+        HttpServer_RespondError(server, request->id, status.kind,
+                                status.message, 0);
         return;
     }
     Entry_Edit(entry, now, request->id, request->rest, base,
@@ -152,8 +153,8 @@
         serve_edit(server, entry, now, request, true);
     }
     else {
-        Http_RespondError(server, request->id, ERR_METHOD,
-                          "use GET, PUT or DELETE", 0);
+        HttpServer_RespondError(server, request->id, ERR_METHOD,
+                                "use GET, PUT or DELETE", 0);
     }
 }
 
@@ -162,8 +163,8 @@
                 uint64_t version)
 {
     if (status->kind != ERR_OK) {
-        Http_RespondError(server, request, status->kind, status->message,
-                          Err_HasRetryAfter(status->kind) ? 1000 : 0);
+        HttpServer_RespondError(server, request, status->kind, status->message,
+                                Err_HasRetryAfter(status->kind) ? 1000 : 0);
         return;
     }
     respond_json(server, request,
--- a/daemon/table_api.h
+++ b/daemon/table_api.h
@@ -1,6 +1,6 @@
 /**
  * @file table_api.h
- * @brief The operators' HTTP interface to the table of groups:
+ * @brief The operators' HTTP interface to the group table:
  * `GET /v1/table`, and `GET`, `PUT` and `DELETE /v1/table/groups/{name}` with
  * ETag and If-Match.
  */
--- a/wire/levercove.x
+++ b/wire/levercove.x
@@ -17,13 +17,13 @@
     opaque bytes[16];
 };
 
-/* One process: its RPC address and the number of its incarnation. */
+/* A process, identified by its RPC address and its incarnation number. */
 struct lc_node {
     unsigned hyper address;
     unsigned hyper incarnation;
 };
 
-/* How far a process has applied the log. */
+/* Position up to which a process has applied the log. */
 struct lc_position {
     unsigned hyper offset;
     unsigned hyper epoch;
@@ -34,7 +34,7 @@
     LC_ROLE_COMPANION = 1
 };
 
-/* Tasks of one group that wait at an entry. */
+/* Number of tasks of one group that wait at an entry. */
 struct lc_demand {
     string group<LC_MAX_GROUP>;
     unsigned int waiting;
@@ -85,15 +85,15 @@
 };
 
 /*
- * One task. The sequence rises with every call of one owner to one
- * companion, so that a late copy of an older call is refused.
+ * Starts one task. The sequence number increases with every call from one
+ * owner to one companion, so that a delayed copy of an older call is refused.
  */
 struct lc_start_args {
     lc_node owner;
     unsigned hyper epoch;
     unsigned hyper sequence;
     unsigned hyper target;
-    bool attach; /* only if it was started before */
+    bool attach; /* only attach to a task that was started before */
     lc_key key;
     unsigned int index;
     unsigned int total;
@@ -114,7 +114,7 @@
     opaque result<LC_MAX_PAYLOAD>;
 };
 
-/* A slot reserved for the entry, for a short time. */
+/* Offers the entry a slot that is reserved for it for a short time. */
 struct lc_grant_args {
     lc_node from;
     unsigned hyper grant;
@@ -142,7 +142,8 @@
     opaque result<LC_MAX_PAYLOAD>;
 };
 
-/* What this companion ever started for keys the caller now owns. */
+/* Asks a companion for all tasks it ever started for keys that the caller now
+ * owns. */
 struct lc_inventory_args {
     lc_node from;
     unsigned hyper epoch;
@@ -157,7 +158,7 @@
     lc_started tasks<LC_MAX_PAGE>;
 };
 
-/* Keys the callee holds and the caller now owns. */
+/* Asks an entry for the keys that it holds and the caller now owns. */
 struct lc_settle_args {
     lc_node from;
     unsigned hyper epoch;
@@ -179,7 +180,7 @@
     opaque data<LC_MAX_PAYLOAD>;
 };
 
-/* A job passed to the owner of its key, or to the entry that holds it. */
+/* Passes a job to the owner of its key, or to the entry that holds it. */
 struct lc_submit_args {
     lc_submit_kind kind;
     bool held;
@@ -209,7 +210,7 @@
     lc_answer answer;
 };
 
-/* A grant the entry cannot use; the slot is free at once. */
+/* Returns a grant that the entry cannot use; the slot is free at once. */
 struct lc_decline_args {
     lc_node from;
     unsigned hyper grant;
@@ -221,8 +222,8 @@
 };
 
 /*
- * Asks for one unit of a group's cap. The same id is the same request: its
- * answer is repeated, so that a lost reply loses no unit.
+ * Requests one unit of a group's cap. A request with the same id is a
+ * retransmission and gets the same answer, so that a lost reply loses no unit.
  */
 struct lc_borrow_args {
     lc_node from;
@@ -238,8 +239,9 @@
 };
 
 /*
- * Leased jobs: jobs that need not be kept. The entry that received a job runs
- * it; companions run its tasks under leases on their own monotonic clock.
+ * Leased jobs: jobs that need not be durable. The entry that received a job
+ * runs it; companions run its tasks under leases that are timed by the
+ * companion's own monotonic clock.
  */
 const LC_MAX_SPEC = 16384;
 const LC_MAX_NAME = 128;
@@ -254,7 +256,7 @@
     unsigned int accelerators;
 };
 
-/* One start of one task. */
+/* Identifies one start of one task. */
 struct lc_run_id {
     unsigned hyper job;
     unsigned int occurrence;
@@ -270,45 +272,49 @@
     LC_UPSTREAM_TRIAL = 3
 };
 
-/* What a companion says of itself in every message. */
+/* A companion's state, sent in each of its messages. */
 struct lc_host_state {
     lc_node node;
-    hyper stamp_ms; /* its monotonic clock when this was written */
+    hyper stamp_ms; /* the companion's monotonic clock when this was
+                         written */
     lc_upstream_state state;
     lc_resources room;
-    unsigned int pace_percent; /* time of tasks over their estimate */
+    unsigned int pace_percent; /* run time of tasks, in percent of their
+                                  estimate */
     unsigned int tasks;
-    unsigned int held; /* ends of kept jobs that are not released */
-    unsigned int held_long; /* of them those that nobody has released for long */
+    unsigned int held; /* unreleased ends of durable jobs' runs */
+    unsigned int held_long; /* those of them that are unreleased for long */
 };
 
 enum lc_run_status {
     LC_RUN_DONE = 0,
-    LC_RUN_FAILED = 1,     /* it ran and ended badly */
-    LC_RUN_STOPPED = 2,    /* asked for by its entry, or its lease is over */
-    LC_RUN_LOST = 3,       /* its upstream died or let the lease lapse */
+    LC_RUN_FAILED = 1,     /* it ran and failed */
+    LC_RUN_STOPPED = 2,    /* by its entry's request, or its lease expired */
+    LC_RUN_LOST = 3,       /* its upstream died or let the lease expire */
     LC_RUN_STALLED = 4,    /* stopped by the companion: no progress */
-    LC_RUN_NO_ROOM = 5,    /* not started, as all that follow */
+    LC_RUN_NO_ROOM = 5,    /* not started; nor in all cases below, but for
+                              LC_RUN_CRASHED */
     LC_RUN_EXPIRED = 6,
     LC_RUN_DRAINING = 7,
     LC_RUN_NOT_READY = 8,
-    LC_RUN_OTHER_NODE = 9, /* nothing that was started before lives */
-    LC_RUN_REJECTED = 10,  /* by the upstream */
-    LC_RUN_OLD = 11,       /* the upstream knows a later run */
-    LC_RUN_CLOSED = 12,    /* the operators have closed the hall */
-    LC_RUN_CRASHED = 13    /* it ran, and its upstream crashed under it */
+    LC_RUN_OTHER_NODE = 9, /* another incarnation; no earlier run is alive */
+    LC_RUN_REJECTED = 10,  /* refused by the upstream */
+    LC_RUN_OLD = 11,       /* the upstream knows a later run of the task */
+    LC_RUN_CLOSED = 12,    /* operators have closed the hall */
+    LC_RUN_CRASHED = 13    /* it ran, and its upstream crashed during it */
 };
 
 struct lc_run_args {
     lc_node owner;
     unsigned hyper target;  /* incarnation of the companion, 0 for any */
-    hyper valid_until_ms;   /* on the companion's monotonic clock, or
-                               LC_HOLD_NONE: do not start the run */
-    hyper closures_as_of;   /* by which the owner takes the hall as open */
+    hyper valid_until_ms;   /* end of the lease on the companion's monotonic
+                               clock; LC_HOLD_NONE: do not start the run */
+    hyper closures_as_of;   /* as_of of the closures in which the owner sees
+                               the hall open */
     lc_run_id id;
     lc_resources need;
     unsigned int estimate_ms;
-    unsigned int crashes;   /* upstreams that crashed under this task */
+    unsigned int crashes;   /* upstreams that crashed while running it */
     string spec<LC_MAX_SPEC>;
 };
 
@@ -318,7 +324,7 @@
     lc_host_state host;
 };
 
-/* What differs between the starts of one RUNS. */
+/* The fields that differ between the starts in one RUNS call. */
 struct lc_runs_row {
     unsigned int occurrence;
     unsigned int step;
@@ -330,9 +336,9 @@
 };
 
 /*
- * Starts of several tasks of one job, the spec once. Each row is a RUN of its
- * own: the reply to row i is that of a RUN, under the number of this call
- * plus i.
+ * Starts several tasks of one job, with the spec sent once. Each row acts as
+ * a separate RUN call: row i is answered by the reply to a RUN, with the xid
+ * of this call plus i.
  */
 struct lc_runs_args {
     lc_node owner;
@@ -346,10 +352,11 @@
 
 typedef lc_run_res lc_runs_res;
 
-/* Extends the lease of all that an entry runs at a companion. */
+/* Extends the leases of all runs that an entry has at a companion. */
 struct lc_renew_args {
     lc_node owner;
-    unsigned hyper kept; /* incarnation under which it owns kept jobs; 0: none are renewed */
+    unsigned hyper kept; /* incarnation under which it owns durable jobs;
+                            0: none are renewed */
     unsigned hyper target;
     hyper valid_until_ms;
 };
@@ -358,7 +365,7 @@
     lc_host_state host;
 };
 
-/* Stops one run; the answer says that it is over. */
+/* Stops one run; the answer confirms that it has ended. */
 struct lc_halt_args {
     lc_node owner;
     unsigned hyper target;
@@ -374,15 +381,15 @@
 
 typedef string lc_hall<LC_MAX_NAME>;
 
-/* The halls that operators have closed, as the store's record of it stood at one
- * time. Of two the one that more records were read for is the newer one. */
+/* The halls that operators have closed, as recorded in the store at one time.
+ * Of two such sets, the one with the greater as_of is the newer. */
 struct lc_closures {
-    hyper as_of;         /* records of operators that were read; -1: none */
-    unsigned int age_ms; /* it was in force so long before, at the latest */
+    hyper as_of;         /* number of operators' records read; -1: none */
+    unsigned int age_ms; /* time since it was last confirmed to be in force */
     lc_hall halls<LC_MAX_HALLS>;
 };
 
-/* A companion tells an entry of itself and its upstream. */
+/* A companion reports its own state and its upstream's to an entry. */
 struct lc_report_args {
     lc_host_state host;
     string hall<LC_MAX_NAME>;
@@ -390,33 +397,36 @@
     string instance<LC_MAX_NAME>;
     lc_resources capacity;
     lc_label labels<LC_MAX_LABELS>;
-    unsigned int next_ms;  /* the next report comes by then, if only the time passes */
-    unsigned hyper known;  /* digest of the entries it knows */
+    unsigned int next_ms;  /* the next report is sent within this time, even
+                              without a change */
+    unsigned hyper known;  /* digest of the entries that the companion knows */
     lc_closures closures;
 };
 
 struct lc_report_res {
     lc_node entry;
-    unsigned hyper entries<LC_MAX_PEERS>; /* none if the digest is ours */
-    unsigned int gap_ms; /* changes are welcome so often at most */
-    string hall<LC_MAX_NAME>; /* of the entry */
-    bool all; /* it has to know every companion */
+    unsigned hyper entries<LC_MAX_PEERS>; /* empty if the digests agree */
+    unsigned int gap_ms; /* least time between two reports of changes */
+    string hall<LC_MAX_NAME>; /* the entry's hall */
+    bool all; /* the entry has to know every companion */
     lc_closures closures;
 };
 
-/* Jobs of a queue that no task of has begun. */
+/* Number of a queue's jobs of which no task has started. */
 struct lc_queue_count {
     string queue<LC_MAX_NAME>;
     unsigned int waiting;
 };
 
-/* An entry tells another of itself. Newer routes are fetched apart. */
+/* An entry sends its state to another. Newer routes are fetched separately,
+ * with LC_ROUTES. */
 struct lc_gossip_args {
     lc_node from;
-    unsigned hyper kept; /* incarnation under which it owns kept jobs; 0: it cannot look after them */
+    unsigned hyper kept; /* incarnation under which it owns durable jobs;
+                            0: it cannot manage them */
     hyper routes_version;
     unsigned hyper known; /* digest of the entries it knows, with itself */
-    unsigned hyper entries<LC_MAX_PEERS>; /* none if the other knows them */
+    unsigned hyper entries<LC_MAX_PEERS>; /* empty if the peer knows them */
     lc_queue_count waiting<LC_MAX_QUEUES>;
     lc_closures closures;
 };
@@ -431,45 +441,47 @@
     lc_closures closures;
 };
 
-/* Asks an entry for a chunk of its routes. If it has another version by now, the
- * answer is the first chunk of that one. */
+/* Requests a chunk of an entry's routes. If the entry has another version by
+ * now, the answer is the first chunk of that version. */
 struct lc_routes_args {
     hyper routes_version;
     unsigned int offset;
 };
 
 struct lc_routes_res {
-    hyper routes_version; /* -1: it has none */
+    hyper routes_version; /* -1: the entry has no routes */
     unsigned int offset;
-    unsigned int total; /* bytes of all chunks */
+    unsigned int total; /* bytes of all chunks together */
     opaque data<LC_MAX_CHUNK>;
 };
 
 const LC_MAX_STEPS = 64;
 
-/* Tasks of a job that are alike. */
+/* A group of identical tasks of a job. */
 struct lc_step {
     unsigned int count;
     lc_resources need;
     unsigned int estimate_ms;
-    unsigned hyper depends_on; /* bit i: step i ends before this one starts */
-    unsigned int most_together; /* on one upstream; 0 for any number */
+    unsigned hyper depends_on; /* bit i: starts after step i has ended */
+    unsigned int most_together; /* on one upstream; 0: no limit */
     string requirement<LC_MAX_NAME>;
     string affinity<LC_MAX_NAME>;
 };
 
 /*
- * An entry hands a job of which no task was sent to another, which runs it
- * under a lease of the first. The answer comes when the job is over.
+ * Forwards a job, none of whose tasks has been sent to a companion, to another
+ * entry (the delegate), which runs it under a lease from the caller. The
+ * answer is sent when the job has ended.
  */
 struct lc_forward_args {
     lc_node from;
     unsigned hyper target;    /* incarnation of the callee */
-    unsigned hyper number;    /* of the caller's, never used twice */
-    hyper valid_until_ms;     /* on the callee's monotonic clock */
-    hyper routes_version;     /* by which the caller took it */
-    unsigned int waited_ms;   /* since its own caller handed it in */
-    unsigned int deadline_ms; /* from now */
+    unsigned hyper number;    /* chosen by the caller and never reused */
+    hyper valid_until_ms;     /* end of the lease on the callee's monotonic
+                                 clock */
+    hyper routes_version;     /* by which the caller accepted the job */
+    unsigned int waited_ms;   /* time since its own caller submitted it */
+    unsigned int deadline_ms; /* relative to the time of this call */
     unsigned hyper job;
     string queue<LC_MAX_NAME>;
     lc_step steps<LC_MAX_STEPS>;
@@ -477,7 +489,7 @@
 };
 
 struct lc_forward_res {
-    bool taken; /* false: no task of it was or will be started */
+    bool taken; /* false: no task of the job was or will be started */
     unsigned int outcome; /* Dispatcher_Outcome */
     string error<32>;
     string message<240>;
@@ -485,23 +497,25 @@
 };
 
 /*
- * Lengthens the lease of all jobs that were forwarded, but for those that are
- * not wanted any more, and asks how much more would be taken.
+ * Extends the lease of all forwarded jobs except those that are no longer
+ * wanted, and asks how much more the callee would accept.
  */
 struct lc_extend_args {
     lc_node from;
     unsigned hyper target;
-    hyper valid_until_ms; /* on the callee's clock; 0: only asks */
-    unsigned hyper gone<LC_MAX_PEERS>; /* numbers */
+    hyper valid_until_ms; /* end of the leases on the callee's monotonic clock;
+                             0: only asks for the headroom */
+    unsigned hyper gone<LC_MAX_PEERS>; /* numbers of jobs no longer wanted */
 };
 
 struct lc_extend_res {
     lc_node node;
-    hyper stamp_ms;           /* its monotonic clock */
-    unsigned hyper headroom;  /* bytes a second of its link; 0: takes none */
+    hyper stamp_ms;           /* the callee's monotonic clock */
+    unsigned hyper headroom;  /* unused bytes per second of its link;
+                                 0: accepts no jobs */
 };
 
-/* Cancels a job wherever it is. */
+/* Cancels a job, whichever entry runs it. */
 struct lc_withdraw_args {
     lc_node from;
     unsigned hyper job;
@@ -512,7 +526,7 @@
     bool known;
 };
 
-/* Ends of runs of kept jobs that are written down for good. */
+/* Releases ends of durable jobs' runs that the store has recorded. */
 struct lc_release_args {
     unsigned hyper target;
     lc_run_id runs<LC_MAX_PAGE>;
@@ -522,27 +536,29 @@
     lc_host_state host;
 };
 
-/* A companion takes no more orders of an owner of kept jobs that is gone; what
- * it runs for it is the successor's. */
+/* Tells a companion to accept no more orders from a claimed owner of durable
+ * jobs; the owner's runs pass to the successor. */
 struct lc_fence_args {
     unsigned hyper target;
-    lc_node gone<LC_MAX_PEERS>; /* none: all ends that are held are told */
+    lc_node gone<LC_MAX_PEERS>; /* empty: the answer lists all unreleased
+                                   ends */
     lc_node successor;
 };
 
 struct lc_held_run {
     lc_run_id id;
     bool running;
-    lc_run_status status; /* of an end that nobody has released */
+    lc_run_status status; /* of an unreleased end */
 };
 
 struct lc_fence_res {
-    bool taken; /* false: the companion does not know what its upstream runs */
+    bool taken; /* false: the companion does not know its upstream's runs */
     lc_held_run runs<LC_MAX_PAGE>;
     lc_host_state host;
 };
 
-/* An entry that cannot reach the store asks another to call it. */
+/* Asks another entry to relay a request to the store, which the caller cannot
+ * reach. */
 struct lc_store_args {
     string method<LC_MAX_NAME>;
     string path<LC_MAX_PATH>;
@@ -557,7 +573,7 @@
     opaque body<LC_MAX_ANSWER>;
 };
 
-/* Records of kept jobs in the store: lease/durable_log.h. */
+/* Records of durable jobs in the store: lease/durable_log.h. */
 enum lc_kept_kind {
     LC_KEPT_SUBMIT = 0,
     LC_KEPT_PROGRESS = 1,
@@ -576,19 +592,19 @@
 struct lc_kept_submit {
     lc_node owner;
     string queue<LC_MAX_NAME>;
-    string body<LC_MAX_PAYLOAD>; /* as its caller sent it */
+    string body<LC_MAX_PAYLOAD>; /* verbatim, as its caller sent it */
 };
 
 struct lc_kept_failures {
     unsigned int task;
     unsigned int count;
-    unsigned int run; /* the last that was counted */
+    unsigned int run; /* the last run that was counted */
 };
 
 struct lc_kept_progress {
     string queue<LC_MAX_NAME>;
     lc_kept_outcome outcome;
-    opaque done<LC_MAX_TASKS>; /* a bit for each task, the lowest first */
+    opaque done<LC_MAX_TASKS>; /* one bit per task, least significant first */
     lc_kept_failures failures<LC_MAX_TASKS>;
 };
 
--- a/wire/rpc.c
+++ b/wire/rpc.c
@@ -62,8 +62,8 @@
     uv_tcp_t listener;
     uv_timer_t lost_calls_timer;
     uv_timer_t keepalive_timer;
-    int64_t checked_ms;  /* last check of all connections */
-    uint32_t silence_ms; /* 0: keepalive is disabled */
+    int64_t checked_ms;            /* last check of all connections */
+    uint32_t keepalive_timeout_ms; /* 0: keepalive is disabled */
     bool listening;
     bool closing;
     int handles;
@@ -534,10 +534,10 @@
     else if (!has_pending && since_ms >= IDLE_TIMEOUT_MS) {
         close_connection(conn);
     }
-    else if (has_pending && since_ms >= conn->rpc->silence_ms) {
+    else if (has_pending && since_ms >= conn->rpc->keepalive_timeout_ms) {
         close_silent(conn, since_ms);
     }
-    else if (has_pending && since_ms >= conn->rpc->silence_ms / 2 &&
+    else if (has_pending && since_ms >= conn->rpc->keepalive_timeout_ms / 2 &&
              conn->ping_xid == 0) {
         send_ping(conn);
     }
@@ -565,9 +565,9 @@
 }
 
 void
-Rpc_EnableKeepAlive(Rpc *rpc, uint32_t silence_ms)
+Rpc_EnableKeepAlive(Rpc *rpc, uint32_t timeout_ms)
 {
-    rpc->silence_ms = silence_ms;
+    rpc->keepalive_timeout_ms = timeout_ms;
     rpc->checked_ms = (int64_t)uv_now(rpc->loop);
     uv_timer_start(&rpc->keepalive_timer, on_keepalive_timer,
                    KEEPALIVE_INTERVAL_MS, KEEPALIVE_INTERVAL_MS);
--- a/wire/rpc.h
+++ b/wire/rpc.h
@@ -65,11 +65,11 @@
 void Rpc_Disconnect(Rpc *rpc, Address to);
 
 /** Enables keepalive. An outgoing connection with pending calls that receives
- * nothing for @p silence_ms is closed, and its calls are lost; after half of
+ * nothing for @p timeout_ms is closed, and its calls are lost; after half of
  * that time the peer is sent a NULL call as a ping. Outgoing connections
  * without pending calls are closed after a minute, and incoming ones on which
  * nothing was received after two. */
-void Rpc_EnableKeepAlive(Rpc *rpc, uint32_t silence_ms);
+void Rpc_EnableKeepAlive(Rpc *rpc, uint32_t timeout_ms);
 
 /** Whether writes to any connection are still pending. */
 int Rpc_HasPendingWrites(const Rpc *rpc);
