--- a/cli/commands.c
+++ b/cli/commands.c
@@ -68,7 +68,7 @@
     json_array_foreach(json_object_get(table, "groups"), i, row)
     {
         printf("%-24s", json_string_value(json_object_get(row, "group")));
-#define X(field, name, least, most, initial)                                  \
+#define X(field, name, min, max, initial)                                     \
     printf(" %*lld", (int)MAX(strlen(name), 8),                               \
            (long long)json_integer_value(json_object_get(row, name)));
         GROUP_TABLE_COLUMNS(X)
--- a/cli/http_exchange.c
+++ b/cli/http_exchange.c
@@ -8,7 +8,7 @@
 #include "platform/http_client.h"
 
 #define TIMEOUT_MS 600000
-#define FIRST_ERROR_STATUS 400
+#define MIN_ERROR_STATUS 400
 
 typedef struct {
     HttpExchange_Answer *answer;
@@ -72,7 +72,7 @@
     const char *message;
     Err_Kind kind;
 
-    if (answer->status < FIRST_ERROR_STATUS) {
+    if (answer->status < MIN_ERROR_STATUS) {
         return ERR_OK;
     }
     body = json_loadb(answer->body, answer->length, 0, NULL);
--- a/cli/table_csv.c
+++ b/cli/table_csv.c
@@ -4,7 +4,7 @@
 
 /* Column names, in the order of output. */
 static const char *const columns[] = {"group",
-#define X(field, name, least, most, initial) name,
+#define X(field, name, min, max, initial) name,
                                       GROUP_TABLE_COLUMNS(X)
 #undef X
 };
