--- a/cli/table_csv.c
+++ b/cli/table_csv.c
@@ -4,7 +4,7 @@
 
 /* Column names, in the order of output. */
 static const char *const columns[] = {"group",
-#define X(field, name, least, most, initial) name,
+#define X(field, name, min, max, initial) name,
                                       GROUP_TABLE_COLUMNS(X)
 #undef X
 };
@@ -24,7 +24,7 @@
 }
 
 char *
-Csv_Write(const json_t *groups)
+TableCsv_Write(const json_t *groups)
 {
     GString *out = g_string_new(NULL);
     const json_t *row;
