--- a/base/event.c
+++ b/base/event.c
@@ -38,7 +38,7 @@
 
 /* Global, as GLib's writer function is: a process has one log output. */
 static token_bucket buckets[EVENT_COUNT];
-static Log_Buffer *output;
+static LogBuffer *output;
 static char *node_name;
 
 int
--- a/base/handle_table.h
+++ b/base/handle_table.h
@@ -1,6 +1,6 @@
 /**
  * @file handle_table.h
- * @brief GroupTable of pointers, addressed by handles. A handle holds an index
+ * @brief Table of pointers, addressed by handles. A handle holds an index
  * and a generation, so that the handle of a removed item is never taken for
  * the item that reuses its row.
  *
--- a/base/log_buffer.c
+++ b/base/log_buffer.c
@@ -12,7 +12,7 @@
 /* Bytes at which buffered lines are written together. */
 #define FLUSH_THRESHOLD_BYTES 4096
 
-struct Log_Buffer {
+struct LogBuffer {
     int descriptor;
     bool broken; /* the reader has closed its end */
     uint64_t dropped;
@@ -20,17 +20,17 @@
     char bytes[LOG_BUFFER_SIZE];
 };
 
-Log_Buffer *
+LogBuffer *
 LogBuffer_New(int descriptor)
 {
-    Log_Buffer *buffer = g_new0(Log_Buffer, 1);
+    LogBuffer *buffer = g_new0(LogBuffer, 1);
 
     buffer->descriptor = descriptor;
     return buffer;
 }
 
 static bool
-is_writable(const Log_Buffer *buffer)
+is_writable(const LogBuffer *buffer)
 {
     struct pollfd poll_fd = {.fd = buffer->descriptor, .events = POLLOUT};
 
@@ -38,7 +38,7 @@
 }
 
 void
-LogBuffer_Flush(Log_Buffer *buffer)
+LogBuffer_Flush(LogBuffer *buffer)
 {
     size_t flushed = 0;
 
@@ -67,7 +67,7 @@
 }
 
 bool
-LogBuffer_Add(Log_Buffer *buffer, const char *line, size_t length,
+LogBuffer_Add(LogBuffer *buffer, const char *line, size_t length,
               bool use_reserve)
 {
     size_t limit = use_reserve ? LOG_BUFFER_SIZE
@@ -89,7 +89,7 @@
 }
 
 uint64_t
-LogBuffer_TakeDropped(Log_Buffer *buffer)
+LogBuffer_TakeDropped(LogBuffer *buffer)
 {
     uint64_t dropped = buffer->dropped;
 
--- a/base/log_buffer.h
+++ b/base/log_buffer.h
@@ -18,21 +18,21 @@
 #define LOG_BUFFER_RESERVE ((size_t)64 * 1024)
 
 /** Opaque buffer. */
-typedef struct Log_Buffer Log_Buffer;
+typedef struct LogBuffer LogBuffer;
 
 /** Creates a buffer that writes to @p descriptor, whose flags are not changed
  * and which is not closed. */
-Log_Buffer *LogBuffer_New(int descriptor);
+LogBuffer *LogBuffer_New(int descriptor);
 
 /** Adds a line; false if it was dropped. Lines without @p use_reserve leave
  * the reserve free. */
-bool LogBuffer_Add(Log_Buffer *buffer, const char *line, size_t length,
+bool LogBuffer_Add(LogBuffer *buffer, const char *line, size_t length,
                    bool use_reserve);
 
 /** Writes as much as the descriptor accepts now. */
-void LogBuffer_Flush(Log_Buffer *buffer);
+void LogBuffer_Flush(LogBuffer *buffer);
 
 /** Returns the number of lines dropped since the last call. */
-uint64_t LogBuffer_TakeDropped(Log_Buffer *buffer);
+uint64_t LogBuffer_TakeDropped(LogBuffer *buffer);
 
 #endif
--- a/core/admission.c
+++ b/core/admission.c
@@ -8,7 +8,7 @@
 #include "core/outcome.h"
 #include "core/ownership.h"
 
-#define MINT_TRIES 64
+#define MAX_KEY_TRIES 64
 #define RETRY_MS 500
 #define MS_PER_S 1000.0
 
@@ -42,7 +42,7 @@
 
     if (age_ms > board->config.window_ms) {
         Outcome_Refuse(board, waiter, key, ERR_KEY_TOO_OLD,
-                       "the key is older than the dedupe window", 0);
+                       "the key is older than the deduplication window", 0);
         return false;
     }
     if (age_ms < -board->config.skew_ms) {
@@ -366,12 +366,12 @@
 }
 
 Key
-Admission_MintKey(Blackboard *board)
+Admission_CreateKey(Blackboard *board)
 {
     Key key;
     int i;
 
-    for (i = 0; i < MINT_TRIES; i++) {
+    for (i = 0; i < MAX_KEY_TRIES; i++) {
         lc_node owner;
         uint64_t high = Blackboard_Random(board);
         uint64_t low = Blackboard_Random(board);
--- a/core/admission.h
+++ b/core/admission.h
@@ -32,6 +32,6 @@
                         const lc_submit_res *reply);
 
 /** A new key that this entry owns, if it owns any. */
-Key Admission_MintKey(Blackboard *board);
+Key Admission_CreateKey(Blackboard *board);
 
 #endif
--- a/core/blackboard.h
+++ b/core/blackboard.h
@@ -1,8 +1,8 @@
 /**
  * @file blackboard.h
  * @brief The blackboard of one entry: all state that its controllers read
- * and write. The controllers (members, ownership, admission, dispatch,
- * limits, edits, drain) share no other state.
+ * and write. The controllers (membership, ownership, admission, dispatch,
+ * group limits, table edits, job timeouts, drain) share no other state.
  *
  * Ownership: the blackboard owns all tables in it. Peers live as long as the
  * blackboard; jobs live until the ledger removes them.
@@ -97,10 +97,11 @@
     Job_Waiter waiter; /**< for SUBMIT */
 } Call;
 
-/** A settlement of the key ranges that this entry completed. */
+/** A settle of an epoch that this entry completed. */
 typedef struct {
     uint64_t epoch;
-    int64_t unsure_before_ms; /**< jobs of older keys may have run unseen */
+    /** Wall clock; jobs of keys created before may have run unseen. */
+    int64_t unsure_before_ms;
 } Completed_Settle;
 
 /** Progress of settling the key ranges of the current epoch. */
@@ -115,7 +116,7 @@
     GPtrArray *found;       /**< copies of lc_started from inventories */
 } Settle;
 
-/** Progress of one peer in a settlement. */
+/** Progress of one peer in a settle. */
 typedef struct {
     Address address;
     uint64_t call; /**< pending call, or 0 */
@@ -191,7 +192,7 @@
                            void *context);
 void Blackboard_Free(Blackboard *board);
 
-/** View and table folded from the log. Borrowed. */
+/** View and group table, as applied from the log. Borrowed. */
 const View *Blackboard_View(const Blackboard *board);
 const GroupTable *Blackboard_GroupTable(const Blackboard *board);
 
@@ -227,8 +228,8 @@
                            int64_t added_wall_ms);
 
 /**
- * A job that a peer reported did not fit into the ledger: for keys minted up
- * to now it is unknown whether their jobs have run.
+ * A job that a peer reported did not fit into the ledger: for keys created
+ * up to now it is unknown whether their jobs have run.
  */
 void Blackboard_RecordLedgerFull(Blackboard *board);
 
--- a/core/companion.c
+++ b/core/companion.c
@@ -632,8 +632,8 @@
 }
 
 /*
- * Once an entry has left the view and been silent for the dedupe window, no
- * call of it can still be in flight.
+ * Once an entry has left the view and been silent for the deduplication
+ * window, no call of it can still be in flight.
  */
 static void
 expire_sequences(Companion *companion)
--- a/core/companion.h
+++ b/core/companion.h
@@ -21,7 +21,7 @@
     uint32_t slots;
     int64_t grant_ms;  /**< time after which an unused grant expires */
     int64_t down_ms;   /**< no starts after a refused connection */
-    int64_t window_ms; /**< dedupe window */
+    int64_t window_ms; /**< deduplication window */
     int64_t skew_ms;   /**< bound on wall clock skew between hosts */
     uint32_t max_records;
     size_t max_result_bytes;
@@ -32,8 +32,7 @@
     COMPANION_RUN_DONE,
     COMPANION_RUN_FAILED,
     COMPANION_RUN_TIMEOUT,
-    COMPANION_RUN_UNREACHED /**< the task certainly never reached the upstream
-                             */
+    COMPANION_RUN_UNREACHED /**< certainly never reached the upstream */
 } Companion_RunResult;
 
 typedef struct Companion Companion;
--- a/core/entry.c
+++ b/core/entry.c
@@ -57,7 +57,7 @@
 Entry_MintKey(Entry *entry, Node_Time now)
 {
     entry->board->now = now;
-    return Admission_MintKey(entry->board);
+    return Admission_CreateKey(entry->board);
 }
 
 void
--- a/core/inventory.c
+++ b/core/inventory.c
@@ -46,7 +46,7 @@
 }
 
 static bool
-is_inherited(const inventory_search *search, const TaskRecord *record)
+should_report(const inventory_search *search, const TaskRecord *record)
 {
     const View *view = search->view;
     lc_node owner = View_Owner(view, &record->key);
@@ -67,7 +67,7 @@
         return false;
     }
     search->last = record->number;
-    if (!is_inherited(search, record)) {
+    if (!should_report(search, record)) {
         return true;
     }
     memset(&started, 0, sizeof(started));
--- a/core/placement.h
+++ b/core/placement.h
@@ -9,7 +9,7 @@
 
 #include "core/blackboard.h"
 
-/** Companion for the next task; NULL if no companion has room. */
+/** Companion for the next task; NULL if the task must wait. */
 Peer *Placement_Choose(Blackboard *board);
 
 /** Estimated free slots of all companions that may be sent tasks. */
@@ -23,7 +23,8 @@
 
 /**
  * A companion was full, or granted a slot: it has our demand and will send a
- * grant when a slot is free, so no start is sent to it until then.
+ * grant when a slot is free. Until it reports one, but for 2 s at most, only
+ * starts on its grants are sent to it.
  */
 void Placement_MarkQueued(const Blackboard *board, Peer *peer);
 
--- a/core/task_records.h
+++ b/core/task_records.h
@@ -4,8 +4,8 @@
  * repeated START idempotent, and new owners of keys recover jobs from them.
  *
  * A record is created before the task is passed to the upstream and kept for
- * the dedupe window after the task's end. When memory is short, results are
- * evicted, oldest first; the records stay.
+ * the deduplication window after the task's end. When memory is short, results
+ * are evicted, oldest first; the records stay.
  *
  * Memory: the table owns its records; a TaskRecord is valid until it is
  * removed or expires.
