--- a/base/counter.h
+++ b/base/counter.h
@@ -1,6 +1,6 @@
 /**
  * @file counter.h
- * @brief Event counters of one process, with their names for `GET /metrics`.
+ * @brief Event counters of one node, with their names for `GET /metrics`.
  */
 #ifndef LC_BASE_COUNTER_H
 #define LC_BASE_COUNTER_H
@@ -61,7 +61,7 @@
         COUNTER_COUNT
 } Counter_Id;
 
-/** Values of all counters of one process. */
+/** Values of all counters of one node. */
 typedef struct {
     uint64_t value[COUNTER_COUNT];
 } Counters;
--- a/core/companion.c
+++ b/core/companion.c
@@ -10,7 +10,8 @@
 
 #define RELAY_RECORDS 256
 
-/* Highest sequence number received from an entry: older calls are stale. */
+/* Highest sequence number received from an entry; a START that is not above
+ * it is refused as stale. */
 typedef struct {
     lc_node entry;
     uint64_t sequence;
--- a/core/drain.c
+++ b/core/drain.c
@@ -2,7 +2,8 @@
 
 #include "core/membership.h"
 
-/* How long a shutdown waits for an unreachable log after the last job. */
+/* With the log unreachable, a shutdown whose jobs have ended is not done until
+ * this time after its start. */
 #define LOG_DOWN_TIMEOUT_MS 5000
 #define RETRY_MS 500
 
--- a/core/node.h
+++ b/core/node.h
@@ -27,7 +27,7 @@
 
 /** The time of an input. */
 typedef struct {
-    int64_t mono_ms; /**< of Clock_NowMs, suspended time included */
+    int64_t mono_ms; /**< monotonic, with suspended time, see Clock_NowMs */
     int64_t wall_ms; /**< Unix epoch, within the skew margin of others */
 } Node_Time;
 
