--- a/core/companion.c
+++ b/core/companion.c
@@ -10,7 +10,8 @@
 
 #define RELAY_RECORDS 256
 
-/* Highest sequence number received from an entry: older calls are stale. */
+/* Highest sequence number received from an entry; a START that is not above
+ * it is refused as stale. */
 typedef struct {
     lc_node entry;
     uint64_t sequence;
@@ -632,8 +633,8 @@
 }
 
 /*
- * Once an entry has left the view and been silent for the dedupe window, no
- * call of it can still be in flight.
+ * Once an entry has left the view and been silent for the deduplication
+ * window, no call of it can still be in flight.
  */
 static void
 expire_sequences(Companion *companion)
