--- a/cli/commands.c
+++ b/cli/commands.c
@@ -253,7 +253,7 @@
         code = Err_ExitCode(ERR_IO);
         goto done;
     }
-    rows = Csv_Read(text, &errors);
+    rows = TableCsv_Read(text, &errors);
     if (rows == NULL) {
         fprintf(stderr, "%s: nothing was changed:\n%s", arguments[0], errors);
         code = Err_ExitCode(ERR_BAD_REQUEST);
--- a/cli/http_exchange.c
+++ b/cli/http_exchange.c
@@ -16,7 +16,7 @@
 } exchange_result;
 
 static void
-on_done(void *context, const Http_ClientAnswer *answer)
+on_done(void *context, const HttpClient_Answer *answer)
 {
     exchange_result *result = context;
 
@@ -40,7 +40,7 @@
     };
     static Http_Client *client;
     uv_loop_t *loop = uv_default_loop();
-    Http_ClientRequest sent = {.to = request->to,
+    HttpClient_Request sent = {.to = request->to,
                                .method = request->method,
                                .path = request->path,
                                .headers = request->headers,
@@ -50,10 +50,10 @@
     exchange_result result = {answer, HTTP_CLIENT_DISCONNECTED};
 
     if (client == NULL) {
-        client = Http_NewClient(loop);
+        client = HttpClient_New(loop);
     }
     memset(answer, 0, sizeof(*answer));
-    Http_Send(client, &sent, on_done, &result);
+    HttpClient_Send(client, &sent, on_done, &result);
     while (HttpClient_PendingCount(client) > 0) {
         uv_run(loop, UV_RUN_ONCE);
     }
--- a/cli/table_csv.c
+++ b/cli/table_csv.c
@@ -135,7 +135,7 @@
 }
 
 GArray *
-Csv_Read(const char *text, char **errors)
+TableCsv_Read(const char *text, char **errors)
 {
     char **lines = g_strsplit(text, "\n", 0);
     GArray *rows = g_array_new(FALSE, FALSE, sizeof(GroupTable_Row));
--- a/cli/table_csv.h
+++ b/cli/table_csv.h
@@ -19,6 +19,6 @@
  * a text (free with g_free) with one line for each invalid line, or an empty
  * one.
  */
-GArray *Csv_Read(const char *text, char **errors);
+GArray *TableCsv_Read(const char *text, char **errors);
 
 #endif
--- a/core/blackboard.c
+++ b/core/blackboard.c
@@ -119,7 +119,7 @@
 const GroupTable *
 Blackboard_GroupTable(const Blackboard *board)
 {
-    return Replica_Table(board->replica);
+    return Replica_GroupTable(board->replica);
 }
 
 Peer *
--- a/core/companion.c
+++ b/core/companion.c
@@ -302,13 +302,14 @@
     TaskRecord *record;
 
     if (!SlotArbiter_Acquire(companion->arbiter, &args->owner, args->grant,
-                             args->group, Replica_Table(companion->replica))) {
+                             args->group,
+                             Replica_GroupTable(companion->replica))) {
         return LC_START_BUSY;
     }
     record = TaskRecords_Add(companion->records, key, args->index);
     if (record == NULL) {
         SlotArbiter_CancelStart(companion->arbiter, args->group,
-                                Replica_Table(companion->replica));
+                                Replica_GroupTable(companion->replica));
         return LC_START_DOWN;
     }
     record->total = args->total;
@@ -590,7 +591,7 @@
     companion->down_until_ms = companion->now.mono_ms +
                                companion->config.down_ms;
     SlotArbiter_CancelStart(companion->arbiter, record->group,
-                            Replica_Table(companion->replica));
+                            Replica_GroupTable(companion->replica));
     TaskRecords_Remove(companion->records, record);
     for (i = 0; i < waiters->len; i++) {
         answer_start(companion, g_array_index(waiters, uint64_t, i),
@@ -624,7 +625,7 @@
                 1);
     SlotArbiter_Release(companion->arbiter, record->group,
                         now.mono_ms - record->started_ms,
-                        Replica_Table(companion->replica));
+                        Replica_GroupTable(companion->replica));
     TaskRecords_End(companion->records, record,
                     result == COMPANION_RUN_DONE ? LC_TASK_DONE
                                                  : LC_TASK_FAILED,
@@ -683,9 +684,9 @@
 }
 
 const GroupTable *
-Companion_Table(const Companion *companion)
+Companion_GroupTable(const Companion *companion)
 {
-    return Replica_Table(companion->replica);
+    return Replica_GroupTable(companion->replica);
 }
 
 Counters *
@@ -714,5 +715,5 @@
         (json_int_t)TaskRecords_Bytes(companion->records), "next_offset",
         (json_int_t)Replica_NextOffset(companion->replica), "view",
         View_ToJson(get_view(companion)), "table",
-        GroupTable_ToJson(Replica_Table(companion->replica)));
+        GroupTable_ToJson(Replica_GroupTable(companion->replica)));
 }
--- a/core/companion.h
+++ b/core/companion.h
@@ -67,7 +67,7 @@
 /** Whether no task runs any more after Companion_Drain. */
 bool Companion_IsDrained(const Companion *companion);
 
-const GroupTable *Companion_Table(const Companion *companion);
+const GroupTable *Companion_GroupTable(const Companion *companion);
 Counters *Companion_Counters(Companion *companion);
 
 /** State dump for operators. Caller owns the result. */
--- a/core/entry.c
+++ b/core/entry.c
@@ -54,7 +54,7 @@
 }
 
 Key
-Entry_MintKey(Entry *entry, Node_Time now)
+Entry_CreateKey(Entry *entry, Node_Time now)
 {
     entry->board->now = now;
     return Admission_CreateKey(entry->board);
@@ -285,7 +285,7 @@
 }
 
 const GroupTable *
-Entry_Table(const Entry *entry)
+Entry_GroupTable(const Entry *entry)
 {
     return Blackboard_GroupTable(entry->board);
 }
--- a/core/entry.h
+++ b/core/entry.h
@@ -25,7 +25,7 @@
                   const Admission_Spec *spec);
 
 /** Creates a key for a caller that sent none. */
-Key Entry_MintKey(Entry *entry, Node_Time now);
+Key Entry_CreateKey(Entry *entry, Node_Time now);
 
 /**
  * Edits a row of the table; its result is reported once by the port
@@ -95,7 +95,7 @@
 /** Whether this entry has settled the current epoch, see ownership.h. */
 bool Entry_IsSettled(const Entry *entry);
 
-const GroupTable *Entry_Table(const Entry *entry);
+const GroupTable *Entry_GroupTable(const Entry *entry);
 const View *Entry_View(const Entry *entry);
 Counters *Entry_Counters(Entry *entry);
 
--- a/core/replica.c
+++ b/core/replica.c
@@ -82,7 +82,7 @@
 }
 
 const GroupTable *
-Replica_Table(const Replica *replica)
+Replica_GroupTable(const Replica *replica)
 {
     return replica->table;
 }
--- a/core/replica.h
+++ b/core/replica.h
@@ -51,7 +51,7 @@
 bool Replica_IsSynced(const Replica *replica);
 
 const View *Replica_View(const Replica *replica);
-const GroupTable *Replica_Table(const Replica *replica);
+const GroupTable *Replica_GroupTable(const Replica *replica);
 
 /** Next offset (0 while not synced) and epoch, as sent to peers. */
 lc_position Replica_Position(const Replica *replica);
--- a/daemon/http_server.c
+++ b/daemon/http_server.c
@@ -39,7 +39,7 @@
     h2o_globalconf_t config;
     h2o_context_t context;
     h2o_accept_ctx_t accept;
-    const Http_Route *routes;
+    const HttpServer_Route *routes;
     void *handler_context;
     Handle_Table *open;
     void (*on_disconnect)(void *context, uint64_t id);
@@ -88,7 +88,7 @@
 {
     Http_Server *server = server_of_socket(socket);
     open_request *open = g_hash_table_lookup(server->watched, socket);
-    Http_Response empty = {.status = STATUS_CLIENT_CLOSED, .body = ""};
+    HttpServer_Response empty = {.status = STATUS_CLIENT_CLOSED, .body = ""};
     uint64_t id;
 
     if (open == NULL) {
@@ -98,7 +98,7 @@
     stop_watching(open);
     if (error != NULL) {
         server->on_disconnect(server->handler_context, id);
-        Http_Respond(server, id, &empty);
+        HttpServer_Respond(server, id, &empty);
     }
 }
 
@@ -137,10 +137,10 @@
     return pool_copy(request, header->value.base, header->value.len);
 }
 
-static const Http_Route *
+static const HttpServer_Route *
 find_route(const Http_Server *server, const char *path, const char **rest)
 {
-    const Http_Route *route;
+    const HttpServer_Route *route;
 
     for (route = server->routes; route->path != NULL; route++) {
         size_t length = strlen(route->path);
@@ -155,7 +155,7 @@
 }
 
 static void
-fill_request(h2o_req_t *request, Http_Request *out)
+fill_request(h2o_req_t *request, HttpServer_Request *out)
 {
     size_t path_length = request->query_at == SIZE_MAX ? request->path.len
                                                        : request->query_at;
@@ -186,8 +186,8 @@
     Http_Server *server = ((route_handler *)self)->server;
     open_request *open = h2o_mem_alloc_shared(&request->pool, sizeof(*open),
                                               on_request_disposed);
-    const Http_Route *route;
-    Http_Request in;
+    const HttpServer_Route *route;
+    HttpServer_Request in;
 
     memset(&in, 0, sizeof(in));
     open->server = server;
@@ -257,8 +257,8 @@
 }
 
 Http_Server *
-Http_NewServer(uv_loop_t *loop, Address address, const Http_Route *routes,
-               void *context, Status *status)
+HttpServer_New(uv_loop_t *loop, Address address,
+               const HttpServer_Route *routes, void *context, Status *status)
 {
     Http_Server *server = g_new0(Http_Server, 1);
     h2o_hostconf_t *host;
@@ -305,7 +305,8 @@
 }
 
 void
-Http_Respond(Http_Server *server, uint64_t id, const Http_Response *response)
+HttpServer_Respond(Http_Server *server, uint64_t id,
+                   const HttpServer_Response *response)
 {
     open_request *open = Handle_Remove(server->open, id);
     h2o_req_t *request;
@@ -346,12 +347,12 @@
 HttpServer_RespondJson(Http_Server *server, uint64_t id, int status,
                        uint32_t retry_ms, const char *text)
 {
-    Http_Response response = {.status = status,
-                              .retry_ms = retry_ms,
-                              .body = text,
-                              .length = strlen(text)};
+    HttpServer_Response response = {.status = status,
+                                    .retry_ms = retry_ms,
+                                    .body = text,
+                                    .length = strlen(text)};
 
-    Http_Respond(server, id, &response);
+    HttpServer_Respond(server, id, &response);
 }
 
 void
@@ -376,7 +377,7 @@
 }
 
 const char *
-Http_Header(const Http_Server *server, uint64_t id, const char *name)
+HttpServer_Header(const Http_Server *server, uint64_t id, const char *name)
 {
     const open_request *open = Handle_Get(server->open, id);
 
--- a/daemon/http_server.h
+++ b/daemon/http_server.h
@@ -34,9 +34,9 @@
                                 two are */
     const char *levercove_index;
     const char *levercove_group;
-} Http_Request;
+} HttpServer_Request;
 
-/** A response; Http_Respond copies what it needs. */
+/** A response; HttpServer_Respond copies what it needs. */
 typedef struct {
     int status;
     const char *type;  /**< media type; NULL for JSON */
@@ -45,16 +45,17 @@
                             up; 0 for none */
     const char *body;
     size_t length;
-} Http_Response;
+} HttpServer_Response;
 
-/** Responds at once or later, with Http_Respond(request->id). */
-typedef void (*HttpServer_Handler)(void *context, const Http_Request *request);
+/** Responds at once or later, with HttpServer_Respond(request->id). */
+typedef void (*HttpServer_Handler)(void *context,
+                                   const HttpServer_Request *request);
 
 /** One route: an exact path, or a prefix if it ends in "/". */
 typedef struct {
     const char *path;
     HttpServer_Handler handler;
-} Http_Route;
+} HttpServer_Route;
 
 /** An HTTP server. */
 typedef struct Http_Server Http_Server;
@@ -62,14 +63,14 @@
 /** Listens on @p address and serves @p routes, which end with an entry whose
  * path is NULL; @p context is passed to the handlers. Returns NULL on error.
  * Errors: IO. */
-Http_Server *Http_NewServer(uv_loop_t *loop, Address address,
-                            const Http_Route *routes, void *context,
+Http_Server *HttpServer_New(uv_loop_t *loop, Address address,
+                            const HttpServer_Route *routes, void *context,
                             Status *status);
 
 /** Value of a header (lower-case name) of a request that has not been
  * answered, or NULL. Valid until the response is sent. */
-const char *Http_Header(const Http_Server *server, uint64_t id,
-                        const char *name);
+const char *HttpServer_Header(const Http_Server *server, uint64_t id,
+                              const char *name);
 
 /** Calls @p on_disconnect for each request whose client disconnects before the
  * response; such a request needs no response. */
@@ -82,15 +83,15 @@
 void HttpServer_CloseAfterResponses(Http_Server *server);
 
 /** Responds to a request; does nothing if its client has disconnected. */
-void Http_Respond(Http_Server *server, uint64_t id,
-                  const Http_Response *response);
+void HttpServer_Respond(Http_Server *server, uint64_t id,
+                        const HttpServer_Response *response);
 
-/** Responds with a JSON text; @p retry_ms as in Http_Response. */
+/** Responds with a JSON text; @p retry_ms as in HttpServer_Response. */
 void HttpServer_RespondJson(Http_Server *server, uint64_t id, int status,
                             uint32_t retry_ms, const char *text);
 
 /** Responds with an error as JSON, with the status and texts of @p kind;
- * @p retry_ms as in Http_Response. */
+ * @p retry_ms as in HttpServer_Response. */
 void HttpServer_RespondError(Http_Server *server, uint64_t id, Err_Kind kind,
                              const char *message, uint32_t retry_ms);
 
--- a/daemon/leased_companion.c
+++ b/daemon/leased_companion.c
@@ -122,7 +122,7 @@
            uint32_t timeout_ms, HttpClient_Done done)
 {
     request_context *context = g_new0(request_context, 1);
-    Http_ClientRequest request = {.to = self->process.options->upstream,
+    HttpClient_Request request = {.to = self->process.options->upstream,
                                   .method = "POST",
                                   .path = order->path,
                                   .headers = order->headers,
@@ -132,12 +132,12 @@
 
     context->owner = self;
     context->id = id;
-    Http_Send(self->http, &request, done, context);
+    HttpClient_Send(self->http, &request, done, context);
     UpstreamApi_ClearOrder(order);
 }
 
 static void
-on_start_answer(void *item, const Http_ClientAnswer *answer)
+on_start_answer(void *item, const HttpClient_Answer *answer)
 {
     request_context *context = item;
     leased_companion *self = context->owner;
@@ -150,7 +150,7 @@
 }
 
 static void
-on_stop_answer(void *item, const Http_ClientAnswer *answer)
+on_stop_answer(void *item, const HttpClient_Answer *answer)
 {
     request_context *context = item;
     leased_companion *self = context->owner;
@@ -163,7 +163,7 @@
 }
 
 static void
-on_poll_answer(void *item, const Http_ClientAnswer *answer)
+on_poll_answer(void *item, const HttpClient_Answer *answer)
 {
     request_context *context = item;
     leased_companion *self = context->owner;
@@ -403,7 +403,7 @@
 static void
 confirm_closures(leased_companion *self, int64_t now)
 {
-    const Hall_Closures *closures = Runner_Closures(self->runner);
+    const HallClosures *closures = Runner_Closures(self->runner);
     int64_t age = HallClosures_AgeMs(closures, now);
     lc_closures known;
 
@@ -423,7 +423,7 @@
 /* ---- requests of the upstream ---- */
 
 static void
-handle_heartbeat(leased_companion *self, const Http_Request *request,
+handle_heartbeat(leased_companion *self, const HttpServer_Request *request,
                  const char *instance)
 {
     UpstreamApi_Heartbeat beat;
@@ -445,7 +445,7 @@
 }
 
 static void
-serve_heartbeats(void *context, const Http_Request *request)
+serve_heartbeats(void *context, const HttpServer_Request *request)
 {
     leased_companion *self = context;
     char *instance;
@@ -470,7 +470,7 @@
     g_free(instance);
 }
 
-static const Http_Route heartbeat_routes[] = {
+static const HttpServer_Route heartbeat_routes[] = {
     {"/", serve_heartbeats},
     {NULL, NULL},
 };
@@ -585,7 +585,7 @@
                             .beat_ms = options->beat_ms,
                             .late_ms = options->late_ms};
 
-    if (!LeaseTiming_Derive(&bounds, &config.term)) {
+    if (!LeaseTiming_Derive(&bounds, &config.timing)) {
         return NULL;
     }
     Clock_InitTracker(&self->suspension, reading);
@@ -600,7 +600,7 @@
     Status status = {ERR_OK, ""};
     int code = Err_ExitCode(ERR_IO);
 
-    self->http = Http_NewClient(loop);
+    self->http = HttpClient_New(loop);
     /* A request without an answer is sent again over another connection long
      * before its own times out, and upstreams leave requests unanswered on
      * connections that work: one timeout is no reason to close the idle
@@ -621,7 +621,7 @@
     uv_timer_init(loop, &self->overdue_timer);
     self->overdue_timer.data = self;
     self->overdue_check_ms = INT64_MAX;
-    self->heartbeats = Http_NewServer(loop, options->beats, heartbeat_routes,
+    self->heartbeats = HttpServer_New(loop, options->beats, heartbeat_routes,
                                       self, &status);
     if (self->heartbeats == NULL ||
         Process_Open(&self->process, loop, options, &leased_companion_role,
@@ -634,7 +634,7 @@
                       &self->peers);
     if (options->store != 0) {
         self->halls_follower = StoreFollower_OpenHalls(
-            loop, Http_NewClient(loop), options->store, &halls_ports, self);
+            loop, HttpClient_New(loop), options->store, &halls_ports, self);
     }
     self->registry.on_entries = on_entries_read;
     self->registry.context = self;
--- a/daemon/leased_durable.c
+++ b/daemon/leased_durable.c
@@ -188,7 +188,7 @@
 
 void
 LeasedDurable_Submit(Leased_Entry *self, int64_t now,
-                     const Http_Request *request,
+                     const HttpServer_Request *request,
                      const Dispatcher_Submit *submit)
 {
     DurableJobs_Submit durable = {.request_id = request->id,
--- a/daemon/leased_entry.c
+++ b/daemon/leased_entry.c
@@ -139,7 +139,7 @@
     .reply = Process_PortReply,
 };
 
-static const Http_Route caller_routes[] = {
+static const HttpServer_Route caller_routes[] = {
     {"/", LeasedJobsApi_Serve},
     {NULL, NULL},
 };
@@ -161,7 +161,7 @@
 }
 
 static void
-serve_ready(void *context, const Http_Request *request)
+serve_ready(void *context, const HttpServer_Request *request)
 {
     Leased_Entry *self = context;
 
@@ -178,7 +178,7 @@
     }
 }
 
-static const Http_Route ready_routes[] = {
+static const HttpServer_Route ready_routes[] = {
     {"/", serve_ready},
     {NULL, NULL},
 };
@@ -441,7 +441,7 @@
                                 .max_jobs = (uint32_t)options->max_jobs};
 
     g_strlcpy(config.hall, options->hall, sizeof(config.hall));
-    if (!LeaseTiming_Derive(&bounds, &config.term)) {
+    if (!LeaseTiming_Derive(&bounds, &config.timing)) {
         return NULL;
     }
     self->last_input_ms = Process_Now().mono_ms;
@@ -453,13 +453,13 @@
 open_servers(Leased_Entry *self, uv_loop_t *loop, const Options *options,
              Status *status)
 {
-    self->callers = Http_NewServer(loop, options->callers, caller_routes, self,
+    self->callers = HttpServer_New(loop, options->callers, caller_routes, self,
                                    status);
     if (self->callers == NULL) {
         return status->kind;
     }
     HttpServer_SetDisconnectHandler(self->callers, LeasedJobsApi_OnCallerGone);
-    self->ready = Http_NewServer(loop, options->ready, ready_routes, self,
+    self->ready = HttpServer_New(loop, options->ready, ready_routes, self,
                                  status);
     if (self->ready == NULL) {
         return status->kind;
@@ -496,7 +496,7 @@
         code = Err_ExitCode(ERR_BAD_SETTINGS);
         goto done;
     }
-    self->http = Http_NewClient(loop);
+    self->http = HttpClient_New(loop);
     HttpClient_SetCounters(self->http, role_counters(&self->process));
     HttpClient_KeepAlive(self->http, options->store, STORE_CONNECTIONS, true);
     LeasedDurable_Open(self, options);
--- a/daemon/leased_entry_state.h
+++ b/daemon/leased_entry_state.h
@@ -44,7 +44,7 @@
     Route_Table *routes;
     Store_Follower *follower; /* of the operators' records in the store */
     uint64_t random;
-    Routes_Fetch fetch;            /* of newer routes from other entries */
+    RoutesFetch fetch;             /* of newer routes from other entries */
     uint64_t routes_fetch_call_id; /* call without a reply yet, or 0 */
     Http_Client *http;
     Http_Server *callers;
@@ -82,7 +82,7 @@
 /* Requests of callers: daemon/leased_jobs_api.c. */
 
 /** Serves a caller's HTTP request. @p context is the Leased_Entry. */
-void LeasedJobsApi_Serve(void *context, const Http_Request *request);
+void LeasedJobsApi_Serve(void *context, const HttpServer_Request *request);
 
 /** A caller has disconnected before its answer. @p context is the
  * Leased_Entry. */
@@ -114,7 +114,7 @@
 /** Submits a job that must be durable; rejects a body that does not fit one
  * record of the store. */
 void LeasedDurable_Submit(Leased_Entry *self, int64_t now,
-                          const Http_Request *request,
+                          const HttpServer_Request *request,
                           const Dispatcher_Submit *submit);
 
 /* Routes, from the store or other entries: daemon/leased_routes.c. */
@@ -142,7 +142,7 @@
 
 /** Sends a request to the store; while the store does not answer this entry,
  * relays it through another entry. @p context is the Leased_Entry. */
-void LeasedStore_Send(void *context, const Http_ClientRequest *request,
+void LeasedStore_Send(void *context, const HttpClient_Request *request,
                       HttpClient_Done done, void *done_context);
 
 /** Another entry cannot reach the store: sends its request there. */
--- a/daemon/leased_gossip.c
+++ b/daemon/leased_gossip.c
@@ -52,7 +52,7 @@
 record_sent(const Leased_Entry *self, int64_t now, Peers_Row *peer,
             const GArray *counts)
 {
-    peer->told_ms = now;
+    peer->last_sent_ms = now;
     peer->last_sent_waiting = counts->len > 0;
     peer->last_sent_routes_version = LeasedRoutes_Version(self);
 }
@@ -143,7 +143,7 @@
         int64_t interval = gossip_interval_ms(self, now, peer, urgent);
         int64_t timeout = Peers_CallTimeoutMs(peer, now);
         int64_t since = now - peer->asked_ms;
-        int64_t since_sent = now - MAX(peer->told_ms, peer->asked_ms);
+        int64_t since_sent = now - MAX(peer->last_sent_ms, peer->asked_ms);
         if (peer->call_id == 0 && since_sent >= interval) {
             send_gossip(self, now, peer);
         }
--- a/daemon/leased_jobs_api.c
+++ b/daemon/leased_jobs_api.c
@@ -45,7 +45,7 @@
 }
 
 static void
-serve_count(Leased_Entry *self, const Http_Request *request,
+serve_count(Leased_Entry *self, const HttpServer_Request *request,
             const Route *route)
 {
     char *body = CallerApi_CountBody(count_waiting(self, route->name));
@@ -55,7 +55,7 @@
 }
 
 static void
-serve_state(Leased_Entry *self, int64_t now, const Http_Request *request,
+serve_state(Leased_Entry *self, int64_t now, const HttpServer_Request *request,
             const Route *route, uint64_t job)
 {
     bool started = false;
@@ -89,8 +89,9 @@
 }
 
 static void
-serve_cancel(Leased_Entry *self, int64_t now, const Http_Request *request,
-             const Route *route, uint64_t job)
+serve_cancel(Leased_Entry *self, int64_t now,
+             const HttpServer_Request *request, const Route *route,
+             uint64_t job)
 {
     Msg_Call call = {.kind = MSG_WITHDRAW};
     pending_cancel *pending;
@@ -140,7 +141,7 @@
 
 static void
 serve_submit(Leased_Entry *self, int64_t now, const CallerApi_RawRequest *raw,
-             const Http_Request *request, const Route *route,
+             const HttpServer_Request *request, const Route *route,
              const CallerApi_Request *parsed)
 {
     Dispatcher_Submit submit = {.request_id = request->id,
@@ -179,14 +180,14 @@
 }
 
 static void
-serve_route(Leased_Entry *self, int64_t now, const Http_Request *request,
+serve_route(Leased_Entry *self, int64_t now, const HttpServer_Request *request,
             const Route *route)
 {
     CallerApi_RawRequest raw = {
         .method = request->method,
         .path = request->path,
-        .deadline = Http_Header(self->callers, request->id,
-                                caller_api_deadline_header),
+        .deadline = HttpServer_Header(self->callers, request->id,
+                                      caller_api_deadline_header),
         .body = request->body,
         .length = request->length,
     };
@@ -216,7 +217,7 @@
 
 static void
 reject_unknown_queue(Leased_Entry *self, int64_t now,
-                     const Http_Request *request)
+                     const HttpServer_Request *request)
 {
     Counter_Add(Dispatcher_Counters(self->dispatcher),
                 COUNTER_REQUESTS_NO_ROUTE, 1);
@@ -230,7 +231,7 @@
 }
 
 void
-LeasedJobsApi_Serve(void *context, const Http_Request *request)
+LeasedJobsApi_Serve(void *context, const HttpServer_Request *request)
 {
     Leased_Entry *self = context;
     int64_t now = LeasedEntry_OnInput(self);
--- a/daemon/leased_store.c
+++ b/daemon/leased_store.c
@@ -37,7 +37,7 @@
 } store_request;
 
 static bool
-is_unavailable(const Http_ClientAnswer *answer)
+is_unavailable(const HttpClient_Answer *answer)
 {
     return answer->end != HTTP_CLIENT_ANSWERED ||
            answer->status == STATUS_UNAVAILABLE ||
@@ -60,7 +60,7 @@
 }
 
 static void
-on_direct(void *context, const Http_ClientAnswer *answer)
+on_direct(void *context, const HttpClient_Answer *answer)
 {
     store_request *call = context;
     Leased_Entry *self = call->self;
@@ -73,22 +73,22 @@
 }
 
 static void
-send_direct(Leased_Entry *self, const Http_ClientRequest *request,
+send_direct(Leased_Entry *self, const HttpClient_Request *request,
             HttpClient_Done done, void *done_context)
 {
     store_request *call = g_new0(store_request, 1);
-    Http_ClientRequest direct = *request;
+    HttpClient_Request direct = *request;
 
     call->self = self;
     call->done = done;
     call->done_context = done_context;
     direct.to = self->process.options->store;
-    Http_Send(self->http, &direct, on_direct, call);
+    HttpClient_Send(self->http, &direct, on_direct, call);
 }
 
 static void
 send_through_peer(Leased_Entry *self, Address peer,
-                  const Http_ClientRequest *request, HttpClient_Done done,
+                  const HttpClient_Request *request, HttpClient_Done done,
                   void *done_context)
 {
     uint64_t call_id = ++self->last_call_id | LEASED_ENTRY_CALL_FLAG;
@@ -112,7 +112,7 @@
 }
 
 void
-LeasedStore_Send(void *context, const Http_ClientRequest *request,
+LeasedStore_Send(void *context, const HttpClient_Request *request,
                  HttpClient_Done done, void *done_context)
 {
     Leased_Entry *self = context;
@@ -131,7 +131,7 @@
                     const Msg_Reply *reply)
 {
     relayed_call *pending = g_hash_table_lookup(self->relayed_calls, &call_id);
-    Http_ClientAnswer answer = {.end = HTTP_CLIENT_DISCONNECTED};
+    HttpClient_Answer answer = {.end = HTTP_CLIENT_DISCONNECTED};
     relayed_call relay;
 
     if (pending == NULL) {
@@ -150,7 +150,7 @@
 }
 
 static void
-on_probe(void *context, const Http_ClientAnswer *answer)
+on_probe(void *context, const HttpClient_Answer *answer)
 {
     Leased_Entry *self = context;
 
@@ -163,7 +163,7 @@
 static void
 probe(Leased_Entry *self, int64_t now)
 {
-    Http_ClientRequest request = {.to = self->process.options->store,
+    HttpClient_Request request = {.to = self->process.options->store,
                                   .method = "GET",
                                   .path = store_probe_path,
                                   .timeout_ms = PROBE_TIMEOUT_MS};
@@ -171,7 +171,7 @@
     if (self->store_unreachable &&
         now - self->last_probe_ms >= self->probe_interval_ms) {
         self->last_probe_ms = now;
-        Http_Send(self->http, &request, on_probe, self);
+        HttpClient_Send(self->http, &request, on_probe, self);
     }
 }
 
@@ -198,7 +198,7 @@
 }
 
 static void
-on_relayed(void *context, const Http_ClientAnswer *answer)
+on_relayed(void *context, const HttpClient_Answer *answer)
 {
     store_request *call = context;
     Msg_Reply reply = {.kind = MSG_STORE};
@@ -219,7 +219,7 @@
                    const lc_store_args *args)
 {
     store_request *call = g_new0(store_request, 1);
-    Http_ClientRequest request = {.to = self->process.options->store,
+    HttpClient_Request request = {.to = self->process.options->store,
                                   .method = args->method,
                                   .path = args->path,
                                   .body = args->body.body_val,
@@ -229,5 +229,5 @@
 
     call->self = self;
     call->reply_id = reply_id;
-    Http_Send(self->http, &request, on_relayed, call);
+    HttpClient_Send(self->http, &request, on_relayed, call);
 }
--- a/daemon/owned_companion.c
+++ b/daemon/owned_companion.c
@@ -22,7 +22,7 @@
 } pending_run;
 
 static Companion_RunResult
-run_result(const Http_ClientAnswer *answer)
+run_result(const HttpClient_Answer *answer)
 {
     switch (answer->end) {
     case HTTP_CLIENT_UNSENT:
@@ -41,7 +41,7 @@
 }
 
 static void
-on_run(void *context, const Http_ClientAnswer *answer)
+on_run(void *context, const HttpClient_Answer *answer)
 {
     pending_run *run = context;
     Companion_RunResult result = run_result(answer);
@@ -59,7 +59,7 @@
 {
     owned_companion *self = context;
     pending_run *run = g_new(pending_run, 1);
-    Http_ClientRequest request = {.to = self->process.options->upstream,
+    HttpClient_Request request = {.to = self->process.options->upstream,
                                   .method = "POST",
                                   .path = "/run",
                                   .body = task->payload,
@@ -76,7 +76,7 @@
     request.headers = headers;
     run->self = self;
     run->run_id = run_id;
-    Http_Send(self->http, &request, on_run, run);
+    HttpClient_Send(self->http, &request, on_run, run);
 }
 
 static const Node_Ports companion_ports = {
@@ -161,7 +161,7 @@
     Status status = {ERR_OK, ""};
     int code = Err_ExitCode(ERR_IO);
 
-    self->http = Http_NewClient(loop);
+    self->http = HttpClient_New(loop);
     self->companion = new_companion(self, options);
     if (Process_Open(&self->process, loop, options, &companion_role,
                      &status) != ERR_OK) {
--- a/daemon/owned_entry.c
+++ b/daemon/owned_entry.c
@@ -267,7 +267,7 @@
 };
 
 static void
-serve_post_job(void *context, const Http_Request *request)
+serve_post_job(void *context, const HttpServer_Request *request)
 {
     owned_entry *self = context;
 
@@ -275,7 +275,7 @@
 }
 
 static void
-serve_get_job(void *context, const Http_Request *request)
+serve_get_job(void *context, const HttpServer_Request *request)
 {
     owned_entry *self = context;
 
@@ -283,7 +283,7 @@
 }
 
 static void
-serve_table(void *context, const Http_Request *request)
+serve_table(void *context, const HttpServer_Request *request)
 {
     owned_entry *self = context;
 
@@ -291,14 +291,14 @@
 }
 
 static void
-serve_row(void *context, const Http_Request *request)
+serve_row(void *context, const HttpServer_Request *request)
 {
     owned_entry *self = context;
 
     TableApi_ServeRow(self->callers, self->entry, Process_Now(), request);
 }
 
-static const Http_Route caller_routes[] = {
+static const HttpServer_Route caller_routes[] = {
     {"/v1/jobs", serve_post_job},
     {"/v1/jobs/", serve_get_job},
     {"/v1/table", serve_table},
@@ -326,7 +326,7 @@
     Status status = {ERR_OK, ""};
     int code = Err_ExitCode(ERR_IO);
 
-    self->http = Http_NewClient(loop);
+    self->http = HttpClient_New(loop);
     self->log = Log_OverHttp(self->http, options->log, PLATFORM_TIMEOUT_MS);
     self->hosts = Hosts_OverHttp(self->http, options->hosts,
                                  PLATFORM_TIMEOUT_MS);
@@ -335,7 +335,7 @@
         ERR_OK) {
         goto done;
     }
-    self->callers = Http_NewServer(loop, options->callers, caller_routes, self,
+    self->callers = HttpServer_New(loop, options->callers, caller_routes, self,
                                    &status);
     if (self->callers == NULL) {
         goto done;
--- a/daemon/owned_jobs_api.c
+++ b/daemon/owned_jobs_api.c
@@ -113,7 +113,7 @@
 }
 
 static Err_Kind
-parse_job(parsed_job *job, const Http_Request *request, Status *status)
+parse_job(parsed_job *job, const HttpServer_Request *request, Status *status)
 {
     json_error_t error;
 
@@ -141,7 +141,7 @@
 
 void
 OwnedJobsApi_Post(Http_Server *server, Entry *entry, Node_Time now,
-                  const Http_Request *request)
+                  const HttpServer_Request *request)
 {
     Status status = {ERR_OK, ""};
     parsed_job job;
@@ -153,7 +153,7 @@
     }
     parse_job(&job, request, &status);
     if (status.kind == ERR_OK && request->idempotency_key == NULL) {
-        job.spec.key = Entry_MintKey(entry, now);
+        job.spec.key = Entry_CreateKey(entry, now);
     }
     else if (status.kind == ERR_OK &&
              !Key_Parse(request->idempotency_key, &job.spec.key)) {
@@ -172,7 +172,7 @@
 
 void
 OwnedJobsApi_Get(Http_Server *server, Entry *entry, Node_Time now,
-                 const Http_Request *request)
+                 const HttpServer_Request *request)
 {
     Admission_Spec spec = {.look = true, .group = ""};
 
@@ -250,14 +250,14 @@
 {
     json_t *body = answer_to_json(answer);
     char *text = json_dumps(body, JSON_COMPACT);
-    Http_Response response = {
+    HttpServer_Response response = {
         .status = answer->running ? 202 : Err_HttpStatus(answer->kind),
         .retry_ms = answer->retry_ms,
         .body = text,
         .length = strlen(text),
     };
 
-    Http_Respond(server, request, &response);
+    HttpServer_Respond(server, request, &response);
     free(text);
     json_decref(body);
 }
--- a/daemon/owned_jobs_api.h
+++ b/daemon/owned_jobs_api.h
@@ -12,11 +12,11 @@
 /** Parses a job and submits it to the entry, which answers later through
  * OwnedJobsApi_Answer; a malformed job is rejected at once. */
 void OwnedJobsApi_Post(Http_Server *server, Entry *entry, Node_Time now,
-                       const Http_Request *request);
+                       const HttpServer_Request *request);
 
 /** Queries the state of a job by its key; answered like OwnedJobsApi_Post. */
 void OwnedJobsApi_Get(Http_Server *server, Entry *entry, Node_Time now,
-                      const Http_Request *request);
+                      const HttpServer_Request *request);
 
 /** Sends the entry's answer to the caller. */
 void OwnedJobsApi_Answer(Http_Server *server, uint64_t request,
--- a/daemon/process.c
+++ b/daemon/process.c
@@ -99,18 +99,18 @@
 }
 
 static void
-serve_state(void *context, const Http_Request *request)
+serve_state(void *context, const HttpServer_Request *request)
 {
     Process *process = context;
     json_t *state = process->role->dump(process);
     char *text;
-    Http_Response response = {.status = 200};
+    HttpServer_Response response = {.status = 200};
 
     json_object_set_new(state, "hall", json_string(process->options->hall));
     text = json_dumps(state, JSON_INDENT(2));
     response.body = text;
     response.length = strlen(text);
-    Http_Respond(process->admin, request->id, &response);
+    HttpServer_Respond(process->admin, request->id, &response);
     free(text);
     json_decref(state);
 }
@@ -128,12 +128,12 @@
 }
 
 static void
-serve_metrics(void *context, const Http_Request *request)
+serve_metrics(void *context, const HttpServer_Request *request)
 {
     Process *process = context;
     const Rpc_Traffic *traffic = Rpc_GetTraffic(process->rpc);
     GString *out = g_string_new(NULL);
-    Http_Response response = {.status = 200, .type = "text/plain"};
+    HttpServer_Response response = {.status = 200, .type = "text/plain"};
 
     Counter_Print(process->role->counters(process), out);
     if (process->role->metrics != NULL) {
@@ -147,11 +147,11 @@
     print_traffic(out, "reply_bytes_sent", traffic->reply_bytes_out);
     response.body = out->str;
     response.length = out->len;
-    Http_Respond(process->admin, request->id, &response);
+    HttpServer_Respond(process->admin, request->id, &response);
     g_string_free(out, TRUE);
 }
 
-static const Http_Route admin_routes[] = {
+static const HttpServer_Route admin_routes[] = {
     {"/state", serve_state},
     {"/metrics", serve_metrics},
     {NULL, NULL},
@@ -250,7 +250,7 @@
     if (Process_ReopenRpc(process, status) != ERR_OK) {
         return ERR_IO;
     }
-    process->admin = Http_NewServer(loop, options->admin, admin_routes,
+    process->admin = HttpServer_New(loop, options->admin, admin_routes,
                                     process, status);
     if (process->admin == NULL) {
         return ERR_IO;
--- a/daemon/registry_sync.c
+++ b/daemon/registry_sync.c
@@ -35,7 +35,7 @@
     registry->hall = hall;
     EntryRegistry_Init(&registry->state, self, Process_Now().mono_ms);
     if (store != 0) {
-        registry->client = RegistryClient_New(Http_NewClient(loop), store,
+        registry->client = RegistryClient_New(HttpClient_New(loop), store,
                                               &ports, registry);
     }
 }
--- a/daemon/registry_sync.h
+++ b/daemon/registry_sync.h
@@ -11,7 +11,7 @@
 
 /** A process's access to the registry of entries. */
 typedef struct {
-    Entry_Registry state;
+    EntryRegistry state;
     Registry_Client *client; /**< NULL without a store: only seeds are used */
     Peers *peers;
     const char *hall; /**< of this process; must outlive the registry */
--- a/daemon/table_api.c
+++ b/daemon/table_api.c
@@ -9,21 +9,21 @@
 {
     char *text = json_dumps(body, JSON_COMPACT);
     char etag[32];
-    Http_Response response = {
+    HttpServer_Response response = {
         .status = 200, .body = text, .length = strlen(text)};
 
     if (version != 0) {
         g_snprintf(etag, sizeof(etag), "\"%" G_GUINT64_FORMAT "\"", version);
         response.etag = etag;
     }
-    Http_Respond(server, id, &response);
+    HttpServer_Respond(server, id, &response);
     free(text);
     json_decref(body);
 }
 
 void
 TableApi_ServeAll(Http_Server *server, Entry *entry,
-                  const Http_Request *request)
+                  const HttpServer_Request *request)
 {
     GPtrArray *rows;
     json_t *list;
@@ -33,7 +33,7 @@
         HttpServer_RespondError(server, request->id, ERR_METHOD, "use GET", 0);
         return;
     }
-    rows = GroupTable_SortedRows(Entry_Table(entry), false);
+    rows = GroupTable_SortedRows(Entry_GroupTable(entry), false);
     list = json_array();
     for (i = 0; i < rows->len; i++) {
         const GroupTable_Row *row = g_ptr_array_index(rows, i);
@@ -47,9 +47,9 @@
 }
 
 static void
-serve_get(Http_Server *server, Entry *entry, const Http_Request *request)
+serve_get(Http_Server *server, Entry *entry, const HttpServer_Request *request)
 {
-    const GroupTable_Row *row = GroupTable_Find(Entry_Table(entry),
+    const GroupTable_Row *row = GroupTable_Find(Entry_GroupTable(entry),
                                                 request->rest);
     json_t *body;
 
@@ -67,10 +67,10 @@
 /* Reads the version that an edit is based on: that of If-Match, or of the
  * tombstone (0 if there is none) for a new row. */
 static Err_Kind
-read_base(Entry *entry, const Http_Request *request, uint64_t *base,
+read_base(Entry *entry, const HttpServer_Request *request, uint64_t *base,
           Status *status)
 {
-    const GroupTable *table = Entry_Table(entry);
+    const GroupTable *table = Entry_GroupTable(entry);
     const char *text = request->if_match;
     char *end;
 
@@ -92,7 +92,8 @@
 }
 
 static Err_Kind
-read_row(const Http_Request *request, GroupTable_Row *row, Status *status)
+read_row(const HttpServer_Request *request, GroupTable_Row *row,
+         Status *status)
 {
     json_error_t error;
     json_t *body = json_loadb(request->body, request->length,
@@ -110,7 +111,7 @@
 
 static void
 serve_edit(Http_Server *server, Entry *entry, Node_Time now,
-           const Http_Request *request, bool is_delete)
+           const HttpServer_Request *request, bool is_delete)
 {
     Status status = {ERR_OK, ""};
     GroupTable_Row row;
@@ -121,7 +122,7 @@
                 "group: expected 1 to 64 of [A-Za-z0-9._-]");
     }
     else if (is_delete &&
-             GroupTable_Find(Entry_Table(entry), request->rest) == NULL) {
+             GroupTable_Find(Entry_GroupTable(entry), request->rest) == NULL) {
         Err_Set(&status, ERR_NOT_FOUND, "no such group");
     }
     else if (!is_delete) {
@@ -141,7 +142,7 @@
 
 void
 TableApi_ServeRow(Http_Server *server, Entry *entry, Node_Time now,
-                  const Http_Request *request)
+                  const HttpServer_Request *request)
 {
     if (strcmp(request->method, "GET") == 0) {
         serve_get(server, entry, request);
--- a/daemon/table_api.h
+++ b/daemon/table_api.h
@@ -12,11 +12,11 @@
 
 /** Serves the whole table as JSON. */
 void TableApi_ServeAll(Http_Server *server, Entry *entry,
-                       const Http_Request *request);
+                       const HttpServer_Request *request);
 
 /** Serves one row. Edits are answered later, through TableApi_Edited. */
 void TableApi_ServeRow(Http_Server *server, Entry *entry, Node_Time now,
-                       const Http_Request *request);
+                       const HttpServer_Request *request);
 
 /** Answers an edit with its result: an error, or the row's new version. */
 void TableApi_Edited(Http_Server *server, uint64_t request,
--- a/lease/delegates.c
+++ b/lease/delegates.c
@@ -121,13 +121,13 @@
 }
 
 int64_t
-Delegates_ValidUntil(const Delegate *row, const LeaseTiming *term,
+Delegates_ValidUntil(const Delegate *row, const LeaseTiming *timing,
                      int64_t now_ms)
 {
     if (row->received_ms == 0) {
         return 0;
     }
-    return LeaseTiming_ValidUntil(term, row->stamp_ms, row->received_ms,
+    return LeaseTiming_ValidUntil(timing, row->stamp_ms, row->received_ms,
                                   now_ms);
 }
 
--- a/lease/delegates.h
+++ b/lease/delegates.h
@@ -57,7 +57,7 @@
 
 /** End of validity of an EXTEND or FORWARD sent now, in ms on the delegate's
  * clock; 0 if that is not known. */
-int64_t Delegates_ValidUntil(const Delegate *row, const LeaseTiming *term,
+int64_t Delegates_ValidUntil(const Delegate *row, const LeaseTiming *timing,
                              int64_t now_ms);
 
 /** Applies a delegate's answer to an EXTEND. */
--- a/lease/dispatcher.h
+++ b/lease/dispatcher.h
@@ -76,7 +76,7 @@
 /** Settings. */
 typedef struct {
     lc_node node;
-    LeaseTiming term;
+    LeaseTiming timing;
     char hall[LC_MAX_NAME];
     uint32_t max_jobs; /**< open at the same time */
     double link_mbps;  /**< capacity of this entry's link; 0: unknown */
@@ -174,7 +174,7 @@
                               const char *source);
 
 /** Returns the closed halls as known here. */
-const Hall_Closures *Dispatcher_Closures(const Dispatcher *self);
+const HallClosures *Dispatcher_Closures(const Dispatcher *self);
 
 /** Handles the reply to a call; @p reply is NULL if the connection broke. */
 void Dispatcher_OnReply(Dispatcher *self, int64_t now_ms, uint64_t call_id,
@@ -224,7 +224,7 @@
 void Dispatcher_Pause(Dispatcher *self);
 void Dispatcher_Resume(Dispatcher *self);
 
-/** Runs periodic work; to be called at least every `term.tick_ms`. */
+/** Runs periodic work; to be called at least every `timing.tick_ms`. */
 void Dispatcher_Tick(Dispatcher *self, int64_t now_ms);
 
 /** Whether all requests are answered and all runs are known to have ended. */
--- a/lease/dispatcher_calls.c
+++ b/lease/dispatcher_calls.c
@@ -153,7 +153,7 @@
                                              : 1;
         Fleet_Host *host = Fleet_Find(&self->fleet, group[0]->host.address);
         int64_t valid_until_ms = DispatcherOrigin_LimitLease(
-            job, host, Fleet_ExtendHold(host, &self->config.term, now_ms));
+            job, host, Fleet_ExtendHold(host, &self->config.timing, now_ms));
         ForwardChoice_CountStarts(&self->sends, now_ms, count);
         if (count > 1) {
             send_joined(self, job, group, count, valid_until_ms);
@@ -187,7 +187,7 @@
     call.u.renew.owner = self->config.node;
     call.u.renew.kept = self->durable_enabled ? self->durable_owner : 0;
     call.u.renew.target = host->node.incarnation;
-    call.u.renew.valid_until_ms = Fleet_ExtendHold(host, &self->config.term,
+    call.u.renew.valid_until_ms = Fleet_ExtendHold(host, &self->config.timing,
                                                    now_ms);
     host->renew_sent_ms = now_ms;
     host->renew_call_id = DispatcherCall_Send(self, &about, &call);
--- a/lease/dispatcher_capacity.c
+++ b/lease/dispatcher_capacity.c
@@ -1,5 +1,5 @@
 #include "lease/dispatcher_state.h"
-#include "lease/placement.h"
+#include "lease/host_choice.h"
 #include "lease/resources.h"
 
 /* Time after the entry's start by which all live companions have reported to
@@ -40,7 +40,7 @@
 
     for (i = 0; i < self->fleet.hosts->len; i++) {
         const Fleet_Host *host = self->fleet.hosts->pdata[i];
-        if (!Placement_IsLive(host, now_ms) ||
+        if (!HostChoice_IsLive(host, now_ms) ||
             !is_eligible(step, service, host)) {
             continue;
         }
--- a/lease/dispatcher_forward.c
+++ b/lease/dispatcher_forward.c
@@ -62,7 +62,7 @@
     args->from = self->config.node;
     args->target = delegate->node.incarnation;
     args->number = job->forward_number;
-    args->valid_until_ms = Delegates_ValidUntil(delegate, &self->config.term,
+    args->valid_until_ms = Delegates_ValidUntil(delegate, &self->config.timing,
                                                 now_ms);
     args->routes_version = self->routes_version;
     args->waited_ms = (uint32_t)MAX(now_ms - job->arrived_ms, 0);
@@ -214,7 +214,7 @@
     call.u.extend.from = self->config.node;
     call.u.extend.target = row->node.incarnation;
     call.u.extend.valid_until_ms =
-        extends ? Delegates_ValidUntil(row, &self->config.term, now_ms) : 0;
+        extends ? Delegates_ValidUntil(row, &self->config.timing, now_ms) : 0;
     call.u.extend.gone.gone_len = MIN(row->withdrawn->len, LC_MAX_PEERS);
     call.u.extend.gone.gone_val = (u_quad_t *)(void *)row->withdrawn->data;
     row->withdrawn_in_flight = call.u.extend.gone.gone_len;
--- a/lease/dispatcher_halls.c
+++ b/lease/dispatcher_halls.c
@@ -1,6 +1,6 @@
 #include "lease/dispatcher_state.h"
 
-#include "lease/placement.h"
+#include "lease/host_choice.h"
 
 void
 DispatcherHalls_UpdateClosed(const Dispatcher *self, Fleet_Host *host)
@@ -68,7 +68,7 @@
     self->dispatch_pending = true;
 }
 
-const Hall_Closures *
+const HallClosures *
 Dispatcher_Closures(const Dispatcher *self)
 {
     return &self->closures;
@@ -83,7 +83,7 @@
 
     for (i = 0; i < self->fleet.hosts->len; i++) {
         const Fleet_Host *host = self->fleet.hosts->pdata[i];
-        if (!Placement_IsLive(host, now_ms) ||
+        if (!HostChoice_IsLive(host, now_ms) ||
             !DispatcherCapacity_CouldRun(step, service, host)) {
             continue;
         }
--- a/lease/dispatcher_hosts.c
+++ b/lease/dispatcher_hosts.c
@@ -1,7 +1,7 @@
 #include "lease/dispatcher_state.h"
 
 #include "base/address.h"
-#include "lease/placement.h"
+#include "lease/host_choice.h"
 
 /* A companion that has not answered a renewal for this long is suspect. */
 #define SUSPECT_MS 250
@@ -17,8 +17,8 @@
     guint i;
 
     for (i = 0; i < self->fleet.hosts->len; i++) {
-        if (Placement_IsLive(g_ptr_array_index(self->fleet.hosts, i),
-                             now_ms)) {
+        if (HostChoice_IsLive(g_ptr_array_index(self->fleet.hosts, i),
+                              now_ms)) {
             return false;
         }
     }
@@ -120,7 +120,7 @@
 void
 DispatcherHosts_Check(Dispatcher *self, int64_t now_ms, Fleet_Host *host)
 {
-    int64_t certain_ms = Fleet_CertainEnd(host, &self->config.term);
+    int64_t certain_ms = Fleet_CertainEnd(host, &self->config.timing);
 
     if (host->renew_call_id != 0 &&
         now_ms - host->renew_sent_ms > SUSPECT_MS) {
@@ -160,13 +160,13 @@
 uint32_t
 Dispatcher_SchedulableHosts(const Dispatcher *self, int64_t now_ms)
 {
-    return count_hosts(self, now_ms, Placement_IsSchedulable);
+    return count_hosts(self, now_ms, HostChoice_IsSchedulable);
 }
 
 uint32_t
 Dispatcher_HealthyHosts(const Dispatcher *self, int64_t now_ms)
 {
-    return count_hosts(self, now_ms, Placement_IsHealthy);
+    return count_hosts(self, now_ms, HostChoice_IsHealthy);
 }
 
 json_t *
--- a/lease/dispatcher_queue.c
+++ b/lease/dispatcher_queue.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#include "lease/placement.h"
+#include "lease/host_choice.h"
 #include "lease/resources.h"
 
 /* Urgency of a job; the smaller rank is served first. Started jobs are served
@@ -108,7 +108,7 @@
 
     for (i = 0; i < self->fleet.hosts->len; i++) {
         const Fleet_Host *host = g_ptr_array_index(self->fleet.hosts, i);
-        if (Placement_IsSchedulable(host, now_ms)) {
+        if (HostChoice_IsSchedulable(host, now_ms)) {
             largest.cpu_milli = MAX(largest.cpu_milli, host->room.cpu_milli);
             largest.memory_mb = MAX(largest.memory_mb, host->room.memory_mb);
             largest.accelerators = MAX(largest.accelerators,
@@ -133,10 +133,10 @@
 place_job(Dispatcher *self, int64_t now_ms, Active_Job *job,
           lc_resources *largest, GPtrArray *placed)
 {
-    Placement_Context choice = {.fleet = &self->fleet,
-                                .hall = self->config.hall,
-                                .now_ms = now_ms,
-                                .random = &self->random};
+    HostChoice_Context choice = {.fleet = &self->fleet,
+                                 .hall = self->config.hall,
+                                 .now_ms = now_ms,
+                                 .random = &self->random};
     bool few_calls = self->config.join_runs &&
                      LinkBudget_IsCongested(&self->link, now_ms);
     uint32_t i;
@@ -153,7 +153,7 @@
             !may_start(self, now_ms, job, task)) {
             return;
         }
-        host = Placement_ChooseHost(&choice, job, task);
+        host = HostChoice_Pick(&choice, job, task);
         if (host == NULL) {
             *largest = DispatcherQueue_LargestRoom(self, now_ms);
             return;
--- a/lease/dispatcher_state.h
+++ b/lease/dispatcher_state.h
@@ -54,7 +54,7 @@
     Counters counters;
     QueueStats_Table stats;
     Fleet fleet;
-    Hall_Closures closures;
+    HallClosures closures;
     Reserve reserve;
     LinkBudget link;
     bool link_full;        /* starts wait for the link */
--- a/lease/durable_jobs_takeover.c
+++ b/lease/durable_jobs_takeover.c
@@ -1,7 +1,7 @@
 #include <string.h>
 
 #include "lease/durable_jobs_state.h"
-#include "lease/placement.h"
+#include "lease/host_choice.h"
 #include "lease/run_id.h"
 
 /* An owner silent for this long is regarded as failed. Entries claim its jobs
@@ -358,7 +358,7 @@
             continue;
         }
         all = false;
-        if (Placement_IsLive(host, now_ms) &&
+        if (HostChoice_IsLive(host, now_ms) &&
             !is_fence_pending(self, &host->node, &recovery->claimed_owner)) {
             DurableTakeover_SendFence(self, host->node,
                                       recovery->claimed_owner);
@@ -543,7 +543,7 @@
         Fleet_Host *host = g_ptr_array_index(fleet->hosts, i);
         if (host->held_long > 0 &&
             now_ms - host->held_queried_ms > FETCH_HELD_INTERVAL_MS &&
-            Placement_IsLive(host, now_ms)) {
+            HostChoice_IsLive(host, now_ms)) {
             host->held_queried_ms = now_ms;
             DurableTakeover_SendFence(self, host->node, nobody);
         }
--- a/lease/entry_registry.c
+++ b/lease/entry_registry.c
@@ -17,7 +17,7 @@
 #define GONE_MS 60000
 
 void
-EntryRegistry_Init(Entry_Registry *registry, Address self, int64_t now_ms)
+EntryRegistry_Init(EntryRegistry *registry, Address self, int64_t now_ms)
 {
     registry->self = self;
     registry->call_pending = false;
@@ -29,7 +29,7 @@
 }
 
 void
-EntryRegistry_Clear(Entry_Registry *registry)
+EntryRegistry_Clear(EntryRegistry *registry)
 {
     g_hash_table_unref(registry->silent_since);
 }
@@ -64,7 +64,7 @@
 }
 
 static bool
-find_gone(const Entry_Registry *registry, int64_t now_ms, const Peers *peers,
+find_gone(const EntryRegistry *registry, int64_t now_ms, const Peers *peers,
           Address *gone)
 {
     GHashTableIter iter;
@@ -83,8 +83,8 @@
 }
 
 EntryRegistry_Step
-EntryRegistry_Next(Entry_Registry *registry, int64_t now_ms,
-                   const Peers *peers, Address *gone)
+EntryRegistry_Next(EntryRegistry *registry, int64_t now_ms, const Peers *peers,
+                   Address *gone)
 {
     bool has_live = has_live_peer(peers, now_ms);
     int64_t due_ms = registry->next_read_ms;
@@ -110,7 +110,7 @@
 }
 
 static void
-update_silent(Entry_Registry *registry, int64_t now_ms, Address address,
+update_silent(EntryRegistry *registry, int64_t now_ms, Address address,
               const Peers *peers)
 {
     const Peers_Row *row = Peers_Find(peers, address);
@@ -126,7 +126,7 @@
 }
 
 void
-EntryRegistry_OnRead(Entry_Registry *registry, int64_t now_ms,
+EntryRegistry_OnRead(EntryRegistry *registry, int64_t now_ms,
                      const GArray *entries, Peers *peers)
 {
     bool found = false;
@@ -158,7 +158,7 @@
 }
 
 void
-EntryRegistry_OnWritten(Entry_Registry *registry, int64_t now_ms,
+EntryRegistry_OnWritten(EntryRegistry *registry, int64_t now_ms,
                         bool confirmed)
 {
     registry->call_pending = false;
--- a/lease/entry_registry.h
+++ b/lease/entry_registry.h
@@ -36,27 +36,26 @@
     int64_t next_read_ms;     /**< when the next read is due */
     int64_t retry_delay_ms;   /**< delay after the next failed call */
     GHashTable *silent_since; /**< Address -> int64_t, not live since */
-} Entry_Registry;
+} EntryRegistry;
 
 /** @p self is the entry to register, or 0 for a process that only reads. */
-void EntryRegistry_Init(Entry_Registry *registry, Address self,
-                        int64_t now_ms);
-void EntryRegistry_Clear(Entry_Registry *registry);
+void EntryRegistry_Init(EntryRegistry *registry, Address self, int64_t now_ms);
+void EntryRegistry_Clear(EntryRegistry *registry);
 
 /** Returns the next call, which counts as pending from now on. For
  * ENTRY_REGISTRY_DELETE, @p gone is set to the entry whose record to delete.
  */
-EntryRegistry_Step EntryRegistry_Next(Entry_Registry *registry, int64_t now_ms,
+EntryRegistry_Step EntryRegistry_Next(EntryRegistry *registry, int64_t now_ms,
                                       const Peers *peers, Address *gone);
 
 /** The registry was read; adds all its entries to @p peers. @p entries is an
  * array of Peers_RegistryRecord, or NULL if the read failed. */
-void EntryRegistry_OnRead(Entry_Registry *registry, int64_t now_ms,
+void EntryRegistry_OnRead(EntryRegistry *registry, int64_t now_ms,
                           const GArray *entries, Peers *peers);
 
 /** A record was written or deleted; @p confirmed is false if the store did not
  * confirm it. */
-void EntryRegistry_OnWritten(Entry_Registry *registry, int64_t now_ms,
+void EntryRegistry_OnWritten(EntryRegistry *registry, int64_t now_ms,
                              bool confirmed);
 
 #endif
--- a/lease/fleet.c
+++ b/lease/fleet.c
@@ -146,9 +146,9 @@
 }
 
 int64_t
-Fleet_ExtendHold(Fleet_Host *host, const LeaseTiming *term, int64_t now_ms)
+Fleet_ExtendHold(Fleet_Host *host, const LeaseTiming *timing, int64_t now_ms)
 {
-    int64_t until = LeaseTiming_ValidUntil(term, host->stamp_ms,
+    int64_t until = LeaseTiming_ValidUntil(timing, host->stamp_ms,
                                            host->received_ms, now_ms);
 
     host->valid_until_ms = MAX(host->valid_until_ms, until);
@@ -157,11 +157,11 @@
 }
 
 int64_t
-Fleet_CertainEnd(const Fleet_Host *host, const LeaseTiming *term)
+Fleet_CertainEnd(const Fleet_Host *host, const LeaseTiming *timing)
 {
     return host->hold_sent_ms == 0
                ? 0
-               : LeaseTiming_CertainEnd(term, host->hold_sent_ms);
+               : LeaseTiming_CertainEnd(timing, host->hold_sent_ms);
 }
 
 bool
--- a/lease/fleet.h
+++ b/lease/fleet.h
@@ -83,12 +83,12 @@
 
 /** Records that a message with a new hold is sent now; returns the end of the
  * hold in ms on the companion's clock. */
-int64_t Fleet_ExtendHold(Fleet_Host *host, const LeaseTiming *term,
+int64_t Fleet_ExtendHold(Fleet_Host *host, const LeaseTiming *timing,
                          int64_t now_ms);
 
 /** Time by which every run held there has certainly ended; 0 if nothing is
  * held. */
-int64_t Fleet_CertainEnd(const Fleet_Host *host, const LeaseTiming *term);
+int64_t Fleet_CertainEnd(const Fleet_Host *host, const LeaseTiming *timing);
 
 /** Whether the upstream has @p label; the empty label always matches. */
 bool Fleet_HasLabel(const Fleet_Host *host, const char *label);
--- a/lease/hall_closures.c
+++ b/lease/hall_closures.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 void
-HallClosures_Init(Hall_Closures *closures, int64_t now_ms)
+HallClosures_Init(HallClosures *closures, int64_t now_ms)
 {
     closures->as_of = -1;
     closures->confirmed_ms = now_ms;
@@ -13,7 +13,7 @@
 }
 
 void
-HallClosures_Clear(Hall_Closures *closures)
+HallClosures_Clear(HallClosures *closures)
 {
     g_ptr_array_unref(closures->halls);
 }
@@ -54,8 +54,7 @@
 }
 
 static void
-update_confirmed(Hall_Closures *closures, int64_t requested_ms,
-                 uint32_t age_ms)
+update_confirmed(HallClosures *closures, int64_t requested_ms, uint32_t age_ms)
 {
     if (requested_ms != HALL_CLOSURES_UNSOLICITED) {
         closures->confirmed_ms = MAX(closures->confirmed_ms,
@@ -64,7 +63,7 @@
 }
 
 HallClosures_Change
-HallClosures_Merge(Hall_Closures *closures, int64_t now_ms,
+HallClosures_Merge(HallClosures *closures, int64_t now_ms,
                    int64_t requested_ms, const lc_closures *message)
 {
     GPtrArray *names;
@@ -89,7 +88,7 @@
 }
 
 bool
-HallClosures_Contains(const Hall_Closures *closures, const char *hall)
+HallClosures_Contains(const HallClosures *closures, const char *hall)
 {
     guint i;
 
@@ -102,20 +101,20 @@
 }
 
 bool
-HallClosures_RejectsStart(const Hall_Closures *closures, const char *hall,
+HallClosures_RejectsStart(const HallClosures *closures, const char *hall,
                           int64_t as_of)
 {
     return as_of <= closures->as_of && HallClosures_Contains(closures, hall);
 }
 
 int64_t
-HallClosures_AgeMs(const Hall_Closures *closures, int64_t now_ms)
+HallClosures_AgeMs(const HallClosures *closures, int64_t now_ms)
 {
     return MAX(now_ms - closures->confirmed_ms, 0);
 }
 
 void
-HallClosures_FillMessage(const Hall_Closures *closures, int64_t now_ms,
+HallClosures_FillMessage(const HallClosures *closures, int64_t now_ms,
                          lc_closures *out)
 {
     out->as_of = closures->as_of;
@@ -125,7 +124,7 @@
 }
 
 char *
-HallClosures_Text(const Hall_Closures *closures)
+HallClosures_Text(const HallClosures *closures)
 {
     GString *text = g_string_new(NULL);
     guint i;
@@ -138,7 +137,7 @@
 }
 
 json_t *
-HallClosures_Dump(const Hall_Closures *closures, int64_t now_ms)
+HallClosures_Dump(const HallClosures *closures, int64_t now_ms)
 {
     json_t *halls = json_array();
     guint i;
@@ -154,7 +153,7 @@
 }
 
 void
-HallClosures_Metrics(const Hall_Closures *closures, int64_t now_ms,
+HallClosures_Metrics(const HallClosures *closures, int64_t now_ms,
                      GString *out)
 {
     g_string_append_printf(out,
--- a/lease/hall_closures.h
+++ b/lease/hall_closures.h
@@ -25,7 +25,7 @@
     int64_t confirmed_ms; /**< latest time the set is known to be in force */
     int64_t changed_ms;   /**< when the set below last changed */
     GPtrArray *halls;     /**< names of the closed halls, sorted */
-} Hall_Closures;
+} HallClosures;
 
 /** Effect of a message. */
 typedef enum {
@@ -35,8 +35,8 @@
 } HallClosures_Change;
 
 /** Starts with nothing known: no hall counts as closed. */
-void HallClosures_Init(Hall_Closures *closures, int64_t now_ms);
-void HallClosures_Clear(Hall_Closures *closures);
+void HallClosures_Init(HallClosures *closures, int64_t now_ms);
+void HallClosures_Clear(HallClosures *closures);
 
 /** Request time of an unsolicited message. It may have been delayed for any
  * time and therefore confirms nothing. */
@@ -46,36 +46,36 @@
  * or HALL_CLOSURES_UNSOLICITED if it was not: the set counts as confirmed at
  * @p requested_ms less the age given in the message, which holds however long
  * the answer took to arrive. */
-HallClosures_Change HallClosures_Merge(Hall_Closures *closures, int64_t now_ms,
+HallClosures_Change HallClosures_Merge(HallClosures *closures, int64_t now_ms,
                                        int64_t requested_ms,
                                        const lc_closures *message);
 
 /** Whether @p hall is closed, so that no task may be started in it. */
-bool HallClosures_Contains(const Hall_Closures *closures, const char *hall);
+bool HallClosures_Contains(const HallClosures *closures, const char *hall);
 
 /** Whether to reject a start in @p hall from a sender that knew the records up
  * to @p as_of and took the hall as open. A sender that knows later records
  * than this process is trusted. */
-bool HallClosures_RejectsStart(const Hall_Closures *closures, const char *hall,
+bool HallClosures_RejectsStart(const HallClosures *closures, const char *hall,
                                int64_t as_of);
 
 /** Fills a message. Its names are borrowed from @p closures and valid until
  * the next call that changes it. */
-void HallClosures_FillMessage(const Hall_Closures *closures, int64_t now_ms,
+void HallClosures_FillMessage(const HallClosures *closures, int64_t now_ms,
                               lc_closures *out);
 
 /** Time since the latest confirmation, in ms. */
-int64_t HallClosures_AgeMs(const Hall_Closures *closures, int64_t now_ms);
+int64_t HallClosures_AgeMs(const HallClosures *closures, int64_t now_ms);
 
 /** Comma-separated names of the closed halls, for log lines; the caller frees
  * the result. */
-char *HallClosures_Text(const Hall_Closures *closures);
+char *HallClosures_Text(const HallClosures *closures);
 
 /** State for operators; the caller owns the result. */
-json_t *HallClosures_Dump(const Hall_Closures *closures, int64_t now_ms);
+json_t *HallClosures_Dump(const HallClosures *closures, int64_t now_ms);
 
 /** Appends metrics in the text exposition format. */
-void HallClosures_Metrics(const Hall_Closures *closures, int64_t now_ms,
+void HallClosures_Metrics(const HallClosures *closures, int64_t now_ms,
                           GString *out);
 
 #endif
--- a/lease/placement.c
+++ b/lease/host_choice.c
@@ -1,4 +1,4 @@
-#include "lease/placement.h"
+#include "lease/host_choice.h"
 
 #include <string.h>
 
@@ -27,7 +27,7 @@
 #define REMOTE_DATA_PERCENT 50
 
 bool
-Placement_IsLive(const Fleet_Host *host, int64_t now_ms)
+HostChoice_IsLive(const Fleet_Host *host, int64_t now_ms)
 {
     int64_t promised_ms = host->reported_ms + host->next_ms;
 
@@ -35,18 +35,18 @@
 }
 
 bool
-Placement_IsHealthy(const Fleet_Host *host, int64_t now_ms)
+HostChoice_IsHealthy(const Fleet_Host *host, int64_t now_ms)
 {
     return (host->state == LC_UPSTREAM_READY ||
             host->state == LC_UPSTREAM_TRIAL) &&
-           !host->suspect && Placement_IsLive(host, now_ms) &&
+           !host->suspect && HostChoice_IsLive(host, now_ms) &&
            now_ms >= host->avoid_until_ms;
 }
 
 bool
-Placement_IsSchedulable(const Fleet_Host *host, int64_t now_ms)
+HostChoice_IsSchedulable(const Fleet_Host *host, int64_t now_ms)
 {
-    return !host->closed && Placement_IsHealthy(host, now_ms);
+    return !host->closed && HostChoice_IsHealthy(host, now_ms);
 }
 
 /* Number of other tasks of the same step and occurrence that were placed at an
@@ -73,7 +73,7 @@
 /* Whether the task would miss its objective there, but meet it on a host of
  * normal pace. */
 static bool
-is_too_slow(const Placement_Context *context, const Active_Job *job,
+is_too_slow(const HostChoice_Context *context, const Active_Job *job,
             const LeasedJob_Step *step, const Fleet_Host *host)
 {
     int64_t remaining_ms = job->objective_ms - context->now_ms;
@@ -85,12 +85,12 @@
 }
 
 static bool
-may_run(const Placement_Context *context, const Active_Job *job,
+may_run(const HostChoice_Context *context, const Active_Job *job,
         const Active_Task *task, const Fleet_Host *host)
 {
     const LeasedJob_Step *step = Active_Step(job, task);
 
-    if (!Placement_IsSchedulable(host, context->now_ms) ||
+    if (!HostChoice_IsSchedulable(host, context->now_ms) ||
         !Resources_Fit(&step->need, &host->room) ||
         g_strcmp0(host->service, job->service) != 0 ||
         !Fleet_HasLabel(host, step->requirement)) {
@@ -108,7 +108,7 @@
 
 /* Cost of running the task there, in ms: its expected time and penalties. */
 static int64_t
-placement_cost_ms(const Placement_Context *context, const Active_Job *job,
+placement_cost_ms(const HostChoice_Context *context, const Active_Job *job,
                   const Active_Task *task, const Fleet_Host *host)
 {
     const LeasedJob_Step *step = Active_Step(job, task);
@@ -149,7 +149,7 @@
  * then found no room, and 0.04 with sampling (55 entries, 240 companions,
  * tests/fleet_load). */
 static void
-sample_host(host_sample *sample, const Placement_Context *context,
+sample_host(host_sample *sample, const HostChoice_Context *context,
             Fleet_Host *host, int64_t cost_ms, uint32_t fits)
 {
     uint32_t calls = context->packed_tasks / fits +
@@ -171,8 +171,8 @@
 }
 
 Fleet_Host *
-Placement_ChooseHost(const Placement_Context *context, const Active_Job *job,
-                     const Active_Task *task)
+HostChoice_Pick(const HostChoice_Context *context, const Active_Job *job,
+                const Active_Task *task)
 {
     const lc_resources *need = &Active_Step(job, task)->need;
     host_sample sample = {.cost_ms = INT64_MAX};
--- a/lease/placement.h
+++ b/lease/host_choice.h
@@ -18,21 +18,20 @@
      * hosts as possible; 0 if each is placed independently. */
     uint32_t packed_tasks;
     Fleet_Host *previous_host; /**< of the task before, or NULL */
-} Placement_Context;
+} HostChoice_Context;
 
 /** Returns the companion that should run @p task now, or NULL if none can. */
-Fleet_Host *Placement_ChooseHost(const Placement_Context *context,
-                                 const Active_Job *job,
-                                 const Active_Task *task);
+Fleet_Host *HostChoice_Pick(const HostChoice_Context *context,
+                            const Active_Job *job, const Active_Task *task);
 
 /** Whether a companion has sent a message within the liveness timeout. */
-bool Placement_IsLive(const Fleet_Host *host, int64_t now_ms);
+bool HostChoice_IsLive(const Fleet_Host *host, int64_t now_ms);
 
 /** Whether a companion and its upstream are healthy as far as is known: heard
  * from lately, not suspect and not avoided after refusals. */
-bool Placement_IsHealthy(const Fleet_Host *host, int64_t now_ms);
+bool HostChoice_IsHealthy(const Fleet_Host *host, int64_t now_ms);
 
 /** Whether a companion is healthy and operators have not closed its hall. */
-bool Placement_IsSchedulable(const Fleet_Host *host, int64_t now_ms);
+bool HostChoice_IsSchedulable(const Fleet_Host *host, int64_t now_ms);
 
 #endif
--- a/lease/lease_timing.c
+++ b/lease/lease_timing.c
@@ -22,31 +22,32 @@
 }
 
 bool
-LeaseTiming_Derive(const LeaseTiming_Bounds *bounds, LeaseTiming *term)
+LeaseTiming_Derive(const LeaseTiming_Bounds *bounds, LeaseTiming *timing)
 {
     int64_t left = bounds->resubmit_ms - bounds->stop_ms - bounds->tick_ms -
                    ROUNDING_MS;
     int64_t each = left * (PERCENT - MAX_CLOCK_DRIFT_PERCENT) /
                    (2 * PERCENT - MAX_CLOCK_DRIFT_PERCENT);
 
-    term->stop_ms = bounds->stop_ms;
-    term->tick_ms = bounds->tick_ms;
-    term->hold_ms = MIN(each, bounds->hold_max_ms);
-    term->hold_limit_ms = bounds->hold_max_ms;
-    term->lease_ms = each;
+    timing->stop_ms = bounds->stop_ms;
+    timing->tick_ms = bounds->tick_ms;
+    timing->hold_ms = MIN(each, bounds->hold_max_ms);
+    timing->hold_limit_ms = bounds->hold_max_ms;
+    timing->lease_ms = each;
     return each >= MIN_LEASE_MS;
 }
 
 int64_t
-LeaseTiming_ValidUntil(const LeaseTiming *term, int64_t stamp_ms,
+LeaseTiming_ValidUntil(const LeaseTiming *timing, int64_t stamp_ms,
                        int64_t received_ms, int64_t now_ms)
 {
-    return stamp_ms + (now_ms - received_ms) + term->lease_ms;
+    return stamp_ms + (now_ms - received_ms) + timing->lease_ms;
 }
 
 int64_t
-LeaseTiming_CertainEnd(const LeaseTiming *term, int64_t sent_ms)
+LeaseTiming_CertainEnd(const LeaseTiming *timing, int64_t sent_ms)
 {
-    return sent_ms + term->lease_ms + LeaseTiming_MaxHoldMs(term->hold_ms) +
-           term->stop_ms + term->tick_ms + ROUNDING_MS;
+    return sent_ms + timing->lease_ms +
+           LeaseTiming_MaxHoldMs(timing->hold_ms) + timing->stop_ms +
+           timing->tick_ms + ROUNDING_MS;
 }
--- a/lease/lease_timing.h
+++ b/lease/lease_timing.h
@@ -40,13 +40,13 @@
 
 /** Derives the longest equal lease and hold that @p bounds allow, the hold
  * being cut to `hold_max_ms`; returns false if they would be too short. */
-bool LeaseTiming_Derive(const LeaseTiming_Bounds *bounds, LeaseTiming *term);
+bool LeaseTiming_Derive(const LeaseTiming_Bounds *bounds, LeaseTiming *timing);
 
 /** Latest time, on the companion's clock in ms, until which a message of an
  * entry may extend its lease. Counted from the companion's last message, of
  * clock time @p stamp_ms, as if it had arrived (at @p received_ms) without
  * delay, so that a delay makes the result earlier, never later. */
-int64_t LeaseTiming_ValidUntil(const LeaseTiming *term, int64_t stamp_ms,
+int64_t LeaseTiming_ValidUntil(const LeaseTiming *timing, int64_t stamp_ms,
                                int64_t received_ms, int64_t now_ms);
 
 /** Longest time in ms on the local clock that a hold of @p hold_ms on the
@@ -59,6 +59,6 @@
 
 /** Time in ms by which all runs that an entry last renewed at @p sent_ms have
  * certainly ended. */
-int64_t LeaseTiming_CertainEnd(const LeaseTiming *term, int64_t sent_ms);
+int64_t LeaseTiming_CertainEnd(const LeaseTiming *timing, int64_t sent_ms);
 
 #endif
--- a/lease/peers.h
+++ b/lease/peers.h
@@ -27,8 +27,8 @@
     int64_t since_ms;       /**< when this row was created */
     int64_t last_named_ms;  /**< when any process last named it */
     int64_t asked_ms;       /**< when the pending call was sent */
-    int64_t told_ms;        /**< when our state was last sent to it, by a call
-                               or reply */
+    int64_t last_sent_ms;   /**< when our state was last sent to it, by a call
+                          or reply */
     uint64_t call_id;       /**< pending call, or 0 */
     uint64_t told;          /**< version of our state that it has confirmed */
     uint64_t version_in_flight; /**< version of our state in the pending
--- a/lease/priority_reserve.c
+++ b/lease/priority_reserve.c
@@ -1,6 +1,6 @@
 #include "lease/priority_reserve.h"
 
-#include "lease/placement.h"
+#include "lease/host_choice.h"
 #include "lease/resources.h"
 
 /* Nothing is reserved for a priority that no job has had for this time. It is
@@ -62,7 +62,7 @@
     }
     for (i = 0; i < fleet->hosts->len && free_tasks <= reserved_tasks; i++) {
         const Fleet_Host *host = g_ptr_array_index(fleet->hosts, i);
-        if (Placement_IsSchedulable(host, now_ms)) {
+        if (HostChoice_IsSchedulable(host, now_ms)) {
             free_tasks += Resources_CountFits(need, &host->room);
             capacity_tasks += Resources_CountFits(need, &host->capacity);
         }
--- a/lease/routes_fetch.c
+++ b/lease/routes_fetch.c
@@ -9,14 +9,14 @@
 #define CHUNK_TIMEOUT_MS 1000
 
 void
-RoutesFetch_Init(Routes_Fetch *fetch, uint32_t next_peer)
+RoutesFetch_Init(RoutesFetch *fetch, uint32_t next_peer)
 {
     fetch->bytes = g_byte_array_new();
     fetch->next_peer = next_peer;
 }
 
 void
-RoutesFetch_Clear(Routes_Fetch *fetch)
+RoutesFetch_Clear(RoutesFetch *fetch)
 {
     if (fetch->bytes != NULL) {
         g_byte_array_unref(fetch->bytes);
@@ -24,7 +24,7 @@
 }
 
 static void
-restart(Routes_Fetch *fetch, int64_t version)
+restart(RoutesFetch *fetch, int64_t version)
 {
     fetch->version = version;
     fetch->total = 0;
@@ -32,7 +32,7 @@
 }
 
 static bool
-is_complete(const Routes_Fetch *fetch)
+is_complete(const RoutesFetch *fetch)
 {
     return fetch->total > 0 && fetch->bytes->len == fetch->total;
 }
@@ -46,7 +46,7 @@
 /* Stays with the last peer unless it has failed. Otherwise takes the next in
  * round-robin order, and the failed one only if there is no other. */
 static const Peers_Row *
-choose_peer(Routes_Fetch *fetch, int64_t now_ms, int64_t version,
+choose_peer(RoutesFetch *fetch, int64_t now_ms, int64_t version,
             const Peers *peers)
 {
     const Peers_Row *found = NULL;
@@ -73,7 +73,7 @@
 /* Without routes no request can be served, so the first table is fetched
  * without waiting for the store. */
 static bool
-may_start(const Routes_Fetch *fetch, int64_t now_ms, int64_t version,
+may_start(const RoutesFetch *fetch, int64_t now_ms, int64_t version,
           bool store_answers)
 {
     return version < 0 || !store_answers ||
@@ -81,7 +81,7 @@
 }
 
 static void
-reset(Routes_Fetch *fetch)
+reset(RoutesFetch *fetch)
 {
     fetch->newer_since_ms = 0;
     fetch->asking = false;
@@ -89,7 +89,7 @@
 }
 
 bool
-RoutesFetch_Next(Routes_Fetch *fetch, int64_t now_ms, int64_t version,
+RoutesFetch_Next(RoutesFetch *fetch, int64_t now_ms, int64_t version,
                  bool store_answers, const Peers *peers,
                  RoutesFetch_Call *call)
 {
@@ -127,7 +127,7 @@
 }
 
 static bool
-is_usable(const Routes_Fetch *fetch, const lc_routes_res *reply)
+is_usable(const RoutesFetch *fetch, const lc_routes_res *reply)
 {
     return reply->routes_version == fetch->version &&
            reply->data.data_len > 0 &&
@@ -139,7 +139,7 @@
 }
 
 void
-RoutesFetch_OnFailure(Routes_Fetch *fetch)
+RoutesFetch_OnFailure(RoutesFetch *fetch)
 {
     fetch->asking = false;
     fetch->failed = true;
@@ -147,7 +147,7 @@
 }
 
 RoutesFetch_Result
-RoutesFetch_OnReply(Routes_Fetch *fetch, const lc_routes_res *reply)
+RoutesFetch_OnReply(RoutesFetch *fetch, const lc_routes_res *reply)
 {
     fetch->asking = false;
     if (reply->routes_version > fetch->version) {
--- a/lease/routes_fetch.h
+++ b/lease/routes_fetch.h
@@ -33,7 +33,7 @@
     bool asking;        /**< a call is pending */
     int64_t sent_ms;    /**< when the last call was sent */
     uint32_t next_peer; /**< where the round-robin over peers continues */
-} Routes_Fetch;
+} RoutesFetch;
 
 /** A call to be sent. */
 typedef struct {
@@ -50,21 +50,21 @@
 
 /** @p next_peer is where the round-robin begins; it should differ between
  * processes, so that they do not all ask the same peer. */
-void RoutesFetch_Init(Routes_Fetch *fetch, uint32_t next_peer);
-void RoutesFetch_Clear(Routes_Fetch *fetch);
+void RoutesFetch_Init(RoutesFetch *fetch, uint32_t next_peer);
+void RoutesFetch_Clear(RoutesFetch *fetch);
 
 /** Whether a call is due; if so, fills @p call. @p version is the version in
  * force here, -1 for none; @p store_answers tells whether the store can be
  * expected to deliver the newer one. */
-bool RoutesFetch_Next(Routes_Fetch *fetch, int64_t now_ms, int64_t version,
+bool RoutesFetch_Next(RoutesFetch *fetch, int64_t now_ms, int64_t version,
                       bool store_answers, const Peers *peers,
                       RoutesFetch_Call *call);
 
 /** The last call failed: its peer is unreachable or too slow. */
-void RoutesFetch_OnFailure(Routes_Fetch *fetch);
+void RoutesFetch_OnFailure(RoutesFetch *fetch);
 
 /** Processes the reply to the last call. */
-RoutesFetch_Result RoutesFetch_OnReply(Routes_Fetch *fetch,
+RoutesFetch_Result RoutesFetch_OnReply(RoutesFetch *fetch,
                                        const lc_routes_res *reply);
 
 #endif
--- a/lease/runner.c
+++ b/lease/runner.c
@@ -345,7 +345,7 @@
     }
     g_list_free(rows);
     if (runner->active_tasks > 0 && runner->up.doubtful &&
-        now_ms > runner->hold_until_ms + runner->config.term.stop_ms) {
+        now_ms > runner->hold_until_ms + runner->config.timing.stop_ms) {
         RunnerTask_LoseAll(runner, now_ms,
                            runner->up.refused && !runner->up.draining);
     }
@@ -438,7 +438,7 @@
     g_free(names);
 }
 
-const Hall_Closures *
+const HallClosures *
 Runner_Closures(const Runner *runner)
 {
     return &runner->closures;
--- a/lease/runner.h
+++ b/lease/runner.h
@@ -143,7 +143,7 @@
     lc_node node;
     const char *hall; /**< of this companion; borrowed for the lifetime of the
                            runner */
-    LeaseTiming term;
+    LeaseTiming timing;
     int64_t first_token; /**< initial fencing token; higher than any used
                               before, as far as known */
     int64_t beat_ms;     /**< heartbeat interval of the upstream, in ms */
@@ -221,7 +221,7 @@
                           const lc_closures *received, const char *source);
 
 /** The closed halls as known to this companion. */
-const Hall_Closures *Runner_Closures(const Runner *runner);
+const HallClosures *Runner_Closures(const Runner *runner);
 
 /** Incremented whenever the free resources or the state that entries see
  * change. */
--- a/lease/runner_durable.c
+++ b/lease/runner_durable.c
@@ -244,7 +244,7 @@
     }
     row->owner = *successor;
     RunnerOwner_Extend(runner, successor,
-                       now_ms + runner->config.term.lease_ms +
+                       now_ms + runner->config.timing.lease_ms +
                            LEASE_TIMING_DURABLE_GRACE_MS)
         ->running++;
 }
--- a/lease/runner_owners.c
+++ b/lease/runner_owners.c
@@ -42,7 +42,7 @@
             ahead = MAX(ahead, row->until_ms - now_ms);
         }
     }
-    return MIN(ahead, runner->config.term.hold_ms);
+    return MIN(ahead, runner->config.timing.hold_ms);
 }
 
 void
--- a/lease/runner_state.h
+++ b/lease/runner_state.h
@@ -137,7 +137,7 @@
     Runner_UpstreamInfo up;
     Runner_Successor successor;
     DeadIncarnations dead_incarnations;
-    Hall_Closures closures;
+    HallClosures closures;
     lc_resources used;
     GHashTable *tasks; /* lc_run_id -> Runner_Task */
     Handle_Table *by_handle;
--- a/lease/runner_upstream.c
+++ b/lease/runner_upstream.c
@@ -91,7 +91,8 @@
     runner->token++;
     runner->up.known = false;
     if (runner->active_tasks > 0) {
-        RunnerPoll_NoteHold(runner, now_ms, runner->config.term.hold_limit_ms);
+        RunnerPoll_NoteHold(runner, now_ms,
+                            runner->config.timing.hold_limit_ms);
     }
     RunnerUpstream_Log(runner, EVENT_UPSTREAM_KNOWN,
                        "started again under its name");
--- a/tests/cases.c
+++ b/tests/cases.c
@@ -83,7 +83,7 @@
 describe_replica(const Replica *replica, GString *output)
 {
     const View *view = Replica_View(replica);
-    GPtrArray *rows = GroupTable_SortedRows(Replica_Table(replica), true);
+    GPtrArray *rows = GroupTable_SortedRows(Replica_GroupTable(replica), true);
     guint i;
 
     g_string_append_printf(output, "next %llu%s",
@@ -156,7 +156,7 @@
 run_csv(const char *input, GString *output)
 {
     char *errors;
-    GArray *rows = Csv_Read(input, &errors);
+    GArray *rows = TableCsv_Read(input, &errors);
     guint i;
 
     g_string_append(output, errors);
--- a/tests/choice_rules.c
+++ b/tests/choice_rules.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "base/random.h"
-#include "lease/placement.h"
+#include "lease/host_choice.h"
 
 #define NOW_MS 10000
 #define DRAWS 3000
@@ -102,11 +102,11 @@
     uint32_t drawn[MAX_HOSTS + 1] = {0}; /* the last one: no host */
     Active_Job *job = new_job(test);
     Fleet fleet;
-    Placement_Context context = {.fleet = &fleet,
-                                 .hall = "own",
-                                 .now_ms = NOW_MS,
-                                 .random = &random,
-                                 .packed_tasks = test->packed_tasks};
+    HostChoice_Context context = {.fleet = &fleet,
+                                  .hall = "own",
+                                  .now_ms = NOW_MS,
+                                  .random = &random,
+                                  .packed_tasks = test->packed_tasks};
     int i;
 
     Fleet_Init(&fleet);
@@ -114,8 +114,8 @@
         add_host(&fleet, i, &test->hosts[i]);
     }
     for (i = 0; i < DRAWS; i++) {
-        const Fleet_Host *host = Placement_ChooseHost(&context, job,
-                                                      &job->tasks[0]);
+        const Fleet_Host *host = HostChoice_Pick(&context, job,
+                                                 &job->tasks[0]);
         drawn[host == NULL ? MAX_HOSTS
                            : (int)(host->node.address >> 16) - 1]++;
     }
--- a/tests/entry_fixture.c
+++ b/tests/entry_fixture.c
@@ -127,8 +127,8 @@
 
     memset(fix, 0, sizeof(*fix));
     fix->now_ms = ENTRY_FIX_START_MS;
-    fix->term = LeaseFix_Timing();
-    config.term = fix->term;
+    fix->timing = LeaseFix_Timing();
+    config.timing = fix->timing;
     fix->dispatcher = Dispatcher_New(&config, &ports, fix, fix->now_ms);
     fix->routes = Route_NewTable(1);
     fix->route = LeaseFix_AddRoute(fix->routes);
--- a/tests/entry_fixture.h
+++ b/tests/entry_fixture.h
@@ -57,7 +57,7 @@
     Dispatcher *dispatcher;
     Route_Table *routes;
     Route *route;
-    LeaseTiming term;
+    LeaseTiming timing;
     int64_t now_ms;
     EntryFix_Start starts[ENTRY_FIX_CAPACITY];
     int start_count;
--- a/tests/fleet_sim.c
+++ b/tests/fleet_sim.c
@@ -134,7 +134,7 @@
     GArray *jobs; /* job_record; job id = index + 1 */
     Route_Table *routes;
     Route *route_of[FLEET_SIM_KINDS];
-    LeaseTiming term;
+    LeaseTiming timing;
     uint32_t waits[MAX_WAIT_MS + 1];
     double busy_ms; /* millicores times ms, during the surge */
     double capacity_ms;
@@ -637,7 +637,7 @@
         &sim->companions[((companion_ref *)item)->companion];
     Runner_Config config = {.node = node->node,
                             .hall = node->hall,
-                            .term = sim->term,
+                            .timing = sim->timing,
                             .first_token = 1000,
                             .beat_ms = HEARTBEAT_MS};
 
@@ -937,7 +937,7 @@
 start_entry(simulation *sim, uint32_t index)
 {
     entry_node *entry = &sim->entries[index];
-    Dispatcher_Config config = {.term = sim->term,
+    Dispatcher_Config config = {.timing = sim->timing,
                                 .max_jobs = 100000,
                                 .join_runs = sim->load->join_runs};
     entry_ref item = {index, ++entry->boot_id};
@@ -1360,7 +1360,7 @@
     sim.end_ms = WARM_UP_MS + load->length_ms + DRAIN_MS;
     sim.slots = g_new0(GArray *, sim.end_ms + 1);
     sim.jobs = g_array_new(FALSE, TRUE, sizeof(job_record));
-    LeaseTiming_Derive(&bounds, &sim.term);
+    LeaseTiming_Derive(&bounds, &sim.timing);
     make_routes(&sim);
     make_companions(&sim);
     make_entries(&sim);
--- a/tests/forward_rules.c
+++ b/tests/forward_rules.c
@@ -111,7 +111,7 @@
     /* On the other entry's clock, as if its last answer had taken no time to
      * arrive. */
     g_assert_cmpint(call->forward.valid_until_ms, ==,
-                    fix.now_ms + OTHER_CLOCK_MS + fix.term.lease_ms);
+                    fix.now_ms + OTHER_CLOCK_MS + fix.timing.lease_ms);
     reply_forward(&fix, true, DISPATCHER_SUCCEEDED, ERR_OK);
     g_assert_cmpint(fix.answer_count, ==, 1);
     g_assert_cmpuint(fix.answers[0].request, ==, 100);
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -94,7 +94,7 @@
 static void
 decode_listing(const char *bytes, size_t length)
 {
-    Http_ClientAnswer answer = {.end = HTTP_CLIENT_ANSWERED,
+    HttpClient_Answer answer = {.end = HTTP_CLIENT_ANSWERED,
                                 .status = 200,
                                 .body = bytes,
                                 .length = length};
@@ -119,7 +119,7 @@
     json_t *page = json_loadb(bytes, length, 0, NULL);
     lc_closures closures;
 
-    HallRecords_BeginSnapshot(halls);
+    HallRecords_Reset(halls);
     KeyedRecords_DecodePage(page, apply_record, halls);
     if (length >= KEYED_RECORDS_HEADER_SIZE) {
         KeyedRecords_DecodeRead((const uint8_t *)bytes, length, 1,
--- a/tests/halls_rules.c
+++ b/tests/halls_rules.c
@@ -83,7 +83,7 @@
 {
     const update_case *one = item;
     lc_closures received = message(5, 0, "own", NULL);
-    Hall_Closures closures;
+    HallClosures closures;
 
     HallClosures_Init(&closures, START_MS);
     g_assert_false(HallClosures_Contains(&closures, "own"));
@@ -105,7 +105,7 @@
 test_confirmed(void)
 {
     lc_closures received = message(5, 300, NULL, NULL);
-    Hall_Closures closures;
+    HallClosures closures;
 
     HallClosures_Init(&closures, START_MS);
     HallClosures_Merge(&closures, START_MS + 2000, HALL_CLOSURES_UNSOLICITED,
@@ -124,7 +124,7 @@
 {
     lc_closures received = message(5, 100, "b", "a");
     lc_closures sent;
-    Hall_Closures closures;
+    HallClosures closures;
 
     HallClosures_Init(&closures, START_MS);
     HallClosures_FillMessage(&closures, START_MS, &sent);
@@ -327,7 +327,7 @@
 
     memset(fix, 0, sizeof(*fix));
     fix->now_ms = START_MS;
-    config.term = LeaseFix_Timing();
+    config.timing = LeaseFix_Timing();
     fix->dispatcher = Dispatcher_New(&config, &dispatcher_ports, fix,
                                      fix->now_ms);
     fix->routes = Route_NewTable(1);
--- a/tests/kept_rules.c
+++ b/tests/kept_rules.c
@@ -261,7 +261,7 @@
     fix->state = LC_UPSTREAM_READY;
     fix->puts = g_ptr_array_new_with_free_func(free_written_record);
     fix->calls = g_array_new(FALSE, TRUE, sizeof(sent_call));
-    config.term = LeaseFix_Timing();
+    config.timing = LeaseFix_Timing();
     fix->dispatcher = Dispatcher_New(&config, &dispatcher_ports, fix,
                                      fix->now_ms);
     fix->routes = Route_NewTable(1);
--- a/tests/lease_cases.c
+++ b/tests/lease_cases.c
@@ -234,7 +234,7 @@
 run_listing(const char *input, GString *output)
 {
     const char *body = strchr(input, '\n') + 1;
-    Http_ClientAnswer answer = {.end = HTTP_CLIENT_ANSWERED,
+    HttpClient_Answer answer = {.end = HTTP_CLIENT_ANSWERED,
                                 .status = atoi(input),
                                 .body = body,
                                 .length = strlen(body)};
@@ -342,12 +342,12 @@
         char **words = g_strsplit(lines[i], " ", 0);
         LeaseTiming_Bounds bounds = {number(words, 0), number(words, 1),
                                      number(words, 2), number(words, 3)};
-        LeaseTiming term;
-        bool fits = LeaseTiming_Derive(&bounds, &term);
+        LeaseTiming timing;
+        bool fits = LeaseTiming_Derive(&bounds, &timing);
         g_string_append_printf(
             output, "lease %lld hold %lld over after %lld%s\n",
-            (long long)term.lease_ms, (long long)term.hold_ms,
-            (long long)LeaseTiming_CertainEnd(&term, 0),
+            (long long)timing.lease_ms, (long long)timing.hold_ms,
+            (long long)LeaseTiming_CertainEnd(&timing, 0),
             fits ? "" : ", too short");
         g_strfreev(words);
     }
@@ -437,7 +437,7 @@
             }
         }
         else if (strcmp(verb, "begin") == 0) {
-            HallRecords_BeginSnapshot(halls);
+            HallRecords_Reset(halls);
         }
         else if (strcmp(verb, "know") == 0) {
             lc_closures known = {.as_of = number(words, 1)};
--- a/tests/lease_fixture.c
+++ b/tests/lease_fixture.c
@@ -6,10 +6,10 @@
 LeaseFix_Timing(void)
 {
     LeaseTiming_Bounds bounds = {1300, 1000, 50, 50};
-    LeaseTiming term;
+    LeaseTiming timing;
 
-    g_assert_true(LeaseTiming_Derive(&bounds, &term));
-    return term;
+    g_assert_true(LeaseTiming_Derive(&bounds, &timing));
+    return timing;
 }
 
 Route *
--- a/tests/lease_rules.c
+++ b/tests/lease_rules.c
@@ -178,7 +178,7 @@
 
     memset(fix, 0, sizeof(*fix));
     fix->now_ms = START_MS;
-    config.term = LeaseFix_Timing();
+    config.timing = LeaseFix_Timing();
     fix->dispatcher = Dispatcher_New(&config, &dispatcher_ports, fix,
                                      fix->now_ms);
     fix->routes = Route_NewTable(1);
@@ -338,7 +338,7 @@
 test_retry_elsewhere_after_lease(void)
 {
     dispatcher_fixture fix;
-    LeaseTiming term = LeaseFix_Timing();
+    LeaseTiming timing = LeaseFix_Timing();
     int64_t held_ms;
 
     new_dispatcher(&fix);
@@ -353,7 +353,7 @@
     g_assert_cmpuint(last_call(&fix, MSG_RUN)->to, ==,
                      other_companion.address);
     g_assert_cmpuint(last_call(&fix, MSG_RUN)->run, ==, 2);
-    g_assert_cmpint(fix.now_ms, >=, LeaseTiming_CertainEnd(&term, held_ms));
+    g_assert_cmpint(fix.now_ms, >=, LeaseTiming_CertainEnd(&timing, held_ms));
     g_assert_cmpint(fix.resets, ==, 1);
     free_dispatcher(&fix);
 }
--- a/tests/lease_sim_halls.cc
+++ b/tests/lease_sim_halls.cc
@@ -49,7 +49,7 @@
 }
 
 ClosureSnapshot
-ClosureSnapshot::of(const Hall_Closures *closures, int64_t now)
+ClosureSnapshot::of(const HallClosures *closures, int64_t now)
 {
     ClosureSnapshot snapshot;
 
--- a/tests/lease_sim_nodes.cc
+++ b/tests/lease_sim_nodes.cc
@@ -244,10 +244,10 @@
 derive_timing()
 {
     LeaseTiming_Bounds bounds = {RESUBMIT_MS, 1000, 50, TICK_MS};
-    LeaseTiming term;
+    LeaseTiming timing;
 
-    LeaseTiming_Derive(&bounds, &term);
-    return term;
+    LeaseTiming_Derive(&bounds, &timing);
+    return timing;
 }
 
 } // namespace
@@ -269,7 +269,7 @@
     entry->frozen_until = 0;
     entry->active_ms = now;
     config.node = entry->node;
-    config.term = derive_timing();
+    config.timing = derive_timing();
     config.max_jobs = 10000;
     /* Mixes entries with and without joined runs, as during a rolling
      * upgrade. */
@@ -308,7 +308,7 @@
     companion->pending_replies.clear();
     config.node = companion->node;
     config.hall = companion->hall.c_str();
-    config.term = derive_timing();
+    config.timing = derive_timing();
     config.first_token = 1000000 + now;
     config.beat_ms = 500;
     config.late_ms = MAX_ORDER_DELAY_MS;
--- a/tests/lease_sim_state.h
+++ b/tests/lease_sim_state.h
@@ -104,7 +104,7 @@
     std::vector<char *> names; /* referred to by the last message */
 
     lc_closures message();
-    static ClosureSnapshot of(const Hall_Closures *closures, int64_t now);
+    static ClosureSnapshot of(const HallClosures *closures, int64_t now);
 };
 
 /* Hall of a companion. */
--- a/tests/load.c
+++ b/tests/load.c
@@ -145,7 +145,7 @@
 }
 
 static bool
-has_outcome(const Http_ClientAnswer *answer, const char *outcome)
+has_outcome(const HttpClient_Answer *answer, const char *outcome)
 {
     char text[48];
 
@@ -156,7 +156,7 @@
 }
 
 static void
-on_answer(void *context, const Http_ClientAnswer *answer)
+on_answer(void *context, const HttpClient_Answer *answer)
 {
     load_job *job = context;
 
@@ -187,7 +187,7 @@
 send_job(load_job *job)
 {
     load *self = job->self;
-    Http_ClientRequest request = {.method = "POST",
+    HttpClient_Request request = {.method = "POST",
                                   .path = "/v1/jobs",
                                   .body = job->body,
                                   .length = strlen(job->body),
@@ -203,7 +203,7 @@
         /* Send again without waiting for the answer. */
         uv_timer_start(&job->timer, on_resend, (uint64_t)self->resend_ms, 0);
     }
-    Http_Send(self->http, &request, on_answer, job);
+    HttpClient_Send(self->http, &request, on_answer, job);
 }
 
 static load_group *
@@ -382,7 +382,7 @@
     for (i = 6; i < argc && self.entry_count < MAX_ENTRIES; i++) {
         Address_Parse(argv[i], &self.entries[self.entry_count++]);
     }
-    self.http = Http_NewClient(self.loop);
+    self.http = HttpClient_New(self.loop);
     uv_timer_init(self.loop, &self.timer);
     self.timer.data = &self;
     uv_timer_start(&self.timer, on_arrival, 0, 0);
--- a/tests/pump_callers.cc
+++ b/tests/pump_callers.cc
@@ -149,7 +149,7 @@
                                                       : plan_.max_wait_ms));
     GroupTable_RowFromJson(group, value, &row, &status);
     json_decref(value);
-    uint64_t base = GroupTable_Version(Entry_Table(node->entry), group);
+    uint64_t base = GroupTable_Version(Entry_GroupTable(node->entry), group);
     edit_requests_.push_back({group, weight, base});
     Entry_Edit(node->entry, time_of(node), edit_requests_.size() - 1, group,
                base, &row);
--- a/tests/pump_checks.cc
+++ b/tests/pump_checks.cc
@@ -7,8 +7,8 @@
 Simulation::check_versions(Node *node)
 {
     const GroupTable *table = node->is_entry
-                                  ? Entry_Table(node->entry)
-                                  : Companion_Table(node->companion);
+                                  ? Entry_GroupTable(node->entry)
+                                  : Companion_GroupTable(node->companion);
 
     for (const char *group : {"small", "large"}) {
         uint64_t version = GroupTable_Version(table, group);
@@ -48,8 +48,8 @@
     for (auto &pair : nodes_) {
         const Node *node = pair.second.get();
         const GroupTable *table = node->is_entry
-                                      ? Entry_Table(node->entry)
-                                      : Companion_Table(node->companion);
+                                      ? Entry_GroupTable(node->entry)
+                                      : Companion_GroupTable(node->companion);
         if (GroupTable_Version(table, edit.group.c_str()) < edit.version) {
             report_.table.push_back(
                 format("%s has not applied %s at version %llu",
@@ -157,8 +157,8 @@
             continue;
         }
         const GroupTable *table = node->is_entry
-                                      ? Entry_Table(node->entry)
-                                      : Companion_Table(node->companion);
+                                      ? Entry_GroupTable(node->entry)
+                                      : Companion_GroupTable(node->companion);
         for (auto &item : last) {
             uint64_t version = GroupTable_Version(table, item.first.c_str());
             const GroupTable_Row *row = GroupTable_Find(table,
--- a/tests/registry_rules.c
+++ b/tests/registry_rules.c
@@ -11,7 +11,7 @@
 #define START_MS 1000
 
 typedef struct {
-    Entry_Registry registry;
+    EntryRegistry registry;
     Peers peers;
     Address gone;
 } fixture;
--- a/tests/routes_rules.c
+++ b/tests/routes_rules.c
@@ -17,7 +17,7 @@
 #define CHUNK_TIMEOUT_MS 1000
 
 typedef struct {
-    Routes_Fetch fetch;
+    RoutesFetch fetch;
     Peers peers;
     int64_t now_ms;
     int64_t version; /* in force here */
--- a/tests/rules.c
+++ b/tests/rules.c
@@ -323,7 +323,7 @@
     /* As after the process was frozen: no tick has run since. */
     fix.now.mono_ms += 2;
     fix.now.wall_ms += 2;
-    key = Entry_MintKey(fix.entry, fix.now);
+    key = Entry_CreateKey(fix.entry, fix.now);
     submit(&fix, &key, 1);
     g_assert_cmpint(fix.answers, ==, 1);
     g_assert_cmpstr(Err_Text(fix.answer), ==, "no_evidence");
--- a/tests/runner_fixture.c
+++ b/tests/runner_fixture.c
@@ -126,7 +126,7 @@
     fix->now_ms = START_MS;
     fix->clock_ms = CLOCK_MS;
     fix->cpu_milli = 4000;
-    config.term = LeaseFix_Timing();
+    config.timing = LeaseFix_Timing();
     fix->runner = Runner_New(&config, &runner_ports, fix, fix->now_ms);
 }
 
--- a/tests/slopes.c
+++ b/tests/slopes.c
@@ -352,7 +352,7 @@
                            .tasks = payloads,
                            .count = tasks};
 
-    spec.key = Entry_MintKey(fixture->entry, fixture->now);
+    spec.key = Entry_CreateKey(fixture->entry, fixture->now);
     Entry_Submit(fixture->entry, fixture->now, 1, &spec);
     answer_all(fixture);
 }
@@ -530,7 +530,7 @@
 snapshot_bytes_by_groups(double size)
 {
     slope_fixture *fixture = new_fixture(1, (uint32_t)size);
-    json_t *table = GroupTable_ToJson(Entry_Table(fixture->entry));
+    json_t *table = GroupTable_ToJson(Entry_GroupTable(fixture->entry));
     char *text = json_dumps(table, JSON_COMPACT);
     double length = (double)strlen(text);
 
--- a/tests/soak/cluster.cc
+++ b/tests/soak/cluster.cc
@@ -104,7 +104,7 @@
     : settings(cluster_settings), loop(uv_default_loop()),
       begin_ms((int64_t)uv_now(loop)),
       random_state(Random_Seed(cluster_settings.seed * 2654435761U)),
-      client(Http_NewClient(loop))
+      client(HttpClient_New(loop))
 {
     srand((unsigned)cluster_settings.seed);
     create_processes();
@@ -442,7 +442,7 @@
 }
 
 void
-Cluster::on_answer(void *context, const Http_ClientAnswer *http)
+Cluster::on_answer(void *context, const HttpClient_Answer *http)
 {
     std::unique_ptr<Attempt> attempt((Attempt *)context);
     Cluster *self = attempt->cluster;
@@ -498,7 +498,7 @@
                        ",\"cpu\":" + std::to_string(job->cpu_milli) +
                        ",\"mem_mb\":64,\"estimate_ms\":" +
                        std::to_string(job->work_ms) + "}]}";
-    Http_ClientRequest request = {};
+    HttpClient_Request request = {};
 
     job->attempts++;
     seconds[now() / 1000].sent++;
@@ -513,8 +513,8 @@
     request.timeout_ms = may_hang_up && random_below(20) == 0
                              ? 30 + random_below(300)
                              : CALLER_TIMEOUT_MS;
-    Http_Send(client, &request, on_answer,
-              new Attempt{this, id, may_hang_up, now()});
+    HttpClient_Send(client, &request, on_answer,
+                    new Attempt{this, id, may_hang_up, now()});
 }
 
 uint64_t
@@ -543,7 +543,7 @@
 Cluster::query_state(uint64_t id)
 {
     int entry = (int)random_below((uint32_t)settings.entries);
-    Http_ClientRequest request = {};
+    HttpClient_Request request = {};
     char path[64];
 
     snprintf(path, sizeof(path), "/q/%016" PRIx64, id);
@@ -551,12 +551,12 @@
     request.method = "GET";
     request.path = path;
     request.timeout_ms = STATE_QUERY_TIMEOUT_MS;
-    Http_Send(client, &request, on_state_answer,
-              new Attempt{this, id, false, now()});
+    HttpClient_Send(client, &request, on_state_answer,
+                    new Attempt{this, id, false, now()});
 }
 
 void
-Cluster::on_state_answer(void *context, const Http_ClientAnswer *http)
+Cluster::on_state_answer(void *context, const HttpClient_Answer *http)
 {
     std::unique_ptr<Attempt> attempt((Attempt *)context);
     Cluster *self = attempt->cluster;
@@ -598,16 +598,16 @@
 Cluster::check_routes_applied()
 {
     for (int i = 0; i < settings.entries; i++) {
-        Http_ClientRequest request = {};
+        HttpClient_Request request = {};
         std::string path = "/v" + std::to_string(routes_version) + "/";
 
         request.to = address(entry_host(i), PORT_CALLERS);
         request.method = "GET";
         request.path = path.c_str();
         request.timeout_ms = 1000;
-        Http_Send(
+        HttpClient_Send(
             client, &request,
-            [](void *context, const Http_ClientAnswer *answer) {
+            [](void *context, const HttpClient_Answer *answer) {
                 Cluster *self = (Cluster *)context;
                 if (answer->end != HTTP_CLIENT_ANSWERED ||
                     answer->status != 200) {
--- a/tests/soak/cluster.h
+++ b/tests/soak/cluster.h
@@ -140,9 +140,9 @@
     struct Attempt;
     void count_answer(const Attempt &attempt, const Job &job,
                       const Answer &answer);
-    static void on_answer(void *context, const Http_ClientAnswer *http);
+    static void on_answer(void *context, const HttpClient_Answer *http);
     void query_state(uint64_t id);
-    static void on_state_answer(void *context, const Http_ClientAnswer *http);
+    static void on_state_answer(void *context, const HttpClient_Answer *http);
 
     int64_t begin_ms;
     uint64_t random_state;
--- a/tests/soak/store.cc
+++ b/tests/soak/store.cc
@@ -69,12 +69,12 @@
 send(Http_Server *server, uint64_t request, int status,
      const std::string &body)
 {
-    Http_Response response = {};
+    HttpServer_Response response = {};
 
     response.status = status;
     response.body = body.data();
     response.length = body.size();
-    Http_Respond(server, request, &response);
+    HttpServer_Respond(server, request, &response);
 }
 
 void
@@ -105,10 +105,11 @@
 
 Store::Store(uv_loop_t *event_loop, Address address) : loop(event_loop)
 {
-    static const Http_Route routes[] = {{"/", serve}, {nullptr, nullptr}};
+    static const HttpServer_Route routes[] = {{"/", serve},
+                                              {nullptr, nullptr}};
     Status status;
 
-    server = Http_NewServer(loop, address, routes, this, &status);
+    server = HttpServer_New(loop, address, routes, this, &status);
     if (server == nullptr) {
         fprintf(stderr, "store: %s\n", status.message);
         exit(1);
@@ -151,7 +152,7 @@
 }
 
 void
-Store::serve_newest(const Http_Request *request)
+Store::serve_newest(const HttpServer_Request *request)
 {
     const Topic &topic = topics[query_text(request->query, "topic=")];
     std::string after = query_text(request->query, "depends_on=");
@@ -218,7 +219,7 @@
 }
 
 void
-Store::serve_read(const Http_Request *request)
+Store::serve_read(const HttpServer_Request *request)
 {
     PendingRead read;
 
@@ -234,7 +235,7 @@
 
 /* Appends all records of a request, once for each number of a producer. */
 void
-Store::serve_append(const Http_Request *request)
+Store::serve_append(const HttpServer_Request *request)
 {
     Topic &topic = topics[query_text(request->query, "topic=")];
     bool numbered = strstr(request->query, "producer=") != nullptr;
@@ -287,7 +288,7 @@
 }
 
 void
-Store::serve(void *context, const Http_Request *request)
+Store::serve(void *context, const HttpServer_Request *request)
 {
     Store *self = (Store *)context;
 
--- a/tests/soak/store.h
+++ b/tests/soak/store.h
@@ -62,12 +62,12 @@
         int64_t until_ms;
     };
 
-    static void serve(void *context, const Http_Request *request);
+    static void serve(void *context, const HttpServer_Request *request);
     static void on_tick(uv_timer_t *timer);
-    void serve_newest(const Http_Request *request);
-    void serve_append(const Http_Request *request);
+    void serve_newest(const HttpServer_Request *request);
+    void serve_append(const HttpServer_Request *request);
     void answer_pending_reads();
-    void serve_read(const Http_Request *request);
+    void serve_read(const HttpServer_Request *request);
     bool answer_read(const PendingRead &read);
     void respond(uint64_t request, int status, const std::string &body);
 
--- a/tests/soak/upstream.cc
+++ b/tests/soak/upstream.cc
@@ -65,10 +65,11 @@
       companion(companion_address),
       begin_ms((int64_t)uv_now(event_loop) - 1000)
 {
-    static const Http_Route routes[] = {{"/", serve}, {nullptr, nullptr}};
+    static const HttpServer_Route routes[] = {{"/", serve},
+                                              {nullptr, nullptr}};
     Status status;
 
-    server = Http_NewServer(loop, address, routes, this, &status);
+    server = HttpServer_New(loop, address, routes, this, &status);
     if (server == nullptr) {
         fprintf(stderr, "%s: %s\n", name.c_str(), status.message);
         exit(1);
@@ -122,7 +123,7 @@
         {RUNNER_ORDER_OTHER_INCARNATION, 421, nullptr},
     };
     std::string body = "{\"clock_ms\":" + std::to_string(model.clock(now()));
-    Http_Response response = {};
+    HttpServer_Response response = {};
 
     response.status = 400;
     for (const auto &row : rows) {
@@ -136,7 +137,7 @@
     body += extra_fields + "}";
     response.body = body.data();
     response.length = body.size();
-    Http_Respond(server, request, &response);
+    HttpServer_Respond(server, request, &response);
 }
 
 bool
@@ -230,11 +231,11 @@
 }
 
 void
-Upstream::serve(void *context, const Http_Request *request)
+Upstream::serve(void *context, const HttpServer_Request *request)
 {
     Upstream *self = (Upstream *)context;
-    const char *expected = Http_Header(self->server, request->id,
-                                       "x-expect-instance");
+    const char *expected = HttpServer_Header(self->server, request->id,
+                                             "x-expect-instance");
     std::string body(request->body, request->length);
     std::string instance = expected == nullptr ? "" : expected;
 
@@ -275,7 +276,7 @@
 }
 
 void
-Upstream::on_heartbeat_answer(void *, const Http_ClientAnswer *)
+Upstream::on_heartbeat_answer(void *, const HttpClient_Answer *)
 {
 }
 
@@ -283,7 +284,7 @@
 Upstream::send_heartbeat(const std::string &instance, uint64_t number,
                          int64_t clock_ms, int64_t born_ms)
 {
-    Http_ClientRequest request = {};
+    HttpClient_Request request = {};
     char body[400];
     std::string path = "/instances/" + instance + "/heartbeat";
 
@@ -300,7 +301,7 @@
     request.body = body;
     request.length = strlen(body);
     request.timeout_ms = 1000;
-    Http_Send(client, &request, on_heartbeat_answer, this);
+    HttpClient_Send(client, &request, on_heartbeat_answer, this);
 }
 
 /* Also sends the last heartbeat of a crashed incarnation late, after the
--- a/tests/soak/upstream.h
+++ b/tests/soak/upstream.h
@@ -49,11 +49,11 @@
         std::string instance;
     };
 
-    static void serve(void *context, const Http_Request *request);
+    static void serve(void *context, const HttpServer_Request *request);
     static void on_tick(uv_timer_t *timer);
     static void on_heartbeat(uv_timer_t *timer);
     static void on_heartbeat_answer(void *context,
-                                    const Http_ClientAnswer *answer);
+                                    const HttpClient_Answer *answer);
     static void on_delayed_order(uv_timer_t *timer);
     void send_heartbeat(const std::string &instance, uint64_t number,
                         int64_t clock_ms, int64_t born_ms);
--- a/tests/standin_platform.c
+++ b/tests/standin_platform.c
@@ -26,19 +26,20 @@
 } platform;
 
 static void
-respond(platform *self, const Http_Request *request, int status, json_t *body)
+respond(platform *self, const HttpServer_Request *request, int status,
+        json_t *body)
 {
     char *text = json_dumps(body, JSON_COMPACT);
-    Http_Response response = {
+    HttpServer_Response response = {
         .status = status, .body = text, .length = strlen(text)};
 
-    Http_Respond(self->server, request->id, &response);
+    HttpServer_Respond(self->server, request->id, &response);
     free(text);
     json_decref(body);
 }
 
 static void
-append_record(platform *self, const Http_Request *request)
+append_record(platform *self, const HttpServer_Request *request)
 {
     g_ptr_array_add(self->records, g_strndup(request->body, request->length));
     if (self->lose_confirmations > 0) {
@@ -51,7 +52,7 @@
 }
 
 static void
-read_records(platform *self, const Http_Request *request)
+read_records(platform *self, const HttpServer_Request *request)
 {
     const char *from_text = strstr(request->query, "from=");
     uint64_t from = from_text == NULL ? 1 : strtoull(from_text + 5, NULL, 10);
@@ -71,7 +72,7 @@
 }
 
 static void
-serve_log(void *context, const Http_Request *request)
+serve_log(void *context, const HttpServer_Request *request)
 {
     platform *self = context;
 
@@ -87,11 +88,11 @@
 }
 
 static void
-answer_hosts(platform *self, const Http_Request *request)
+answer_hosts(platform *self, const HttpServer_Request *request)
 {
     char *text = json_dumps(self->hosts, JSON_COMPACT);
     char etag[32];
-    Http_Response response = {
+    HttpServer_Response response = {
         .status = 200, .etag = etag, .body = text, .length = strlen(text)};
 
     g_snprintf(etag, sizeof(etag), "\"%" G_GUINT64_FORMAT "\"",
@@ -101,12 +102,12 @@
         response.status = 304;
         response.length = 0;
     }
-    Http_Respond(self->server, request->id, &response);
+    HttpServer_Respond(self->server, request->id, &response);
     free(text);
 }
 
 static void
-serve_hosts(void *context, const Http_Request *request)
+serve_hosts(void *context, const HttpServer_Request *request)
 {
     platform *self = context;
     json_t *body;
@@ -123,7 +124,7 @@
 }
 
 static void
-serve_control(void *context, const Http_Request *request)
+serve_control(void *context, const HttpServer_Request *request)
 {
     platform *self = context;
     json_t *body = json_loadb(request->body, request->length, 0, NULL);
@@ -144,7 +145,7 @@
     respond(self, request, 200, json_object());
 }
 
-static const Http_Route routes[] = {
+static const HttpServer_Route routes[] = {
     {"/log", serve_log},
     {"/hosts", serve_hosts},
     {"/control", serve_control},
@@ -165,7 +166,7 @@
     signal(SIGPIPE, SIG_IGN);
     self.records = g_ptr_array_new();
     self.hosts = json_pack("{s:[]}", "hosts");
-    self.server = Http_NewServer(uv_default_loop(), address, routes, &self,
+    self.server = HttpServer_New(uv_default_loop(), address, routes, &self,
                                  &status);
     if (self.server == NULL) {
         fprintf(stderr, "%s\n", status.message);
--- a/tests/standin_upstream.c
+++ b/tests/standin_upstream.c
@@ -48,34 +48,35 @@
 on_task_end(uv_timer_t *timer)
 {
     running_task *task = timer->data;
-    Http_Response response = {.status = task->status,
-                              .type = "text/plain",
-                              .body = task->echo,
-                              .length = strlen(task->echo)};
+    HttpServer_Response response = {.status = task->status,
+                                    .type = "text/plain",
+                                    .body = task->echo,
+                                    .length = strlen(task->echo)};
 
     task->self->running--;
     g_hash_table_insert(task->self->usage, (gpointer)task->group,
                         GSIZE_TO_POINTER(GPOINTER_TO_SIZE(g_hash_table_lookup(
                                              task->self->usage, task->group)) +
                                          task->length_ms));
-    Http_Respond(task->self->server, task->id, &response);
+    HttpServer_Respond(task->self->server, task->id, &response);
     uv_close((uv_handle_t *)timer, free_task);
 }
 
 static void
-respond_text(upstream *self, const Http_Request *request, int status,
+respond_text(upstream *self, const HttpServer_Request *request, int status,
              const char *text)
 {
-    Http_Response response = {.status = status,
-                              .type = "text/plain",
-                              .body = text,
-                              .length = strlen(text)};
+    HttpServer_Response response = {.status = status,
+                                    .type = "text/plain",
+                                    .body = text,
+                                    .length = strlen(text)};
 
-    Http_Respond(self->server, request->id, &response);
+    HttpServer_Respond(self->server, request->id, &response);
 }
 
 static void
-start_task(upstream *self, const Http_Request *request, const json_t *payload)
+start_task(upstream *self, const HttpServer_Request *request,
+           const json_t *payload)
 {
     running_task *task = g_new0(running_task, 1);
     const json_t *status = json_object_get(payload, "status");
@@ -95,7 +96,7 @@
 }
 
 static void
-serve_run(void *context, const Http_Request *request)
+serve_run(void *context, const HttpServer_Request *request)
 {
     upstream *self = context;
     json_t *payload = json_loadb(request->body, request->length, 0, NULL);
@@ -113,7 +114,7 @@
 }
 
 static void
-serve_starts(void *context, const Http_Request *request)
+serve_starts(void *context, const HttpServer_Request *request)
 {
     upstream *self = context;
 
@@ -121,7 +122,7 @@
 }
 
 static void
-serve_excess(void *context, const Http_Request *request)
+serve_excess(void *context, const HttpServer_Request *request)
 {
     upstream *self = context;
     char text[16];
@@ -131,7 +132,7 @@
 }
 
 static void
-serve_usage(void *context, const Http_Request *request)
+serve_usage(void *context, const HttpServer_Request *request)
 {
     upstream *self = context;
     GString *text = g_string_new(NULL);
@@ -148,7 +149,7 @@
     g_string_free(text, TRUE);
 }
 
-static const Http_Route routes[] = {
+static const HttpServer_Route routes[] = {
     {"/run", serve_run},
     {"/starts", serve_starts},
     {"/excess", serve_excess},
@@ -171,7 +172,7 @@
     self.slots = (uint32_t)strtoul(argv[2], NULL, 10);
     self.starts = g_string_new(NULL);
     self.usage = g_hash_table_new(g_str_hash, g_str_equal);
-    self.server = Http_NewServer(uv_default_loop(), address, routes, &self,
+    self.server = HttpServer_New(uv_default_loop(), address, routes, &self,
                                  &status);
     if (self.server == NULL) {
         fprintf(stderr, "%s\n", status.message);
--- a/wire/levercove.x
+++ b/wire/levercove.x
@@ -564,7 +564,7 @@
     string path<LC_MAX_PATH>;
     opaque body<LC_MAX_RECORD>;
     unsigned int timeout_ms;
-    unsigned int transfer_ms; /* as in Http_ClientRequest */
+    unsigned int transfer_ms; /* as in HttpClient_Request */
 };
 
 struct lc_store_res {
