--- a/cli/main.c
+++ b/cli/main.c
@@ -70,15 +70,15 @@
     const Command *command;
 
     for (command = command_table; command->name != NULL; command++) {
-        char *both = argc > 2 ? g_strconcat(argv[1], " ", argv[2], NULL)
-                              : g_strdup("");
+        char *two_words = argc > 2 ? g_strconcat(argv[1], " ", argv[2], NULL)
+                                   : g_strdup("");
         *words = strchr(command->name, ' ') == NULL ? 1 : 2;
         if ((*words == 1 && argc > 1 && strcmp(argv[1], command->name) == 0) ||
-            strcmp(both, command->name) == 0) {
-            g_free(both);
+            strcmp(two_words, command->name) == 0) {
+            g_free(two_words);
             return command;
         }
-        g_free(both);
+        g_free(two_words);
     }
     return NULL;
 }
--- a/core/admission.c
+++ b/core/admission.c
@@ -152,7 +152,7 @@
     Dispatch_Run(board);
 }
 
-/* Continues a job of a gone entry from what companions have reported. */
+/* Continues a job of a removed entry from what companions have reported. */
 static void
 resume_recovered(Blackboard *board, Job *job, const Job_Waiter *waiter,
                  const Admission_Spec *spec)
--- a/core/blackboard.h
+++ b/core/blackboard.h
@@ -164,12 +164,14 @@
     uint64_t append_pending; /**< view or snapshot append in flight */
     int64_t append_ms;       /**< when that append was sent */
     int64_t append_end_ms;   /**< when the last append ended */
-    int64_t proposal_ms;     /**< since when a view change is due, or 0 */
-    int64_t snapshot_ms;     /**< when the last snapshot was applied */
-    GPtrArray *edits;        /**< Table_Edit */
+    /** Since when a view change is due, or 0. */
+    int64_t proposal_due_since_ms;
+    int64_t snapshot_ms; /**< when the last snapshot was applied */
+    GPtrArray *edits;    /**< Table_Edit */
     uint64_t next_append;
-    uint64_t shares_epoch;   /**< epoch whose shares of caps apply */
-    int64_t all_complied_ms; /**< since when no entry exceeds its new share */
+    uint64_t shares_epoch;         /**< epoch whose shares of caps apply */
+    int64_t all_complied_since_ms; /**< since when no entry exceeds its new
+                                      share */
     uint64_t last_borrow;
     uint64_t complied; /**< epoch whose shares this entry does not exceed */
     bool joined;       /**< has been a member of the view */
--- a/core/companion.c
+++ b/core/companion.c
@@ -168,7 +168,7 @@
 }
 
 static void
-offer_slots(Companion *companion)
+grant_free_slots(Companion *companion)
 {
     SlotArbiter_Grant grant;
 
@@ -450,7 +450,7 @@
                               args->demand.demand_val,
                               args->demand.demand_len);
     }
-    offer_slots(companion);
+    grant_free_slots(companion);
     reply.u.decline.free = available_slots(companion);
     companion->ports.reply(companion->context, reply_id, &reply);
 }
@@ -519,7 +519,7 @@
     }
     if (call->grant != 0 && (reply == NULL || !reply->u.grant.used)) {
         SlotArbiter_OnDecline(companion->arbiter, call->grant);
-        offer_slots(companion);
+        grant_free_slots(companion);
     }
     g_free(call);
 }
@@ -561,7 +561,7 @@
     if (granted && !same) {
         send_grant(companion, &grant);
     }
-    offer_slots(companion);
+    grant_free_slots(companion);
 }
 
 /* The upstream accepted a connection. */
@@ -666,7 +666,7 @@
                                                companion->config.window_ms -
                                                2 * companion->config.skew_ms);
     expire_sequences(companion);
-    offer_slots(companion);
+    grant_free_slots(companion);
 }
 
 void
--- a/core/group_limits.c
+++ b/core/group_limits.c
@@ -93,7 +93,7 @@
 GroupLimits_OnView(Blackboard *board)
 {
     if (board->shares_epoch != Blackboard_View(board)->epoch) {
-        board->all_complied_ms = 0;
+        board->all_complied_since_ms = 0;
     }
 }
 
@@ -108,11 +108,11 @@
         return;
     }
     if (board->complied < epoch || !members_complied(board)) {
-        board->all_complied_ms = 0;
+        board->all_complied_since_ms = 0;
         return;
     }
-    if (board->all_complied_ms == 0) {
-        board->all_complied_ms = board->now.mono_ms;
+    if (board->all_complied_since_ms == 0) {
+        board->all_complied_since_ms = board->now.mono_ms;
     }
     if (removed_since(board, board->shares_epoch)) {
         /*
@@ -122,7 +122,7 @@
         wait_ms = board->config.evidence_ms * 11 / 10 +
                   board->config.task_timeout_ms;
     }
-    if (board->now.mono_ms - board->all_complied_ms >= wait_ms) {
+    if (board->now.mono_ms - board->all_complied_since_ms >= wait_ms) {
         board->shares_epoch = epoch;
     }
 }
--- a/core/membership.c
+++ b/core/membership.c
@@ -262,7 +262,7 @@
 static void
 relay_if_due(Blackboard *board, Peer *peer)
 {
-    lc_node relayer;
+    lc_node relay_entry;
     bool overdue;
 
     if (peer->node.incarnation == 0 || peer->relaying ||
@@ -275,9 +275,9 @@
     }
     overdue = board->now.mono_ms - peer->behind_since_ms >=
               RELAY_BACKUP_DELAY_MS;
-    relayer = View_RelayEntry(Blackboard_View(board), peer->address);
+    relay_entry = View_RelayEntry(Blackboard_View(board), peer->address);
     if (peer->wants_relay || overdue ||
-        (!is_entry(peer) && Node_Same(&relayer, &board->config.self))) {
+        (!is_entry(peer) && Node_Same(&relay_entry, &board->config.self))) {
         relay(board, peer);
     }
 }
@@ -468,7 +468,7 @@
         /* Whether it took effect is learned by reading the log. */
         board->append_pending = 0;
         board->append_end_ms = board->now.mono_ms;
-        board->proposal_ms = 0;
+        board->proposal_due_since_ms = 0;
     }
 }
 
@@ -511,13 +511,14 @@
     }
     add_removals(board, changes);
     if (changes->len == 0) {
-        board->proposal_ms = 0;
+        board->proposal_due_since_ms = 0;
     }
-    else if (board->proposal_ms == 0) {
-        board->proposal_ms = board->now.mono_ms;
+    else if (board->proposal_due_since_ms == 0) {
+        board->proposal_due_since_ms = board->now.mono_ms;
     }
-    if (changes->len > 0 && board->now.mono_ms - board->proposal_ms >=
-                                (int64_t)own_rank(board) * RANK_DELAY_MS) {
+    if (changes->len > 0 &&
+        board->now.mono_ms - board->proposal_due_since_ms >=
+            (int64_t)own_rank(board) * RANK_DELAY_MS) {
         append_changes(board, changes);
     }
     g_array_unref(changes);
--- a/core/ownership.c
+++ b/core/ownership.c
@@ -44,10 +44,10 @@
 
 /*
  * Whether an owner of the key in the epochs before index `first` has left the
- * view, so that it cannot be asked.
+ * view, so that it cannot be queried.
  */
 static bool
-had_departed_owner(const View *view, guint first, const Key *key)
+had_removed_owner(const View *view, guint first, const Key *key)
 {
     guint i;
 
@@ -94,7 +94,7 @@
         return OWN_UNSURE;
     }
     if (created_ms < settled->unsure_before_ms &&
-        had_departed_owner(view, first, key)) {
+        had_removed_owner(view, first, key)) {
         return OWN_UNSURE;
     }
     return OWN_NEVER_STARTED;
@@ -140,7 +140,7 @@
 } holder_search;
 
 static void
-find_departed_holder(Job *job, void *context)
+find_removed_holder(Job *job, void *context)
 {
     holder_search *search = context;
 
@@ -156,11 +156,11 @@
  * had the authoritative state, so it must be queried again.
  */
 static bool
-has_departed_holder(const Blackboard *board)
+has_removed_holder(const Blackboard *board)
 {
     holder_search search = {board, false};
 
-    Ledger_ForEach(board->ledger, find_departed_holder, &search);
+    Ledger_ForEach(board->ledger, find_removed_holder, &search);
     return search.found;
 }
 
@@ -175,7 +175,7 @@
     }
     settle->epoch = view->epoch;
     settle->active = Blackboard_IsOwner(board);
-    if (Recovery_RemoveForeign(board) > 0 || has_departed_holder(board)) {
+    if (Recovery_RemoveForeign(board) > 0 || has_removed_holder(board)) {
         settle->full = true;
     }
     settle->started_ms = board->now.mono_ms;
@@ -492,7 +492,7 @@
 }
 
 static void
-drop_old_settles(Blackboard *board)
+remove_old_settles(Blackboard *board)
 {
     const View *view = Blackboard_View(board);
     uint64_t oldest = g_array_index(view->epochs, View_Epoch, 0).offset;
@@ -517,7 +517,7 @@
     Recovery_Merge(board, board->settle.found, settled.unsure_before_ms);
     g_ptr_array_set_size(board->settle.found, 0);
     g_array_append_val(board->settles, settled);
-    drop_old_settles(board);
+    remove_old_settles(board);
     Blackboard_Event(
         board, EVENT_SETTLED,
         "epoch %llu settled in %lld ms, %u companions did not answer",
--- a/core/task_records.c
+++ b/core/task_records.c
@@ -107,7 +107,7 @@
 }
 
 static void
-drop_result(TaskRecords *records, TaskRecord *record)
+free_result(TaskRecords *records, TaskRecord *record)
 {
     if (record->length == 0) {
         return;
@@ -122,7 +122,7 @@
 void
 TaskRecords_Remove(TaskRecords *records, TaskRecord *record)
 {
-    drop_result(records, record);
+    free_result(records, record);
     g_queue_remove(&records->order, record);
     Handle_Remove(records->handles, record->handle);
     g_hash_table_remove(records->by_task, record);
@@ -133,7 +133,7 @@
 {
     while (records->bytes > records->max_bytes) {
         TaskRecord *record = g_queue_peek_head(&records->with_results);
-        drop_result(records, record);
+        free_result(records, record);
         record->state = LC_TASK_EVICTED;
     }
 }
@@ -185,10 +185,10 @@
                  bool (*visit)(const TaskRecord *record, void *context),
                  void *context)
 {
-    const GList *place;
+    const GList *item;
 
-    for (place = records->order.head; place != NULL; place = place->next) {
-        const TaskRecord *record = place->data;
+    for (item = records->order.head; item != NULL; item = item->next) {
+        const TaskRecord *record = item->data;
         if (record->number > after && !visit(record, context)) {
             return;
         }
--- a/wire/rpc.c
+++ b/wire/rpc.c
@@ -7,7 +7,7 @@
 #include "wire/run_batch.h"
 
 #define LISTEN_BACKLOG 512
-#define READ_CHUNK 65536
+#define READ_BUFFER_BYTES 65536
 #define LAST_FRAGMENT 0x80000000U
 /* Interval between checks of all connections when keepalive is enabled. */
 #define KEEPALIVE_INTERVAL_MS 100
@@ -66,7 +66,7 @@
     uint32_t keepalive_timeout_ms; /* 0: keepalive is disabled */
     bool listening;
     bool closing;
-    int handles;
+    int open_handles;
     uint32_t writes;
     Counters *counters;
     Rpc_Handlers handlers;
@@ -76,7 +76,7 @@
     GHashTable *by_peer;
     GArray *lost_calls;
     Rpc_Traffic traffic;
-    char chunk[READ_CHUNK];
+    char read_buffer[READ_BUFFER_BYTES];
 };
 
 static void
@@ -84,7 +84,7 @@
 {
     uint32_t i;
 
-    if (!rpc->closing || rpc->handles > 0) {
+    if (!rpc->closing || rpc->open_handles > 0) {
         return;
     }
     for (i = 0; i < Handle_RowCount(rpc->incoming); i++) {
@@ -102,7 +102,7 @@
 {
     Rpc *rpc = handle->data;
 
-    rpc->handles--;
+    rpc->open_handles--;
     free_when_closed(rpc);
 }
 
@@ -142,7 +142,7 @@
     g_byte_array_unref(conn->out);
     g_hash_table_unref(conn->pending);
     g_free(conn);
-    rpc->handles--;
+    rpc->open_handles--;
     free_when_closed(rpc);
 }
 
@@ -183,7 +183,7 @@
     conn->active_ms = (int64_t)uv_now(rpc->loop);
     uv_tcp_init(rpc->loop, &conn->tcp);
     conn->tcp.data = conn;
-    rpc->handles++;
+    rpc->open_handles++;
     return conn;
 }
 
@@ -409,7 +409,7 @@
     connection *conn = handle->data;
 
     (void)suggested;
-    *buffer = uv_buf_init(conn->rpc->chunk, READ_CHUNK);
+    *buffer = uv_buf_init(conn->rpc->read_buffer, READ_BUFFER_BYTES);
 }
 
 static void
@@ -593,7 +593,7 @@
     rpc->lost_calls_timer.data = rpc;
     uv_timer_init(loop, &rpc->keepalive_timer);
     rpc->keepalive_timer.data = rpc;
-    rpc->handles = 2;
+    rpc->open_handles = 2;
     return rpc;
 }
 
@@ -606,7 +606,7 @@
     uv_tcp_init(rpc->loop, &rpc->listener);
     rpc->listener.data = rpc;
     rpc->listening = true;
-    rpc->handles++;
+    rpc->open_handles++;
     result = uv_tcp_bind(&rpc->listener, (const struct sockaddr *)&local, 0);
     if (result == 0) {
         result = uv_listen((uv_stream_t *)&rpc->listener, LISTEN_BACKLOG,
