--- a/daemon/leased_companion.c
+++ b/daemon/leased_companion.c
@@ -236,7 +236,7 @@
     call.u.report.next_ms = (u_int)idle_interval_ms(self);
     call.u.report.known = self->peers.list_digest;
     peer->call_id = ++self->last_call_id;
-    peer->asked_ms = now;
+    peer->call_sent_ms = now;
     peer->version_in_flight = Runner_Version(self->runner);
     peer->connected = true;
     Rpc_Call(self->process.rpc, peer->address, peer->call_id, &call);
@@ -255,8 +255,9 @@
     bool other_hall = self->left_out > 0 &&
                       strcmp(peer->hall, self->process.options->hall) != 0;
 
-    return other_hall ? (int64_t)peer->gap_ms * REPORT_OTHER_HALL_FACTOR
-                      : peer->gap_ms;
+    return other_hall
+               ? (int64_t)peer->report_interval_ms * REPORT_OTHER_HALL_FACTOR
+               : peer->report_interval_ms;
 }
 
 /* Time in ms until the next report to a peer: 0 for now, -1 if no timer is
@@ -266,7 +267,7 @@
                 const Peers_Row *peer)
 {
     int64_t interval = report_interval_ms(self, peer);
-    int64_t since = now - peer->asked_ms;
+    int64_t since = now - peer->call_sent_ms;
 
     if (peer->call_id != 0 || !peer->chosen) {
         return -1;
@@ -274,7 +275,7 @@
     if (!Peers_IsLive(peer, now)) {
         return since >= Peers_CallTimeoutMs(peer, now) ? 0 : -1;
     }
-    if (peer->told == Runner_Version(self->runner)) {
+    if (peer->confirmed_version == Runner_Version(self->runner)) {
         return since >= idle_interval_ms(self) ? 0 : -1;
     }
     return since >= interval ? 0 : interval - since;
@@ -347,7 +348,7 @@
     for (i = 0; i < self->peers.rows->len; i++) {
         const Peers_Row *peer = g_ptr_array_index(self->peers.rows, i);
         if (peer->call_id != 0 &&
-            now - peer->asked_ms >= Peers_CallTimeoutMs(peer, now)) {
+            now - peer->call_sent_ms >= Peers_CallTimeoutMs(peer, now)) {
             Rpc_Disconnect(self->process.rpc, peer->address);
         }
     }
@@ -360,10 +361,10 @@
     int64_t now = now_ms(self);
     bool all = now < self->report_all_until_ms;
 
-    Runner_MergeClosures(self->runner, now, peer->asked_ms, &result->closures,
-                         Address_Text(peer->address));
-    peer->told = peer->version_in_flight;
-    peer->gap_ms = result->gap_ms;
+    Runner_MergeClosures(self->runner, now, peer->call_sent_ms,
+                         &result->closures, Address_Text(peer->address));
+    peer->confirmed_version = peer->version_in_flight;
+    peer->report_interval_ms = result->gap_ms;
     if (Peers_MarkAlive(&self->peers, peer->address, now)) {
         Event_Log(EVENT_PEER_FOUND, "%s", Address_Text(peer->address));
     }
@@ -386,11 +387,11 @@
 /* ---- closed halls ---- */
 
 static void
-on_closures(void *context, int64_t asked_ms, const lc_closures *received)
+on_closures(void *context, int64_t requested_ms, const lc_closures *received)
 {
     leased_companion *self = context;
 
-    Runner_MergeClosures(self->runner, now_ms(self), asked_ms, received,
+    Runner_MergeClosures(self->runner, now_ms(self), requested_ms, received,
                          "the store");
 }
 
@@ -426,21 +427,21 @@
 handle_heartbeat(leased_companion *self, const HttpServer_Request *request,
                  const char *instance)
 {
-    UpstreamApi_Heartbeat beat;
+    UpstreamApi_Heartbeat heartbeat;
     Status status = {ERR_OK, ""};
 
     if (UpstreamApi_ParseHeartbeat(instance, request->body, request->length,
-                                   &beat, &status) != ERR_OK) {
+                                   &heartbeat, &status) != ERR_OK) {
         Counter_Add(role_counters(&self->process), COUNTER_HEARTBEATS_BAD, 1);
         HttpServer_RespondError(self->heartbeats, request->id, status.kind,
                                 status.message, 0);
     }
     else {
-        Runner_OnHeartbeat(self->runner, now_ms(self), &beat.upstream);
+        Runner_OnHeartbeat(self->runner, now_ms(self), &heartbeat.upstream);
         HttpServer_RespondJson(self->heartbeats, request->id, STATUS_OK, 0,
                                "{}");
     }
-    UpstreamApi_FreeHeartbeat(&beat);
+    UpstreamApi_FreeHeartbeat(&heartbeat);
     after_input(self);
 }
 
--- a/daemon/leased_durable.c
+++ b/daemon/leased_durable.c
@@ -24,13 +24,13 @@
 }
 
 static void
-on_read(void *context, int64_t asked_ms, uint64_t end)
+on_read(void *context, int64_t requested_ms, uint64_t end)
 {
     Leased_Entry *self = context;
 
     (void)end;
     DurableJobs_OnLogRead(self->durable_jobs, LeasedEntry_OnInput(self),
-                          asked_ms);
+                          requested_ms);
 }
 
 static void
--- a/daemon/leased_entry.c
+++ b/daemon/leased_entry.c
@@ -421,7 +421,7 @@
     }
     peer->call_id = 0;
     if (reply != NULL && reply->kind == MSG_GOSSIP) {
-        LeasedGossip_OnReply(self, peer->asked_ms, &reply->u.gossip);
+        LeasedGossip_OnReply(self, peer->call_sent_ms, &reply->u.gossip);
     }
 }
 
@@ -458,7 +458,8 @@
     if (self->callers == NULL) {
         return status->kind;
     }
-    HttpServer_SetDisconnectHandler(self->callers, LeasedJobsApi_OnCallerGone);
+    HttpServer_SetDisconnectHandler(self->callers,
+                                    LeasedJobsApi_OnCallerDisconnect);
     self->ready = HttpServer_New(loop, options->ready, ready_routes, self,
                                  status);
     if (self->ready == NULL) {
--- a/daemon/leased_entry_state.h
+++ b/daemon/leased_entry_state.h
@@ -86,7 +86,7 @@
 
 /** A caller has disconnected before its answer. @p context is the
  * Leased_Entry. */
-void LeasedJobsApi_OnCallerGone(void *context, uint64_t request);
+void LeasedJobsApi_OnCallerDisconnect(void *context, uint64_t request);
 
 /** Another entry asks to cancel a job for its caller: answers whether the job
  * is known here. */
@@ -171,9 +171,9 @@
 void LeasedGossip_OnCall(Leased_Entry *self, uint64_t reply_id,
                          const lc_gossip_args *args);
 
-/** Another entry has answered the gossip sent at @p asked_ms: applies the
+/** Another entry has answered the gossip sent at @p requested_ms: applies the
  * answer. */
-void LeasedGossip_OnReply(Leased_Entry *self, int64_t asked_ms,
+void LeasedGossip_OnReply(Leased_Entry *self, int64_t requested_ms,
                           const lc_gossip_res *result);
 
 #endif
--- a/daemon/leased_gossip.c
+++ b/daemon/leased_gossip.c
@@ -77,7 +77,7 @@
     HallClosures_FillMessage(Dispatcher_Closures(self->dispatcher), now,
                              &call.u.gossip.closures);
     peer->call_id = ++self->last_call_id | LEASED_ENTRY_CALL_FLAG;
-    peer->asked_ms = now;
+    peer->call_sent_ms = now;
     record_sent(self, now, peer, counts);
     Rpc_Call(self->process.rpc, peer->address, peer->call_id, &call);
     g_array_unref(live);
@@ -142,8 +142,8 @@
         Peers_Row *peer = g_ptr_array_index(self->peers.rows, i);
         int64_t interval = gossip_interval_ms(self, now, peer, urgent);
         int64_t timeout = Peers_CallTimeoutMs(peer, now);
-        int64_t since = now - peer->asked_ms;
-        int64_t since_sent = now - MAX(peer->last_sent_ms, peer->asked_ms);
+        int64_t since = now - peer->call_sent_ms;
+        int64_t since_sent = now - MAX(peer->last_sent_ms, peer->call_sent_ms);
         if (peer->call_id == 0 && since_sent >= interval) {
             send_gossip(self, now, peer);
         }
@@ -225,13 +225,13 @@
 }
 
 void
-LeasedGossip_OnReply(Leased_Entry *self, int64_t asked_ms,
+LeasedGossip_OnReply(Leased_Entry *self, int64_t requested_ms,
                      const lc_gossip_res *result)
 {
     DurableJobs_OnPeer(self->durable_jobs, self->last_input_ms,
                        result->from.address, result->kept);
-    Dispatcher_MergeClosures(self->dispatcher, self->last_input_ms, asked_ms,
-                             &result->closures,
+    Dispatcher_MergeClosures(self->dispatcher, self->last_input_ms,
+                             requested_ms, &result->closures,
                              Address_Text(result->from.address));
     apply_gossip(self, result->from.address, result->routes_version,
                  result->known, result->entries.entries_val,
--- a/daemon/leased_jobs_api.c
+++ b/daemon/leased_jobs_api.c
@@ -253,13 +253,13 @@
 }
 
 void
-LeasedJobsApi_OnCallerGone(void *context, uint64_t request)
+LeasedJobsApi_OnCallerDisconnect(void *context, uint64_t request)
 {
     Leased_Entry *self = context;
 
     Dispatcher_OnCallerGone(self->dispatcher, LeasedEntry_OnInput(self),
                             request);
-    DurableJobs_OnCallerGone(self->durable_jobs, request);
+    DurableJobs_OnCallerDisconnect(self->durable_jobs, request);
 }
 
 void
--- a/daemon/leased_routes.c
+++ b/daemon/leased_routes.c
@@ -49,12 +49,12 @@
 }
 
 static void
-on_closures(void *context, int64_t asked_ms, const lc_closures *received)
+on_closures(void *context, int64_t requested_ms, const lc_closures *received)
 {
     Leased_Entry *self = context;
 
     Dispatcher_MergeClosures(self->dispatcher, LeasedEntry_OnInput(self),
-                             asked_ms, received, "the store");
+                             requested_ms, received, "the store");
 }
 
 static void
--- a/daemon/leased_store.c
+++ b/daemon/leased_store.c
@@ -9,7 +9,7 @@
  * soon after a successful probe: a store of which some connections are silent
  * answers probes, and requests over the silent ones would time out again and
  * again (durable jobs were refused for 2.3 s that way). */
-#define RELAPSE_MS 10000
+#define REPEATED_OUTAGE_MS 10000
 #define PROBE_MAX_MS 8000
 #define PROBE_TIMEOUT_MS 400
 /* Time that the other entry may take in addition to the store's. */
@@ -48,12 +48,13 @@
 mark_unreachable(Leased_Entry *self)
 {
     int64_t now = Process_Now().mono_ms;
-    bool relapse = now - self->store_recovered_ms < RELAPSE_MS;
+    bool is_repeated = now - self->store_recovered_ms < REPEATED_OUTAGE_MS;
 
     if (!self->store_unreachable) {
-        self->probe_interval_ms = relapse ? MIN(2 * self->probe_interval_ms,
-                                                PROBE_MAX_MS)
-                                          : PROBE_INTERVAL_MS;
+        self->probe_interval_ms = is_repeated
+                                      ? MIN(2 * self->probe_interval_ms,
+                                            PROBE_MAX_MS)
+                                      : PROBE_INTERVAL_MS;
         self->last_probe_ms = now;
         self->store_unreachable = true;
     }
--- a/daemon/process.c
+++ b/daemon/process.c
@@ -10,7 +10,7 @@
 
 /* A drained process keeps running this long, so that answers that have been
  * written still reach their callers. */
-#define LINGER_MS 300
+#define EXIT_DELAY_MS 300
 #define NS_PER_MS 1000000
 #define US_PER_S 1000000
 #define NS_PER_US 1000
@@ -182,7 +182,7 @@
     if (process->drained_ms == 0) {
         process->drained_ms = now_ms;
     }
-    if (now_ms - process->drained_ms >= LINGER_MS) {
+    if (now_ms - process->drained_ms >= EXIT_DELAY_MS) {
         stop(process);
     }
 }
--- a/lease/active_job.h
+++ b/lease/active_job.h
@@ -25,7 +25,7 @@
     X(SENT, "sent")         /* sent to a companion, which may refuse it */    \
     X(ORPHANED, "orphaned") /* connection lost: it may still run */           \
     X(HALTING, "halting")   /* a stop has been requested */                   \
-    X(AWAY, "away")         /* the job is forwarded to another entry */       \
+    X(FORWARDED, "away")    /* the job is forwarded to another entry */       \
     X(OVER, "over")         /* done, or not to be run again */
 
 /** Task states, in the order of ACTIVE_STATE_LIST. */
--- a/lease/dispatcher.c
+++ b/lease/dispatcher.c
@@ -265,7 +265,8 @@
 int64_t
 Dispatcher_NextDispatchMs(const Dispatcher *self)
 {
-    return self->link_full ? LinkBudget_NextStartMs(&self->link) : INT64_MAX;
+    return self->starts_wait_for_link ? LinkBudget_NextStartMs(&self->link)
+                                      : INT64_MAX;
 }
 
 void
--- a/lease/dispatcher.h
+++ b/lease/dispatcher.h
@@ -95,7 +95,7 @@
 typedef struct {
     lc_run_id id;
     lc_node host;
-} Dispatcher_Placement;
+} Dispatcher_ReportedRun;
 
 /** A durable job to start or to resume. */
 typedef struct {
@@ -104,7 +104,7 @@
     const GByteArray *done; /**< bitmap of the finished tasks */
     const GArray *failures; /**< lc_kept_failures, see
                                  DURABLE_LOG_CRASH_COUNT */
-    const GArray *runs;     /**< Dispatcher_Placement */
+    const GArray *runs;     /**< Dispatcher_ReportedRun */
     uint32_t run_base;      /**< highest run number used before */
 } Dispatcher_DurableJob;
 
@@ -168,10 +168,10 @@
                          const lc_report_args *report);
 
 /** Merges the list of halls closed by operators as received from @p source;
- * see HallClosures_Merge for @p asked_ms. */
+ * see HallClosures_Merge for @p requested_ms. */
 void Dispatcher_MergeClosures(Dispatcher *self, int64_t now_ms,
-                              int64_t asked_ms, const lc_closures *received,
-                              const char *source);
+                              int64_t requested_ms,
+                              const lc_closures *received, const char *source);
 
 /** Returns the closed halls as known here. */
 const HallClosures *Dispatcher_Closures(const Dispatcher *self);
--- a/lease/dispatcher_durable.c
+++ b/lease/dispatcher_durable.c
@@ -79,7 +79,7 @@
  * schedules a query for it. */
 static void
 restore_run(Dispatcher *self, int64_t now_ms, Active_Job *job,
-            const Dispatcher_Placement *run)
+            const Dispatcher_ReportedRun *run)
 {
     uint32_t i;
 
@@ -139,7 +139,7 @@
     restore_failures(job, start->failures);
     for (i = 0; i < start->runs->len; i++) {
         restore_run(self, now_ms, job,
-                    &g_array_index(start->runs, Dispatcher_Placement, i));
+                    &g_array_index(start->runs, Dispatcher_ReportedRun, i));
     }
     Counter_Add(&self->counters, COUNTER_JOBS_SUBMITTED, 1);
     self->dispatch_pending = true;
--- a/lease/dispatcher_forward.c
+++ b/lease/dispatcher_forward.c
@@ -100,7 +100,7 @@
     job->forward_number = ++self->last_forward_number;
     job->starts++;
     job->first_sent_ms = now_ms;
-    move_tasks(job, ACTIVE_WAITING, ACTIVE_AWAY);
+    move_tasks(job, ACTIVE_WAITING, ACTIVE_FORWARDED);
     JobTrace_Add(job->trace, now_ms, JOB_TRACE_FORWARDED, &job->tasks[0].id,
                  job->delegate, (int32_t)local_bytes);
     Counter_Add(&self->counters, COUNTER_JOBS_FORWARDED, 1);
@@ -142,12 +142,12 @@
         Delegates_ClearCredit(delegate);
     }
     Counter_Add(&self->counters, COUNTER_FORWARDS_REFUSED, 1);
-    JobTrace_Add(job->trace, now_ms, JOB_TRACE_GIVEN_BACK, &job->tasks[0].id,
-                 0, 0);
+    JobTrace_Add(job->trace, now_ms, JOB_TRACE_FORWARD_REFUSED,
+                 &job->tasks[0].id, 0, 0);
     job->starts--;
     job->first_sent_ms = 0;
     job->forward_refused = true;
-    move_tasks(job, ACTIVE_AWAY, ACTIVE_WAITING);
+    move_tasks(job, ACTIVE_FORWARDED, ACTIVE_WAITING);
 }
 
 /* The job's outcome cannot be known. The other entry stops the job itself when
--- a/lease/dispatcher_halls.c
+++ b/lease/dispatcher_halls.c
@@ -52,12 +52,13 @@
 }
 
 void
-Dispatcher_MergeClosures(Dispatcher *self, int64_t now_ms, int64_t asked_ms,
-                         const lc_closures *received, const char *source)
+Dispatcher_MergeClosures(Dispatcher *self, int64_t now_ms,
+                         int64_t requested_ms, const lc_closures *received,
+                         const char *source)
 {
     guint i;
 
-    if (HallClosures_Merge(&self->closures, now_ms, asked_ms, received) !=
+    if (HallClosures_Merge(&self->closures, now_ms, requested_ms, received) !=
         HALL_CLOSURES_CHANGED) {
         return;
     }
--- a/lease/dispatcher_hosts.c
+++ b/lease/dispatcher_hosts.c
@@ -71,7 +71,7 @@
             }
             JobTrace_Add(job->trace, now_ms,
                          except_incarnation == 0 ? JOB_TRACE_EXPIRED
-                                                 : JOB_TRACE_REBORN,
+                                                 : JOB_TRACE_RESTARTED,
                          &task->id, address, 0);
             task->avoid = address;
             DispatcherCompletion_Requeue(self, job, task, now_ms);
--- a/lease/dispatcher_queue.c
+++ b/lease/dispatcher_queue.c
@@ -224,7 +224,7 @@
         return true;
     }
     if (has_waiting(self)) {
-        self->link_full = true;
+        self->starts_wait_for_link = true;
         self->dispatch_pending = true;
         LinkBudget_RecordWait(&self->link, now_ms);
     }
@@ -238,7 +238,7 @@
     GArray *queue;
     guint i;
 
-    self->link_full = false;
+    self->starts_wait_for_link = false;
     if (self->paused || Resources_IsZero(&largest) ||
         !link_allows(self, now_ms)) {
         return;
--- a/lease/dispatcher_state.h
+++ b/lease/dispatcher_state.h
@@ -57,8 +57,8 @@
     HallClosures closures;
     Reserve reserve;
     LinkBudget link;
-    bool link_full;        /* starts wait for the link */
-    bool logged_congested; /* state of the last log line on the link */
+    bool starts_wait_for_link; /* starts wait for the link */
+    bool logged_congested;     /* state of the last log line on the link */
     ForwardChoice_Sends sends;
     Delegates delegates;
     uint64_t last_forward_number; /* of jobs forwarded to delegates */
--- a/lease/durable_jobs.c
+++ b/lease/durable_jobs.c
@@ -160,9 +160,9 @@
 }
 
 void
-DurableJobs_OnLogRead(DurableJobs *self, int64_t now_ms, int64_t asked_ms)
+DurableJobs_OnLogRead(DurableJobs *self, int64_t now_ms, int64_t requested_ms)
 {
-    self->log_read_ms = MAX(self->log_read_ms, asked_ms);
+    self->log_read_ms = MAX(self->log_read_ms, requested_ms);
     Dispatcher_EnableDurable(self->dispatcher,
                              now_ms - self->log_read_ms <
                                  DURABLE_JOBS_LOG_TIMEOUT_MS);
@@ -176,7 +176,7 @@
 /* Deletes the records of jobs that ended more than `keep_ms` ago; done only by
  * the live entry with the lowest address. */
 static void
-drop_expired_jobs(DurableJobs *self, int64_t now_ms)
+delete_expired_jobs(DurableJobs *self, int64_t now_ms)
 {
     GPtrArray *ended;
     char key[DURABLE_LOG_KEY_SIZE];
@@ -281,7 +281,7 @@
     if (now_ms - self->expiry_checked_ms >= EXPIRY_INTERVAL_MS &&
         !DurableCaller_IsLogDown(self, now_ms)) {
         self->expiry_checked_ms = now_ms;
-        drop_expired_jobs(self, now_ms);
+        delete_expired_jobs(self, now_ms);
     }
 }
 
--- a/lease/durable_jobs.h
+++ b/lease/durable_jobs.h
@@ -100,7 +100,7 @@
                                const char *queue);
 
 /** A caller has disconnected: it gets no answer, but its job remains. */
-void DurableJobs_OnCallerGone(DurableJobs *self, uint64_t request_id);
+void DurableJobs_OnCallerDisconnect(DurableJobs *self, uint64_t request_id);
 
 /** A caller queries a job's state. The answer is immediate unless the job is
  * open: then it is delayed briefly to wait for the outcome, because callers
@@ -121,9 +121,9 @@
 void DurableJobs_OnRecord(DurableJobs *self, int64_t now_ms,
                           const DurableLog_Record *record);
 
-/** All records that the log held at @p asked_ms have been read. */
+/** All records that the log held at @p requested_ms have been read. */
 void DurableJobs_OnLogRead(DurableJobs *self, int64_t now_ms,
-                           int64_t asked_ms);
+                           int64_t requested_ms);
 
 /** All records up to @p number are written. */
 void DurableJobs_OnWritten(DurableJobs *self, int64_t now_ms, uint64_t number);
--- a/lease/durable_jobs_callers.c
+++ b/lease/durable_jobs_callers.c
@@ -199,7 +199,7 @@
 }
 
 void
-DurableJobs_OnCallerGone(DurableJobs *self, uint64_t request)
+DurableJobs_OnCallerDisconnect(DurableJobs *self, uint64_t request)
 {
     guint i;
 
--- a/lease/durable_jobs_owned.c
+++ b/lease/durable_jobs_owned.c
@@ -231,12 +231,12 @@
  * restarted: the next incarnation reports the ends that it finds. */
 void
 DurableOwned_OnReleaseReply(DurableJobs *self, const DurableJobs_Call *call,
-                            bool taken)
+                            bool answered)
 {
     const Fleet_Host *host = Dispatcher_Host(self->dispatcher,
                                              call->host.address);
 
-    if (taken || host == NULL ||
+    if (answered || host == NULL ||
         host->node.incarnation != call->host.incarnation) {
         return;
     }
@@ -256,12 +256,12 @@
         const DurableJobs_FoundRun *found = &g_array_index(
             recovery->runs, DurableJobs_FoundRun, i);
         const lc_run_id *id = &found->run.id;
-        Dispatcher_Placement place = {*id, found->host};
+        Dispatcher_ReportedRun reported = {*id, found->host};
         if (id->job != row->id) {
             continue;
         }
         if (found->run.running) {
-            g_array_append_val(runs, place);
+            g_array_append_val(runs, reported);
             continue;
         }
         DurableJobs_OnRunEnd(self, id, LeasedJob_RecordedEndNumber(job, id),
@@ -306,7 +306,7 @@
         write_outcome(self, job, LC_KEPT_FAILED);
         return;
     }
-    runs = g_array_new(FALSE, TRUE, sizeof(Dispatcher_Placement));
+    runs = g_array_new(FALSE, TRUE, sizeof(Dispatcher_ReportedRun));
     row = add_own_job(self, job);
     adopt_found_runs(self, row, &start.job, recovery, runs);
     start.runs = runs;
--- a/lease/durable_jobs_state.h
+++ b/lease/durable_jobs_state.h
@@ -169,9 +169,9 @@
 /** Sends RELEASE calls for all ends whose records are written. */
 void DurableOwned_SendReleases(DurableJobs *self);
 
-/** A RELEASE call has ended; @p taken if the companion answered it. */
+/** A RELEASE call has ended; @p answered if the companion answered it. */
 void DurableOwned_OnReleaseReply(DurableJobs *self,
-                                 const DurableJobs_Call *call, bool taken);
+                                 const DurableJobs_Call *call, bool answered);
 
 /** Puts the progress record of a job. */
 void DurableOwned_PutProgress(DurableJobs *self,
--- a/lease/durable_jobs_takeover.c
+++ b/lease/durable_jobs_takeover.c
@@ -536,7 +536,7 @@
 DurableTakeover_FetchHeldEnds(DurableJobs *self, int64_t now_ms)
 {
     const Fleet *fleet = Dispatcher_Fleet(self->dispatcher);
-    lc_node nobody = {0, 0};
+    lc_node any_owner = {0, 0};
     guint i;
 
     for (i = 0; i < fleet->hosts->len; i++) {
@@ -545,7 +545,7 @@
             now_ms - host->held_queried_ms > FETCH_HELD_INTERVAL_MS &&
             HostChoice_IsLive(host, now_ms)) {
             host->held_queried_ms = now_ms;
-            DurableTakeover_SendFence(self, host->node, nobody);
+            DurableTakeover_SendFence(self, host->node, any_owner);
         }
     }
 }
--- a/lease/durable_log.c
+++ b/lease/durable_log.c
@@ -156,7 +156,7 @@
 }
 
 static void
-note_writer(GArray *writers, lc_node writer)
+add_writer(GArray *writers, lc_node writer)
 {
     if (!Msg_HasNode(writers, &writer)) {
         g_array_append_val(writers, writer);
@@ -190,7 +190,7 @@
     DurableLog_Job *job = find_or_add(log, id, submit->queue);
     DurableLog_Change change = {.kind = DURABLE_LOG_UNCHANGED, .job = job};
 
-    note_writer(job->submitters, DurableLog_Writer(record));
+    add_writer(job->submitters, DurableLog_Writer(record));
     if (job->submitted && job->offset <= record->offset) {
         return change;
     }
@@ -250,7 +250,7 @@
     DurableLog_Job *job = find_or_add(log, id, progress->queue);
     DurableLog_Change change = {.kind = DURABLE_LOG_PROGRESSED, .job = job};
 
-    note_writer(job->writers, DurableLog_Writer(record));
+    add_writer(job->writers, DurableLog_Writer(record));
     merge_progress(job, progress);
     if (progress->outcome == LC_KEPT_OPEN ||
         (job->outcome != LC_KEPT_OPEN &&
@@ -323,10 +323,10 @@
 }
 
 static DurableLog_Change
-apply_claim(DurableLog *log, uint64_t offset, const lc_kept_claim *taken)
+apply_claim(DurableLog *log, uint64_t offset, const lc_kept_claim *claim)
 {
     DurableLog_Change change = {.kind = DURABLE_LOG_UNCHANGED};
-    claim_record fresh = {offset, taken->gone, taken->successor, false};
+    claim_record fresh = {offset, claim->gone, claim->successor, false};
     const claim_record *effective;
 
     if (is_claim_known(log, offset)) {
@@ -334,18 +334,18 @@
     }
     g_array_append_val(log->claims, fresh);
     select_effective_claims(log);
-    effective = find_claim(log, &taken->gone);
+    effective = find_claim(log, &claim->gone);
     if (effective != NULL && effective->offset == offset) {
         change.kind = DURABLE_LOG_CLAIMED;
-        change.claimed_owner = taken->gone;
-        change.successor = taken->successor;
+        change.claimed_owner = claim->gone;
+        change.successor = claim->successor;
     }
     return change;
 }
 
 /* The progress records of a job are deleted last, after its retention time. */
 static DurableLog_Change
-apply_drop(DurableLog *log, const DurableLog_Record *record)
+apply_deletion(DurableLog *log, const DurableLog_Record *record)
 {
     DurableLog_Change change = {.kind = DURABLE_LOG_UNCHANGED};
     char digits[HEX_DIGITS + 1] = "";
@@ -359,7 +359,7 @@
     job = DurableLog_Find(log, g_ascii_strtoull(digits, NULL, HEX_DIGITS));
     if (job != NULL && job->outcome != LC_KEPT_OPEN) {
         g_hash_table_remove(log->jobs, &job->id);
-        change.kind = DURABLE_LOG_DROPPED;
+        change.kind = DURABLE_LOG_DELETED;
     }
     return change;
 }
@@ -372,7 +372,7 @@
     lc_kept_record read;
 
     if (record->length == 0) {
-        return apply_drop(log, record);
+        return apply_deletion(log, record);
     }
     if (!Msg_DecodeDurableRecord(record->value, record->length, &read)) {
         return change;
--- a/lease/durable_log.h
+++ b/lease/durable_log.h
@@ -53,7 +53,7 @@
     DURABLE_LOG_CANCELLED,
     DURABLE_LOG_CLAIMED,     /**< the jobs of an owner were claimed */
     DURABLE_LOG_OWNER_ALIVE, /**< heartbeat of an owner */
-    DURABLE_LOG_DROPPED      /**< a job was removed; its pointer is NULL */
+    DURABLE_LOG_DELETED      /**< a job was removed; its pointer is NULL */
 } DurableLog_ChangeKind;
 
 /** Change made by a record. */
--- a/lease/entry_registry.c
+++ b/lease/entry_registry.c
@@ -14,7 +14,7 @@
 /* The record of an entry that was silent for this long is deleted. Longer than
  * a restart or a network partition usually takes; a live entry whose record
  * was deleted writes it again at its next refresh. */
-#define GONE_MS 60000
+#define DELETE_AFTER_MS 60000
 
 void
 EntryRegistry_Init(EntryRegistry *registry, Address self, int64_t now_ms)
@@ -74,7 +74,7 @@
     g_hash_table_iter_init(&iter, registry->silent_since);
     while (g_hash_table_iter_next(&iter, &address, &since_ms)) {
         *gone = *(const Address *)address;
-        if (now_ms - *(const int64_t *)since_ms >= GONE_MS &&
+        if (now_ms - *(const int64_t *)since_ms >= DELETE_AFTER_MS &&
             is_successor(registry->self, *gone, peers, now_ms)) {
             return true;
         }
--- a/lease/host_choice.c
+++ b/lease/host_choice.c
@@ -15,14 +15,14 @@
  * everything to the same few hosts. Less than SLOW_PACE_PERCENT. */
 #define NORMAL_PACE_PERCENT 150
 /* Cost of a host in another hall, in ms. */
-#define OTHER_HALL_MS 1
+#define OTHER_HALL_COST_MS 1
 /* Cost of a host on trial, which makes it the last resort, in ms; one task in
  * TRIAL_ONE_IN is placed without it. */
-#define TRIAL_HOST_MS 400
+#define TRIAL_HOST_COST_MS 400
 #define TRIAL_ONE_IN 16
 /* Cost of the host where a task last failed, in ms, besides the estimate of
  * the task: it is used again only if no other host has room. */
-#define AVOIDED_HOST_MS 100
+#define AVOIDED_HOST_COST_MS 100
 /* Time that reading remote data adds to a task, in percent. */
 #define REMOTE_DATA_PERCENT 50
 
@@ -122,14 +122,14 @@
         cost += work_ms * REMOTE_DATA_PERCENT / PERCENT;
     }
     if (task->avoid == host->node.address) {
-        cost += AVOIDED_HOST_MS + step->estimate_ms;
+        cost += AVOIDED_HOST_COST_MS + step->estimate_ms;
     }
     if (host->state == LC_UPSTREAM_TRIAL &&
         Random_Next(context->random) % TRIAL_ONE_IN != 0) {
-        cost += TRIAL_HOST_MS;
+        cost += TRIAL_HOST_COST_MS;
     }
     if (task->refused == 0 && g_strcmp0(host->hall, context->hall) != 0) {
-        cost += OTHER_HALL_MS;
+        cost += OTHER_HALL_COST_MS;
     }
     return cost;
 }
--- a/lease/job_trace.h
+++ b/lease/job_trace.h
@@ -15,14 +15,14 @@
 
 /** X(NAME, text): kinds of trace item. */
 #define JOB_TRACE_LIST(X)                                                     \
-    X(SENT, "sent")             /* value: pace of the host in percent */      \
-    X(ENDED, "ended")           /* value: status of the run */                \
-    X(ORPHANED, "orphaned")     /* the connection was lost */                 \
-    X(HALTED, "halted")         /* a stop of the run was requested */         \
-    X(EXPIRED, "expired")       /* its lease has certainly expired */         \
-    X(REBORN, "reborn")         /* its companion has a new incarnation */     \
-    X(FORWARDED, "forwarded")   /* value: expected bytes if started here */   \
-    X(GIVEN_BACK, "given back") /* the other entry refused it */
+    X(SENT, "sent")           /* value: pace of the host in percent */        \
+    X(ENDED, "ended")         /* value: status of the run */                  \
+    X(ORPHANED, "orphaned")   /* the connection was lost */                   \
+    X(HALTED, "halted")       /* a stop of the run was requested */           \
+    X(EXPIRED, "expired")     /* its lease has certainly expired */           \
+    X(RESTARTED, "reborn")    /* its companion has a new incarnation */       \
+    X(FORWARDED, "forwarded") /* value: expected bytes if started here */     \
+    X(FORWARD_REFUSED, "given back") /* the other entry refused it */
 
 /** Kinds of trace item, in the order of JOB_TRACE_LIST. */
 typedef enum {
--- a/lease/peers.c
+++ b/lease/peers.c
@@ -5,7 +5,7 @@
 
 /* An entry not heard for this long is no longer live and is left out of the
  * lists sent to other processes. */
-#define LIVE_TIMEOUT_MS 8000
+#define LIVENESS_TIMEOUT_MS 8000
 /* An entry that is no seed and was neither heard nor named for this long is
  * removed. */
 #define REMOVE_AFTER_MS 20000
@@ -193,7 +193,7 @@
 bool
 Peers_IsLive(const Peers_Row *row, int64_t now_ms)
 {
-    return row->heard_ms > 0 && now_ms - row->heard_ms < LIVE_TIMEOUT_MS;
+    return row->heard_ms > 0 && now_ms - row->heard_ms < LIVENESS_TIMEOUT_MS;
 }
 
 int64_t
--- a/lease/peers.h
+++ b/lease/peers.h
@@ -26,15 +26,15 @@
     int64_t heard_ms;       /**< last message from it; 0 for never */
     int64_t since_ms;       /**< when this row was created */
     int64_t last_named_ms;  /**< when any process last named it */
-    int64_t asked_ms;       /**< when the pending call was sent */
+    int64_t call_sent_ms;   /**< when the pending call was sent */
     int64_t last_sent_ms;   /**< when our state was last sent to it, by a call
                           or reply */
     uint64_t call_id;       /**< pending call, or 0 */
-    uint64_t told;          /**< version of our state that it has confirmed */
-    uint64_t version_in_flight; /**< version of our state in the pending
-                                   call */
-    uint32_t gap_ms;            /**< report interval that it asks for: the
-                                   least time between two reports, in ms */
+    uint64_t confirmed_version;  /**< of our state that it confirmed */
+    uint64_t version_in_flight;  /**< version of our state in the pending
+                                    call */
+    uint32_t report_interval_ms; /**< least time between two reports to it, as
+                                  it asks, in ms */
     uint64_t digest;        /**< of the entries that it knows, from its last
                                message */
     bool last_sent_waiting; /**< the last message to it said that jobs wait
--- a/lease/runner.c
+++ b/lease/runner.c
@@ -28,11 +28,11 @@
     runner->owners = g_array_new(FALSE, TRUE, sizeof(Runner_Owner));
     runner->fenced = g_array_new(FALSE, TRUE, sizeof(lc_node));
     runner->token = config->first_token;
-    runner->up.instance = g_strdup("");
+    runner->upstream.instance = g_strdup("");
     DeadIncarnations_Init(&runner->dead_incarnations);
     HallClosures_Init(&runner->closures, now_ms);
-    runner->up.service = g_strdup("");
-    runner->up.labels = g_new0(char *, 1);
+    runner->upstream.service = g_strdup("");
+    runner->upstream.labels = g_new0(char *, 1);
     runner->next_poll_ms = now_ms;
     runner->idle_ms = now_ms;
     runner->created_ms = now_ms;
@@ -60,7 +60,7 @@
 static lc_resources
 available_room(const Runner *runner)
 {
-    lc_resources room = runner->up.capacity;
+    lc_resources room = runner->upstream.capacity;
 
     Resources_Subtract(&room, &runner->used);
     return room;
@@ -71,11 +71,12 @@
 {
     int64_t silent_ms = MAX_MISSED_HEARTBEATS * runner->config.beat_ms;
 
-    if (!runner->up.known || !runner->up.inventoried || runner->up.doubtful ||
-        now_ms - runner->up.heard_ms > silent_ms) {
+    if (!runner->upstream.known || !runner->upstream.inventoried ||
+        runner->upstream.doubtful ||
+        now_ms - runner->upstream.heard_ms > silent_ms) {
         return LC_UPSTREAM_ABSENT;
     }
-    if (runner->draining || runner->up.draining) {
+    if (runner->draining || runner->upstream.draining) {
         return LC_UPSTREAM_DRAINING;
     }
     return runner->health.trial ? LC_UPSTREAM_TRIAL : LC_UPSTREAM_READY;
@@ -125,7 +126,8 @@
 static bool
 awaits_inventory(const Runner *runner, const lc_run_args *args)
 {
-    return args->valid_until_ms == LC_HOLD_NONE && !runner->up.inventoried;
+    return args->valid_until_ms == LC_HOLD_NONE &&
+           !runner->upstream.inventoried;
 }
 
 /* Returns LC_RUN_DONE if the run may start, or the reason to refuse it. */
@@ -135,7 +137,8 @@
     lc_resources room = available_room(runner);
 
     if (args->target != 0 && args->target != runner->config.node.incarnation) {
-        return runner->up.inventoried ? LC_RUN_OTHER_NODE : LC_RUN_NOT_READY;
+        return runner->upstream.inventoried ? LC_RUN_OTHER_NODE
+                                            : LC_RUN_NOT_READY;
     }
     if (awaits_inventory(runner, args)) {
         return LC_RUN_NOT_READY;
@@ -243,8 +246,8 @@
 
     if (args->target != runner->config.node.incarnation) {
         RunnerTask_ReplyHalt(runner, now_ms, reply_id,
-                             runner->up.inventoried ? LC_RUN_OTHER_NODE
-                                                    : LC_RUN_NOT_READY);
+                             runner->upstream.inventoried ? LC_RUN_OTHER_NODE
+                                                          : LC_RUN_NOT_READY);
         return;
     }
     if (row == NULL) {
@@ -344,10 +347,11 @@
         }
     }
     g_list_free(rows);
-    if (runner->active_tasks > 0 && runner->up.doubtful &&
+    if (runner->active_tasks > 0 && runner->upstream.doubtful &&
         now_ms > runner->hold_until_ms + runner->config.timing.stop_ms) {
-        RunnerTask_LoseAll(runner, now_ms,
-                           runner->up.refused && !runner->up.draining);
+        RunnerTask_EndAllLost(runner, now_ms,
+                              runner->upstream.refused &&
+                                  !runner->upstream.draining);
     }
     RunnerOwner_RemoveExpired(runner, now_ms);
     Health_Decay(&runner->health, now_ms);
@@ -357,8 +361,8 @@
 void
 Runner_OnSuspended(Runner *runner, int64_t now_ms, int64_t suspended_ms)
 {
-    runner->up.clock_read_ms = MIN(runner->up.clock_read_ms + suspended_ms,
-                                   now_ms);
+    runner->upstream.clock_read_ms = MIN(
+        runner->upstream.clock_read_ms + suspended_ms, now_ms);
     if (runner->hold_until_ms > 0) {
         runner->hold_until_ms += suspended_ms;
     }
@@ -388,8 +392,8 @@
 Runner_IsIdle(const Runner *runner)
 {
     return runner->active_tasks == 0 &&
-           (RunnerDurable_LastSeen(runner) == runner->up.acknowledged ||
-            !runner->up.known);
+           (RunnerDurable_LastSeen(runner) == runner->upstream.acknowledged ||
+            !runner->upstream.known);
 }
 
 bool
@@ -401,26 +405,26 @@
 
     memset(report, 0, sizeof(*report));
     Runner_State(runner, now_ms, &report->host);
-    report->service = runner->up.service;
-    report->instance = runner->up.instance;
-    report->capacity = runner->up.capacity;
-    for (i = 0; i < LC_MAX_LABELS && runner->up.labels[i] != NULL; i++) {
-        mutable_runner->label_row[i] = runner->up.labels[i];
+    report->service = runner->upstream.service;
+    report->instance = runner->upstream.instance;
+    report->capacity = runner->upstream.capacity;
+    for (i = 0; i < LC_MAX_LABELS && runner->upstream.labels[i] != NULL; i++) {
+        mutable_runner->label_row[i] = runner->upstream.labels[i];
     }
     report->labels.labels_len = i;
     report->labels.labels_val = mutable_runner->label_row;
     HallClosures_FillMessage(&runner->closures, now_ms, &report->closures);
-    return runner->up.known;
+    return runner->upstream.known;
 }
 
 void
-Runner_MergeClosures(Runner *runner, int64_t now_ms, int64_t asked_ms,
+Runner_MergeClosures(Runner *runner, int64_t now_ms, int64_t requested_ms,
                      const lc_closures *received, const char *source)
 {
     char *names;
 
-    if (HallClosures_Merge(&runner->closures, now_ms, asked_ms, received) !=
-        HALL_CLOSURES_CHANGED) {
+    if (HallClosures_Merge(&runner->closures, now_ms, requested_ms,
+                           received) != HALL_CLOSURES_CHANGED) {
         return;
     }
     runner->version++;
@@ -463,8 +467,8 @@
 
     Runner_State(runner, now_ms, &state);
     HallClosures_Metrics(&runner->closures, now_ms, out);
-    Histogram_Print(&runner->orders_time, "order", "", out);
-    Histogram_Print(&runner->runs, "task_run", "", out);
+    Histogram_Print(&runner->start_latency, "order", "", out);
+    Histogram_Print(&runner->run_times, "task_run", "", out);
     for (i = 0; i < RUN_STATUS_COUNT; i++) {
         if (statuses[i] != NULL) {
             g_string_append_printf(
@@ -486,9 +490,8 @@
         "levercove_ends_held_for_starts %u\n",
         runner->active_tasks, state.room.cpu_milli, state.room.memory_mb,
         state.pace_percent, (int)state.state,
-        RtoEstimator_TimeoutMs(&runner->answers),
-        runner->answers.lost_permille, (now_ms - runner->up.heard_ms) / 1000,
-        runner->held_for_starts);
+        RtoEstimator_TimeoutMs(&runner->rto), runner->rto.lost_permille,
+        (now_ms - runner->upstream.heard_ms) / 1000, runner->held_for_starts);
 }
 
 Counters *
@@ -505,13 +508,13 @@
     Runner_State(runner, now_ms, &state);
     return json_pack(
         "{s:s, s:s, s:s, s:i, s:i, s:i, s:i, s:i, s:I, s:b, s:b, s:I, s:o}",
-        "role", "companion", "instance", runner->up.instance, "service",
-        runner->up.service, "state", (int)state.state, "room_cpu_milli",
+        "role", "companion", "instance", runner->upstream.instance, "service",
+        runner->upstream.service, "state", (int)state.state, "room_cpu_milli",
         (int)state.room.cpu_milli, "room_memory_mb", (int)state.room.memory_mb,
         "tasks", (int)runner->active_tasks, "pace_percent",
         (int)state.pace_percent, "token", (json_int_t)runner->token,
-        "doubtful", runner->up.doubtful, "inventoried", runner->up.inventoried,
-        "idle_ms",
+        "doubtful", runner->upstream.doubtful, "inventoried",
+        runner->upstream.inventoried, "idle_ms",
         (json_int_t)(runner->active_tasks > 0 ? 0 : now_ms - runner->idle_ms),
         "closed", HallClosures_Dump(&runner->closures, now_ms));
 }
--- a/lease/runner.h
+++ b/lease/runner.h
@@ -216,8 +216,8 @@
                    lc_report_args *report);
 
 /** Merges the halls that operators have closed, as received from @p source;
- * see HallClosures_Merge for @p asked_ms. */
-void Runner_MergeClosures(Runner *runner, int64_t now_ms, int64_t asked_ms,
+ * see HallClosures_Merge for @p requested_ms. */
+void Runner_MergeClosures(Runner *runner, int64_t now_ms, int64_t requested_ms,
                           const lc_closures *received, const char *source);
 
 /** The closed halls as known to this companion. */
--- a/lease/runner_durable.c
+++ b/lease/runner_durable.c
@@ -30,13 +30,14 @@
 
 /* Returns the time from which no unanswered copy of a run's start can be
  * executed any more, or 0 if no copy is outstanding. If the run was observed
- * but no copy was answered as taken, one unanswered copy is known to have
+ * but no copy was accepted, one unanswered copy is known to have
  * started it. */
 static int64_t
 start_expiry(const Runner *runner, const Runner_Task *row)
 {
     bool observed = row->end_number > 0 || row->progress_ms > 0;
-    uint32_t resolved = row->answered_copies + (observed && !row->start_taken);
+    uint32_t resolved = row->answered_copies +
+                        (observed && !row->start_accepted);
 
     return resolved >= row->start_copies
                ? 0
@@ -97,7 +98,7 @@
 RunnerDurable_CheckStartHold(Runner *runner, int64_t now_ms, Runner_Task *row)
 {
     if (now_ms >= hold_expiry(runner, row) ||
-        runner->up.last_seen - row->end_number >= RUNNER_MAX_HELD_ENDS) {
+        runner->upstream.last_seen - row->end_number >= RUNNER_MAX_HELD_ENDS) {
         clear_start_hold(runner, row);
     }
 }
@@ -164,7 +165,7 @@
 uint64_t
 RunnerDurable_LastSeen(const Runner *runner)
 {
-    uint64_t last = runner->up.last_seen;
+    uint64_t last = runner->upstream.last_seen;
     GHashTableIter iter;
     gpointer item;
 
@@ -299,7 +300,7 @@
     u_int i;
 
     if (args->target == runner->config.node.incarnation &&
-        runner->up.inventoried) {
+        runner->upstream.inventoried) {
         reply.u.fence.taken = true;
         for (i = 0; i < args->gone.gone_len; i++) {
             add_fenced(runner, &args->gone.gone_val[i]);
--- a/lease/runner_orders.c
+++ b/lease/runner_orders.c
@@ -19,18 +19,18 @@
 #define SUSPECT_MS 60
 
 void
-RunnerOrder_NoteAnswer(Runner *runner, bool in_time)
+RunnerOrder_RecordAnswer(Runner *runner, bool in_time)
 {
     runner->consecutive_misses = 0;
     if (in_time) {
-        RtoEstimator_OnAnswered(&runner->answers);
+        RtoEstimator_OnAnswered(&runner->rto);
     }
 }
 
 void
-RunnerOrder_NoteMiss(Runner *runner, int64_t now_ms, int64_t sent_ms)
+RunnerOrder_RecordMiss(Runner *runner, int64_t now_ms, int64_t sent_ms)
 {
-    RtoEstimator_OnTimeout(&runner->answers);
+    RtoEstimator_OnTimeout(&runner->rto);
     if (runner->consecutive_misses++ == 0) {
         runner->first_miss_sent_ms = sent_ms;
     }
@@ -46,7 +46,7 @@
     uint32_t doublings = copies > COPIES_BEFORE_BACKOFF
                              ? copies - COPIES_BEFORE_BACKOFF
                              : 0;
-    int64_t timeout_ms = RtoEstimator_TimeoutMs(&runner->answers);
+    int64_t timeout_ms = RtoEstimator_TimeoutMs(&runner->rto);
 
     return MIN(timeout_ms << MIN(doublings, MAX_COPIES), MAX_RETRY_DELAY_MS);
 }
@@ -68,7 +68,7 @@
 {
     Runner_Start start = {.id = row->id,
                           .spec = row->spec,
-                          .instance = runner->up.instance,
+                          .instance = runner->upstream.instance,
                           .deadline_ms = row->deadline_clock_ms,
                           .token = runner->token};
     Handle id = add_order(runner, now_ms, row, ++row->start_copies);
@@ -85,7 +85,7 @@
                         runner->config.timing.hold_ms);
 
     row->deadline_clock_ms = RunnerUpstream_Clock(runner, now_ms) + ahead;
-    RunnerPoll_NoteHold(runner, now_ms, ahead);
+    RunnerPoll_RecordHold(runner, now_ms, ahead);
     send_start(runner, now_ms, row);
 }
 
@@ -94,14 +94,14 @@
 {
     Handle id = add_order(runner, now_ms, row, ++row->stop_copies);
 
-    runner->ports->stop(runner->context, id, &row->id, runner->up.instance,
-                        runner->token);
+    runner->ports->stop(runner->context, id, &row->id,
+                        runner->upstream.instance, runner->token);
 }
 
 static bool
 may_resend(const Runner *runner)
 {
-    return !runner->up.doubtful &&
+    return !runner->upstream.doubtful &&
            Handle_ItemCount(runner->orders) < MAX_PENDING_ORDERS;
 }
 
@@ -181,7 +181,7 @@
             continue;
         }
         order->due_ms = INT64_MAX;
-        RunnerOrder_NoteMiss(runner, now_ms, order->sent_ms);
+        RunnerOrder_RecordMiss(runner, now_ms, order->sent_ms);
         row = Handle_Get(runner->by_handle, order->task);
         if (row != NULL) {
             RunnerOrder_Retry(runner, now_ms, row);
@@ -192,8 +192,8 @@
 /* Records the result of one copy and returns its task, or NULL if the task has
  * ended or is unknown. A broken connection counts as a miss at once. */
 static Runner_Task *
-take_answer(Runner *runner, int64_t now_ms, uint64_t order_id,
-            Runner_OrderResult result, int64_t clock_ms)
+complete_order(Runner *runner, int64_t now_ms, uint64_t order_id,
+               Runner_OrderResult result, int64_t clock_ms)
 {
     Runner_Order *order = Handle_Remove(runner->orders, order_id);
     Runner_Task *row;
@@ -209,11 +209,11 @@
         RunnerUpstream_CheckClock(runner, now_ms, order->sent_ms, clock_ms);
     }
     if (result != RUNNER_ORDER_UNSENT && result != RUNNER_ORDER_UNANSWERED) {
-        RtoEstimator_AddSample(&runner->answers, now_ms - order->sent_ms);
-        RunnerOrder_NoteAnswer(runner, in_time);
+        RtoEstimator_AddSample(&runner->rto, now_ms - order->sent_ms);
+        RunnerOrder_RecordAnswer(runner, in_time);
     }
     else if (in_time) {
-        RunnerOrder_NoteMiss(runner, now_ms, order->sent_ms);
+        RunnerOrder_RecordMiss(runner, now_ms, order->sent_ms);
     }
     g_free(order);
     return row == NULL || row->state == TASK_ENDED ? NULL : row;
@@ -250,7 +250,7 @@
  * one copy was sent, the latter is likely, and the next poll lists the result.
  */
 static void
-take_superseded(Runner *runner, int64_t now_ms, Runner_Task *row)
+on_start_superseded(Runner *runner, int64_t now_ms, Runner_Task *row)
 {
     if (row->start_copies > 1) {
         row->confirmed_ms = now_ms;
@@ -261,8 +261,8 @@
 }
 
 static void
-take_start(Runner *runner, int64_t now_ms, Runner_Task *row,
-           Runner_OrderResult result)
+on_start_result(Runner *runner, int64_t now_ms, Runner_Task *row,
+                Runner_OrderResult result)
 {
     switch (result) {
     case RUNNER_ORDER_ACCEPTED:
@@ -275,14 +275,14 @@
         RunnerUpstream_OnOtherIncarnation(runner, now_ms);
         break;
     case RUNNER_ORDER_SUPERSEDED:
-        take_superseded(runner, now_ms, row);
+        on_start_superseded(runner, now_ms, row);
         break;
     case RUNNER_ORDER_UNHEALTHY:
         Health_NoteFailure(&runner->health, now_ms, row->id.job);
         refuse_copy(runner, now_ms, row, LC_RUN_REJECTED);
         break;
     case RUNNER_ORDER_UNSENT:
-        RunnerUpstream_NoteRefused(runner);
+        RunnerUpstream_RecordRefused(runner);
         refuse_copy(runner, now_ms, row, LC_RUN_REJECTED);
         break;
     case RUNNER_ORDER_FENCED:
@@ -302,12 +302,12 @@
 /* The clock in an answer belongs to the incarnation that the order was sent
  * to, unless another incarnation answered. */
 static void
-take_clock(Runner *runner, int64_t now_ms, const Runner_Task *row,
-           Runner_OrderResult result, int64_t clock_ms)
+record_clock(Runner *runner, int64_t now_ms, const Runner_Task *row,
+             Runner_OrderResult result, int64_t clock_ms)
 {
     if (result != RUNNER_ORDER_OTHER_INCARNATION &&
         !RunnerTask_IsOfEarlierIncarnation(runner, row)) {
-        RunnerUpstream_TakeClock(runner, now_ms, clock_ms);
+        RunnerUpstream_RecordClock(runner, now_ms, clock_ms);
     }
 }
 
@@ -323,7 +323,7 @@
 
     if (row != NULL && result != RUNNER_ORDER_UNANSWERED) {
         row->answered_copies++;
-        row->start_taken |= result == RUNNER_ORDER_ACCEPTED;
+        row->start_accepted |= result == RUNNER_ORDER_ACCEPTED;
     }
 }
 
@@ -334,13 +334,13 @@
     Runner_Task *row;
 
     count_answer(runner, order_id, result);
-    row = take_answer(runner, now_ms, order_id, result, clock_ms);
+    row = complete_order(runner, now_ms, order_id, result, clock_ms);
     if (row == NULL) {
         return;
     }
-    take_clock(runner, now_ms, row, result, clock_ms);
-    Histogram_Add(&runner->orders_time, now_ms - row->ordered_ms);
-    take_start(runner, now_ms, row, result);
+    record_clock(runner, now_ms, row, result, clock_ms);
+    Histogram_Add(&runner->start_latency, now_ms - row->ordered_ms);
+    on_start_result(runner, now_ms, row, result);
     RunnerPoll_Send(runner, now_ms);
 }
 
@@ -348,7 +348,8 @@
 Runner_OnStopped(Runner *runner, int64_t now_ms, uint64_t order_id,
                  Runner_OrderResult result, int64_t clock_ms)
 {
-    Runner_Task *row = take_answer(runner, now_ms, order_id, result, clock_ms);
+    Runner_Task *row = complete_order(runner, now_ms, order_id, result,
+                                      clock_ms);
 
     if (result == RUNNER_ORDER_FENCED) {
         RunnerUpstream_RaiseToken(runner);
@@ -356,7 +357,7 @@
     if (row == NULL) {
         return;
     }
-    take_clock(runner, now_ms, row, result, clock_ms);
+    record_clock(runner, now_ms, row, result, clock_ms);
     if (result == RUNNER_ORDER_ACCEPTED) {
         row->stop_confirmed = true;
         row->stop_confirmed_ms = now_ms;
--- a/lease/runner_poll.c
+++ b/lease/runner_poll.c
@@ -26,19 +26,19 @@
 {
     uint64_t last_seen = RunnerDurable_LastSeen(runner);
 
-    return last_seen > runner->up.acknowledged ? last_seen : 0;
+    return last_seen > runner->upstream.acknowledged ? last_seen : 0;
 }
 
 static bool
-poll_wanted(const Runner *runner)
+needs_poll(const Runner *runner)
 {
-    return runner->active_tasks > 0 || !runner->up.inventoried ||
-           unacknowledged_last_seen(runner) > 0 || runner->up.doubtful ||
-           runner->successor.pending;
+    return runner->active_tasks > 0 || !runner->upstream.inventoried ||
+           unacknowledged_last_seen(runner) > 0 || runner->upstream.doubtful ||
+           runner->candidate.pending;
 }
 
 void
-RunnerPoll_NoteHold(Runner *runner, int64_t now_ms, int64_t ahead_ms)
+RunnerPoll_RecordHold(Runner *runner, int64_t now_ms, int64_t ahead_ms)
 {
     int64_t until = now_ms + LeaseTiming_MaxHoldMs(ahead_ms);
 
@@ -50,11 +50,11 @@
 wait_ms(const Runner *runner)
 {
     if (runner->active_tasks == 0 || runner->consecutive_misses > 0 ||
-        runner->successor.pending) {
+        runner->candidate.pending) {
         return 0;
     }
-    return RtoEstimator_IsLossy(&runner->answers) ? POLL_WAIT_LOSSY_MS
-                                                  : POLL_WAIT_MS;
+    return RtoEstimator_IsLossy(&runner->rto) ? POLL_WAIT_LOSSY_MS
+                                              : POLL_WAIT_MS;
 }
 
 static void
@@ -75,7 +75,7 @@
                                   .waits = poll->wait_ms > 0};
 
     pending.due_ms = now_ms + poll->wait_ms +
-                     RtoEstimator_TimeoutMs(&runner->answers);
+                     RtoEstimator_TimeoutMs(&runner->rto);
     if (runner->poll_count == RUNNER_MAX_PENDING_POLLS) {
         drop_poll(runner, 0);
     }
@@ -98,19 +98,21 @@
 void
 RunnerPoll_Send(Runner *runner, int64_t now_ms)
 {
-    Runner_Poll poll = {.instance = runner->up.instance,
+    Runner_Poll poll = {.instance = runner->upstream.instance,
                         .token = runner->token};
     int64_t ahead;
 
-    if (RunnerPoll_DueMs(runner) != INT64_MAX || !poll_wanted(runner) ||
+    if (RunnerPoll_DueMs(runner) != INT64_MAX || !needs_poll(runner) ||
         now_ms < runner->next_poll_ms) {
         return;
     }
     poll.last_seen = unacknowledged_last_seen(runner);
-    ahead = runner->up.inventoried ? RunnerOwner_MaxHoldMs(runner, now_ms) : 0;
-    if (ahead > 0 && runner->up.clock_ms > 0) {
+    ahead = runner->upstream.inventoried
+                ? RunnerOwner_MaxHoldMs(runner, now_ms)
+                : 0;
+    if (ahead > 0 && runner->upstream.clock_ms > 0) {
         poll.deadline_ms = RunnerUpstream_Clock(runner, now_ms) + ahead;
-        RunnerPoll_NoteHold(runner, now_ms, ahead);
+        RunnerPoll_RecordHold(runner, now_ms, ahead);
     }
     poll.wait_ms = wait_ms(runner);
     runner->ports->poll(runner->context, add_poll(runner, now_ms, &poll),
@@ -152,7 +154,7 @@
     bool begins = false;
 
     if (end == RUNNER_END_DONE) {
-        Histogram_Add(&runner->runs, row->ran_ms);
+        Histogram_Add(&runner->run_times, row->ran_ms);
         if (Health_NoteSuccess(&runner->health, row->ran_ms,
                                row->estimate_ms)) {
             log_trial(runner, false);
@@ -167,11 +169,12 @@
 }
 
 static void
-take_end(Runner *runner, int64_t now_ms, const Runner_EndedRun *ended)
+apply_ended_run(Runner *runner, int64_t now_ms, const Runner_EndedRun *ended)
 {
     Runner_Task *row = g_hash_table_lookup(runner->tasks, &ended->id);
 
-    runner->up.last_seen = MAX(runner->up.last_seen, ended->number);
+    runner->upstream.last_seen = MAX(runner->upstream.last_seen,
+                                     ended->number);
     if (RunId_IsDurable(&ended->id) && (row == NULL || row->end_number == 0)) {
         RunnerDurable_HoldEnd(runner, now_ms, row, ended);
     }
@@ -186,7 +189,7 @@
 static void
 stop_unknown_run(Runner *runner, const lc_run_id *id)
 {
-    runner->ports->stop(runner->context, 0, id, runner->up.instance,
+    runner->ports->stop(runner->context, 0, id, runner->upstream.instance,
                         runner->token);
 }
 
@@ -202,8 +205,9 @@
 }
 
 static void
-take_running(Runner *runner, int64_t now_ms, const Runner_PendingPoll *poll,
-             const Runner_ActiveRun *running)
+apply_active_run(Runner *runner, int64_t now_ms,
+                 const Runner_PendingPoll *poll,
+                 const Runner_ActiveRun *running)
 {
     Runner_Task *row = g_hash_table_lookup(runner->tasks, &running->id);
 
@@ -327,9 +331,10 @@
         Runner_Task *row = item->data;
         if (row->state != TASK_ENDED && !is_listed(listing, &row->id) &&
             is_certainly_over(runner, poll, row, listing->clock_ms)) {
-            RunnerTask_Lose(runner, now_ms, row,
-                            RunnerTask_IsOfEarlierIncarnation(runner, row) &&
-                                !runner->up.earlier_drained);
+            RunnerTask_EndLost(
+                runner, now_ms, row,
+                RunnerTask_IsOfEarlierIncarnation(runner, row) &&
+                    !runner->upstream.earlier_drained);
         }
     }
     g_list_free(rows);
@@ -338,9 +343,9 @@
 /* No task is started until the upstream was found to run none, so there is
  * no hold in effect at that point. */
 static void
-take_inventory(Runner *runner, bool empty)
+apply_inventory(Runner *runner, bool empty)
 {
-    runner->up.inventoried = empty;
+    runner->upstream.inventoried = empty;
     runner->version++;
     if (empty) {
         runner->hold_until_ms = 0;
@@ -348,41 +353,43 @@
 }
 
 static void
-take_listing(Runner *runner, int64_t now_ms, const Runner_PendingPoll *poll,
-             const Runner_Listing *listing)
+apply_listing(Runner *runner, int64_t now_ms, const Runner_PendingPoll *poll,
+              const Runner_Listing *listing)
 {
-    uint64_t last_seen_before = runner->up.last_seen;
+    uint64_t last_seen_before = runner->upstream.last_seen;
     uint32_t i;
 
-    runner->up.doubtful = false;
-    runner->up.refused = false;
-    runner->up.acknowledged = MAX(runner->up.acknowledged, poll->last_seen);
-    RunnerUpstream_TakeClock(runner, now_ms, listing->clock_ms);
+    runner->upstream.doubtful = false;
+    runner->upstream.refused = false;
+    runner->upstream.acknowledged = MAX(runner->upstream.acknowledged,
+                                        poll->last_seen);
+    RunnerUpstream_RecordClock(runner, now_ms, listing->clock_ms);
     for (i = 0; i < listing->ended_count; i++) {
-        take_end(runner, now_ms, &listing->ended[i]);
+        apply_ended_run(runner, now_ms, &listing->ended[i]);
     }
     for (i = 0; i < listing->running_count; i++) {
-        take_running(runner, now_ms, poll, &listing->running[i]);
+        apply_active_run(runner, now_ms, poll, &listing->running[i]);
     }
     if (listing->ended_count < RUNNER_MAX_LISTED_ENDS) {
         end_unlisted(runner, now_ms, poll, listing);
     }
     update_pace(runner, now_ms);
-    if (!runner->up.inventoried) {
-        take_inventory(runner, listing->running_count == 0);
+    if (!runner->upstream.inventoried) {
+        apply_inventory(runner, listing->running_count == 0);
     }
     if (runner->held_for_starts > 0 &&
-        runner->up.last_seen == last_seen_before) {
+        runner->upstream.last_seen == last_seen_before) {
         runner->next_poll_ms = now_ms + HELD_POLL_DELAY_MS;
     }
 }
 
 static void
-miss_poll(Runner *runner, int64_t now_ms, const Runner_PendingPoll *poll)
+record_poll_miss(Runner *runner, int64_t now_ms,
+                 const Runner_PendingPoll *poll)
 {
-    RunnerOrder_NoteMiss(runner, now_ms, poll->sent_ms);
+    RunnerOrder_RecordMiss(runner, now_ms, poll->sent_ms);
     runner->next_poll_ms = now_ms;
-    if (runner->up.doubtful) {
+    if (runner->upstream.doubtful) {
         runner->next_poll_ms += SUSPECT_POLL_DELAY_MS;
     }
 }
@@ -396,19 +403,19 @@
         Runner_PendingPoll *poll = &runner->polls[i];
         if (now_ms >= poll->due_ms) {
             poll->due_ms = INT64_MAX;
-            miss_poll(runner, now_ms, poll);
+            record_poll_miss(runner, now_ms, poll);
         }
     }
     RunnerPoll_Send(runner, now_ms);
 }
 
 static void
-take_poll_answer(Runner *runner, int64_t now_ms,
-                 const Runner_PendingPoll *poll)
+handle_poll_answer(Runner *runner, int64_t now_ms,
+                   const Runner_PendingPoll *poll)
 {
-    RunnerOrder_NoteAnswer(runner, poll->due_ms != INT64_MAX);
+    RunnerOrder_RecordAnswer(runner, poll->due_ms != INT64_MAX);
     if (!poll->waits) {
-        RtoEstimator_AddSample(&runner->answers, now_ms - poll->sent_ms);
+        RtoEstimator_AddSample(&runner->rto, now_ms - poll->sent_ms);
     }
     runner->next_poll_ms = now_ms;
 }
@@ -416,14 +423,14 @@
 /* A failed connection makes the upstream suspected at once. A missing answer
  * counts as one miss, and only once. */
 static void
-take_poll_failure(Runner *runner, int64_t now_ms,
-                  const Runner_PendingPoll *poll, Runner_OrderResult result)
+handle_poll_failure(Runner *runner, int64_t now_ms,
+                    const Runner_PendingPoll *poll, Runner_OrderResult result)
 {
     if (result == RUNNER_ORDER_UNSENT) {
-        RunnerUpstream_NoteRefused(runner);
+        RunnerUpstream_RecordRefused(runner);
     }
     if (poll->due_ms != INT64_MAX) {
-        miss_poll(runner, now_ms, poll);
+        record_poll_miss(runner, now_ms, poll);
     }
 }
 
@@ -453,25 +460,25 @@
     }
     switch (listing->end) {
     case RUNNER_ORDER_ACCEPTED:
-        take_poll_answer(runner, now_ms, &poll);
+        handle_poll_answer(runner, now_ms, &poll);
         if (RunnerUpstream_CheckStartTime(runner, now_ms, listing->born_ms)) {
             break;
         }
         RunnerUpstream_Confirm(runner, poll.id);
-        take_listing(runner, now_ms, &poll, listing);
+        apply_listing(runner, now_ms, &poll, listing);
         break;
     case RUNNER_ORDER_FENCED:
-        take_poll_answer(runner, now_ms, &poll);
+        handle_poll_answer(runner, now_ms, &poll);
         RunnerUpstream_RaiseToken(runner);
         break;
     case RUNNER_ORDER_OTHER_INCARNATION:
         RunnerUpstream_OnOtherIncarnation(runner, now_ms);
-        if (!runner->up.known) {
+        if (!runner->upstream.known) {
             runner->next_poll_ms = now_ms + OTHER_POLL_DELAY_MS;
         }
         break;
     default:
-        take_poll_failure(runner, now_ms, &poll, listing->end);
+        handle_poll_failure(runner, now_ms, &poll, listing->end);
         break;
     }
     RunnerPoll_Send(runner, now_ms);
--- a/lease/runner_state.h
+++ b/lease/runner_state.h
@@ -46,7 +46,7 @@
     uint32_t start_copies;     /* copies of the start sent */
     uint32_t refused_copies;   /* copies certainly not executed */
     uint32_t answered_copies;  /* copies answered, or never delivered */
-    bool start_taken;          /* a copy was answered as taken */
+    bool start_accepted;       /* the upstream accepted a copy */
     int64_t start_sent_ms;     /* when the last copy was sent */
     uint32_t stop_copies;      /* copies of the stop sent */
     int64_t order_ms;          /* when the last start or stop was sent */
@@ -102,7 +102,7 @@
     char *service;
     char **labels;
     Runner_Heartbeat heartbeat; /* points to the strings above */
-} Runner_Successor;
+} Runner_Candidate;
 
 /* One copy of a start or stop whose result is awaited. */
 typedef struct {
@@ -130,12 +130,12 @@
     const Runner_Ports *ports;
     void *context;
     Counters counters;
-    Histogram orders_time; /* from the first copy of a start to each answer */
-    Histogram runs;        /* run times of successful tasks */
+    Histogram start_latency; /* first copy of a start to each answer, in ms */
+    Histogram run_times;     /* run times of successful tasks */
     uint64_t refusals[RUN_STATUS_COUNT]; /* refused runs by status */
     Health health;
-    Runner_UpstreamInfo up;
-    Runner_Successor successor;
+    Runner_UpstreamInfo upstream;
+    Runner_Candidate candidate;
     DeadIncarnations dead_incarnations;
     HallClosures closures;
     lc_resources used;
@@ -144,7 +144,7 @@
     GArray *owners;
     int64_t token;
     Handle_Table *orders; /* Runner_Order */
-    RtoEstimator answers;
+    RtoEstimator rto;
     uint32_t consecutive_misses; /* orders and polls without a timely answer */
     int64_t first_miss_sent_ms;  /* when the first of these was sent */
     Runner_PendingPoll polls[RUNNER_MAX_PENDING_POLLS]; /* oldest first */
@@ -200,11 +200,11 @@
 /** Ends a task whose upstream is gone or was restarted, so that the task
  * neither runs nor can start any more. @p crashed: the upstream terminated
  * without announcing it. */
-void RunnerTask_Lose(Runner *runner, int64_t now_ms, Runner_Task *row,
-                     bool crashed);
+void RunnerTask_EndLost(Runner *runner, int64_t now_ms, Runner_Task *row,
+                        bool crashed);
 
-/** Calls RunnerTask_Lose for all tasks. */
-void RunnerTask_LoseAll(Runner *runner, int64_t now_ms, bool crashed);
+/** Calls RunnerTask_EndLost for all tasks. */
+void RunnerTask_EndAllLost(Runner *runner, int64_t now_ms, bool crashed);
 
 /** Whether the start was sent to an earlier incarnation of the upstream. */
 bool RunnerTask_IsOfEarlierIncarnation(const Runner *runner,
@@ -238,10 +238,10 @@
 void RunnerOrder_Retry(Runner *runner, int64_t now_ms, Runner_Task *row);
 
 /** Records an answer of the upstream; @p in_time: before it was overdue. */
-void RunnerOrder_NoteAnswer(Runner *runner, bool in_time);
+void RunnerOrder_RecordAnswer(Runner *runner, bool in_time);
 
 /** Records that the answer to a request sent at @p sent_ms is overdue. */
-void RunnerOrder_NoteMiss(Runner *runner, int64_t now_ms, int64_t sent_ms);
+void RunnerOrder_RecordMiss(Runner *runner, int64_t now_ms, int64_t sent_ms);
 
 /** Records a miss for every order whose answer has become overdue, and
  * retries. */
@@ -313,15 +313,15 @@
 int64_t RunnerUpstream_Clock(const Runner *runner, int64_t now_ms);
 
 /** Records a reading of the upstream's clock; 0 means not reported. */
-void RunnerUpstream_TakeClock(Runner *runner, int64_t now_ms,
-                              int64_t clock_ms);
+void RunnerUpstream_RecordClock(Runner *runner, int64_t now_ms,
+                                int64_t clock_ms);
 
 /** Marks the upstream as suspected: until it answers a poll, it is sent only
  * polls. */
 void RunnerUpstream_Suspect(Runner *runner, const char *reason);
 
 /** Records that no connection to the upstream can be opened. */
-void RunnerUpstream_NoteRefused(Runner *runner);
+void RunnerUpstream_RecordRefused(Runner *runner);
 
 /** Suspects the upstream if the answer to a request sent at @p sent_ms shows
  * that its clock has gone back: another incarnation may have answered. */
@@ -336,7 +336,7 @@
 /** Handles an answer from an incarnation other than the known one. */
 void RunnerUpstream_OnOtherIncarnation(Runner *runner, int64_t now_ms);
 
-/** The current incarnation has answered a poll: discards the pending successor
+/** The current incarnation has answered a poll: discards the pending candidate
  * if the poll was sent after its heartbeat. */
 void RunnerUpstream_Confirm(Runner *runner, uint64_t poll_id);
 
@@ -364,6 +364,6 @@
 
 /** Records that the upstream may go on for @p ahead_ms from now without
  * another hold. */
-void RunnerPoll_NoteHold(Runner *runner, int64_t now_ms, int64_t ahead_ms);
+void RunnerPoll_RecordHold(Runner *runner, int64_t now_ms, int64_t ahead_ms);
 
 #endif
--- a/lease/runner_tasks.c
+++ b/lease/runner_tasks.c
@@ -12,7 +12,7 @@
  * does so soon after its start or by the end of its work. Far longer than the
  * detection of a crash (a hold of 600 ms, a heartbeat), and far shorter than
  * the run time of long-running tasks. */
-#define CRASH_BLAME_MS 3000
+#define CRASH_ATTRIBUTION_MS 3000
 /* Queued replies carry their kind in the lowest bit: set for HALT, clear for
  * RUN. */
 #define REPLY_IS_HALT 1U
@@ -47,7 +47,7 @@
         json_pack("{s:s, s:i, s:i, s:i, s:s, s:s, s:s}", "job", job, "step",
                   (int)row->id.step, "index", (int)row->id.index, "run",
                   (int)row->id.run, "owner", Address_Text(row->owner.address),
-                  "upstream", runner->up.instance, "detail", detail));
+                  "upstream", runner->upstream.instance, "detail", detail));
 }
 
 void
@@ -151,18 +151,20 @@
 bool
 RunnerTask_IsOfEarlierIncarnation(const Runner *runner, const Runner_Task *row)
 {
-    return row->incarnation != runner->up.incarnation;
+    return row->incarnation != runner->upstream.incarnation;
 }
 
 void
-RunnerTask_Lose(Runner *runner, int64_t now_ms, Runner_Task *row, bool crashed)
+RunnerTask_EndLost(Runner *runner, int64_t now_ms, Runner_Task *row,
+                   bool crashed)
 {
-    int64_t blame_ms = MAX(CRASH_BLAME_MS, 2 * (int64_t)row->estimate_ms);
+    int64_t attribution_ms = MAX(CRASH_ATTRIBUTION_MS,
+                                 2 * (int64_t)row->estimate_ms);
 
     if (row->state == TASK_STOPPING) {
         RunnerTask_End(runner, now_ms, row, row->status);
     }
-    else if (crashed && now_ms - row->ordered_ms <= blame_ms) {
+    else if (crashed && now_ms - row->ordered_ms <= attribution_ms) {
         RunnerTask_End(runner, now_ms, row, LC_RUN_CRASHED);
     }
     else {
@@ -171,13 +173,13 @@
 }
 
 void
-RunnerTask_LoseAll(Runner *runner, int64_t now_ms, bool crashed)
+RunnerTask_EndAllLost(Runner *runner, int64_t now_ms, bool crashed)
 {
     GList *rows = RunnerTask_All(runner);
     GList *item;
 
     for (item = rows; item != NULL; item = item->next) {
-        RunnerTask_Lose(runner, now_ms, item->data, crashed);
+        RunnerTask_EndLost(runner, now_ms, item->data, crashed);
     }
     g_list_free(rows);
 }
@@ -192,7 +194,7 @@
     row->need = args->need;
     row->estimate_ms = args->estimate_ms;
     row->crashes = args->crashes;
-    row->incarnation = runner->up.incarnation;
+    row->incarnation = runner->upstream.incarnation;
     row->spec = g_strdup(args->spec);
     row->pending_replies = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     row->ordered_ms = now_ms;
--- a/lease/runner_upstream.c
+++ b/lease/runner_upstream.c
@@ -13,25 +13,27 @@
     if (Event_Admit(id)) {
         runner->ports->event(
             runner->context, id,
-            json_pack("{s:s, s:s, s:i, s:i}", "upstream", runner->up.instance,
-                      "detail", reason, "tasks", (int)runner->active_tasks,
-                      "pace_percent", (int)runner->health.pace_percent));
+            json_pack("{s:s, s:s, s:i, s:i}", "upstream",
+                      runner->upstream.instance, "detail", reason, "tasks",
+                      (int)runner->active_tasks, "pace_percent",
+                      (int)runner->health.pace_percent));
     }
 }
 
 int64_t
 RunnerUpstream_Clock(const Runner *runner, int64_t now_ms)
 {
-    return runner->up.clock_ms +
-           LeaseTiming_MinUpstreamElapsedMs(now_ms - runner->up.clock_read_ms);
+    return runner->upstream.clock_ms +
+           LeaseTiming_MinUpstreamElapsedMs(now_ms -
+                                            runner->upstream.clock_read_ms);
 }
 
 void
-RunnerUpstream_TakeClock(Runner *runner, int64_t now_ms, int64_t clock_ms)
+RunnerUpstream_RecordClock(Runner *runner, int64_t now_ms, int64_t clock_ms)
 {
     if (clock_ms > 0 && clock_ms >= RunnerUpstream_Clock(runner, now_ms)) {
-        runner->up.clock_ms = clock_ms;
-        runner->up.clock_read_ms = now_ms;
+        runner->upstream.clock_ms = clock_ms;
+        runner->upstream.clock_read_ms = now_ms;
     }
 }
 
@@ -42,20 +44,20 @@
 reset_for_incarnation(Runner *runner, int64_t now_ms, int64_t born_ms)
 {
     RunnerDurable_ReleaseAll(runner);
-    runner->up.incarnation++;
-    runner->up.born_ms = born_ms;
-    runner->up.earlier_drained = runner->up.draining;
-    runner->up.sequence = 0;
-    runner->up.inventoried = false;
-    runner->up.last_seen = 0;
-    runner->up.acknowledged = 0;
-    runner->up.clock_ms = 0;
-    runner->up.clock_read_ms = now_ms;
-    runner->up.doubtful = false;
-    runner->up.refused = false;
+    runner->upstream.incarnation++;
+    runner->upstream.born_ms = born_ms;
+    runner->upstream.earlier_drained = runner->upstream.draining;
+    runner->upstream.sequence = 0;
+    runner->upstream.inventoried = false;
+    runner->upstream.last_seen = 0;
+    runner->upstream.acknowledged = 0;
+    runner->upstream.clock_ms = 0;
+    runner->upstream.clock_read_ms = now_ms;
+    runner->upstream.doubtful = false;
+    runner->upstream.refused = false;
     runner->consecutive_misses = 0;
     runner->poll_count = 0;
-    memset(&runner->answers, 0, sizeof(runner->answers));
+    memset(&runner->rto, 0, sizeof(runner->rto));
     runner->next_poll_ms = now_ms;
     runner->health = Health_New();
     runner->version++;
@@ -67,13 +69,14 @@
 switch_instance(Runner *runner, int64_t now_ms,
                 const Runner_Heartbeat *heartbeat)
 {
-    bool first = !runner->up.known && runner->up.instance[0] == '\0';
+    bool first = !runner->upstream.known &&
+                 runner->upstream.instance[0] == '\0';
 
-    RunnerTask_LoseAll(runner, now_ms, !runner->up.draining);
+    RunnerTask_EndAllLost(runner, now_ms, !runner->upstream.draining);
     reset_for_incarnation(runner, now_ms, heartbeat->born_ms);
     runner->hold_until_ms = 0;
-    g_free(runner->up.instance);
-    runner->up.instance = g_strdup(heartbeat->instance);
+    g_free(runner->upstream.instance);
+    runner->upstream.instance = g_strdup(heartbeat->instance);
     RunnerUpstream_Log(runner, EVENT_UPSTREAM_KNOWN,
                        first ? "first heartbeat" : "new incarnation");
 }
@@ -89,44 +92,44 @@
 {
     reset_for_incarnation(runner, now_ms, born_ms);
     runner->token++;
-    runner->up.known = false;
+    runner->upstream.known = false;
     if (runner->active_tasks > 0) {
-        RunnerPoll_NoteHold(runner, now_ms,
-                            runner->config.timing.hold_limit_ms);
+        RunnerPoll_RecordHold(runner, now_ms,
+                              runner->config.timing.hold_limit_ms);
     }
     RunnerUpstream_Log(runner, EVENT_UPSTREAM_KNOWN,
                        "started again under its name");
 }
 
-/* ---- successors ---- */
+/* ---- candidates ---- */
 
 static void
-drop_successor(Runner *runner)
+clear_candidate(Runner *runner)
 {
-    Runner_Successor *successor = &runner->successor;
+    Runner_Candidate *candidate = &runner->candidate;
 
-    g_free(successor->instance);
-    g_free(successor->service);
-    g_strfreev(successor->labels);
-    memset(successor, 0, sizeof(*successor));
+    g_free(candidate->instance);
+    g_free(candidate->service);
+    g_strfreev(candidate->labels);
+    memset(candidate, 0, sizeof(*candidate));
 }
 
 static void
-store_successor(Runner *runner, int64_t now_ms,
+store_candidate(Runner *runner, int64_t now_ms,
                 const Runner_Heartbeat *heartbeat)
 {
-    Runner_Successor *successor = &runner->successor;
-
-    drop_successor(runner);
-    successor->pending = true;
-    successor->after_poll = runner->last_poll_id;
-    successor->instance = g_strdup(heartbeat->instance);
-    successor->service = g_strdup(heartbeat->service);
-    successor->labels = g_strdupv((char **)heartbeat->labels);
-    successor->heartbeat = *heartbeat;
-    successor->heartbeat.instance = successor->instance;
-    successor->heartbeat.service = successor->service;
-    successor->heartbeat.labels = (const char *const *)successor->labels;
+    Runner_Candidate *candidate = &runner->candidate;
+
+    clear_candidate(runner);
+    candidate->pending = true;
+    candidate->after_poll = runner->last_poll_id;
+    candidate->instance = g_strdup(heartbeat->instance);
+    candidate->service = g_strdup(heartbeat->service);
+    candidate->labels = g_strdupv((char **)heartbeat->labels);
+    candidate->heartbeat = *heartbeat;
+    candidate->heartbeat.instance = candidate->instance;
+    candidate->heartbeat.service = candidate->service;
+    candidate->heartbeat.labels = (const char *const *)candidate->labels;
     runner->next_poll_ms = now_ms;
     RunnerPoll_Send(runner, now_ms);
 }
@@ -139,53 +142,54 @@
     if (Event_Admit(EVENT_HEARTBEAT_LATE)) {
         runner->ports->event(
             runner->context, EVENT_HEARTBEAT_LATE,
-            json_pack("{s:s, s:I, s:I, s:s, s:s, s:I, s:I}", "upstream",
-                      heartbeat->instance, "born_ms",
-                      (json_int_t)heartbeat->born_ms, "sequence",
-                      (json_int_t)heartbeat->sequence, "detail", reason,
-                      "in_force", runner->up.instance, "in_force_born_ms",
-                      (json_int_t)runner->up.born_ms, "in_force_sequence",
-                      (json_int_t)runner->up.sequence));
+            json_pack(
+                "{s:s, s:I, s:I, s:s, s:s, s:I, s:I}", "upstream",
+                heartbeat->instance, "born_ms", (json_int_t)heartbeat->born_ms,
+                "sequence", (json_int_t)heartbeat->sequence, "detail", reason,
+                "in_force", runner->upstream.instance, "in_force_born_ms",
+                (json_int_t)runner->upstream.born_ms, "in_force_sequence",
+                (json_int_t)runner->upstream.sequence));
     }
 }
 
 void
 RunnerUpstream_Confirm(Runner *runner, uint64_t poll_id)
 {
-    Runner_Successor *successor = &runner->successor;
+    Runner_Candidate *candidate = &runner->candidate;
 
-    if (successor->pending && poll_id > successor->after_poll) {
-        ignore_heartbeat(runner, &successor->heartbeat,
+    if (candidate->pending && poll_id > candidate->after_poll) {
+        ignore_heartbeat(runner, &candidate->heartbeat,
                          "another incarnation answers at this address");
-        DeadIncarnations_Add(&runner->dead_incarnations, successor->instance,
-                             successor->heartbeat.born_ms);
-        drop_successor(runner);
+        DeadIncarnations_Add(&runner->dead_incarnations, candidate->instance,
+                             candidate->heartbeat.born_ms);
+        clear_candidate(runner);
     }
 }
 
 /* ---- heartbeats ---- */
 
 static void
-take_state(Runner *runner, int64_t now_ms, const Runner_Heartbeat *heartbeat)
+apply_heartbeat(Runner *runner, int64_t now_ms,
+                const Runner_Heartbeat *heartbeat)
 {
     bool draining = heartbeat->reported_state == RUNNER_UPSTREAM_DRAINING;
 
-    if (draining != runner->up.draining) {
+    if (draining != runner->upstream.draining) {
         RunnerUpstream_Log(runner, EVENT_UPSTREAM_DRAINING,
                            draining ? "accepts no more tasks"
                                     : "accepts tasks again");
     }
     runner->version++;
-    runner->up.known = true;
-    runner->up.draining = draining;
-    runner->up.sequence = heartbeat->sequence;
-    runner->up.heard_ms = now_ms;
-    runner->up.capacity = heartbeat->capacity;
-    g_free(runner->up.service);
-    runner->up.service = g_strdup(heartbeat->service);
-    g_strfreev(runner->up.labels);
-    runner->up.labels = g_strdupv((char **)heartbeat->labels);
-    RunnerUpstream_TakeClock(runner, now_ms, heartbeat->clock_ms);
+    runner->upstream.known = true;
+    runner->upstream.draining = draining;
+    runner->upstream.sequence = heartbeat->sequence;
+    runner->upstream.heard_ms = now_ms;
+    runner->upstream.capacity = heartbeat->capacity;
+    g_free(runner->upstream.service);
+    runner->upstream.service = g_strdup(heartbeat->service);
+    g_strfreev(runner->upstream.labels);
+    runner->upstream.labels = g_strdupv((char **)heartbeat->labels);
+    RunnerUpstream_RecordClock(runner, now_ms, heartbeat->clock_ms);
     RunnerPoll_Send(runner, now_ms);
 }
 
@@ -193,36 +197,36 @@
 adopt_incarnation(Runner *runner, int64_t now_ms,
                   const Runner_Heartbeat *heartbeat)
 {
-    if (strcmp(runner->up.instance, heartbeat->instance) == 0) {
+    if (strcmp(runner->upstream.instance, heartbeat->instance) == 0) {
         restart_instance(runner, now_ms, heartbeat->born_ms);
     }
     else {
         switch_instance(runner, now_ms, heartbeat);
     }
-    take_state(runner, now_ms, heartbeat);
+    apply_heartbeat(runner, now_ms, heartbeat);
 }
 
 /* If the current incarnation may be alive, the upstream is polled first. Only
  * the upstream's own answer marks an incarnation as permanently gone, since
  * the heartbeat may be a late one of an incarnation that is dead. */
 static void
-take_other_heartbeat(Runner *runner, int64_t now_ms,
-                     const Runner_Heartbeat *heartbeat)
+handle_other_heartbeat(Runner *runner, int64_t now_ms,
+                       const Runner_Heartbeat *heartbeat)
 {
-    if (runner->up.known && !runner->up.doubtful) {
-        store_successor(runner, now_ms, heartbeat);
+    if (runner->upstream.known && !runner->upstream.doubtful) {
+        store_candidate(runner, now_ms, heartbeat);
         return;
     }
-    drop_successor(runner);
+    clear_candidate(runner);
     adopt_incarnation(runner, now_ms, heartbeat);
 }
 
 static bool
 is_current(const Runner *runner, const Runner_Heartbeat *heartbeat)
 {
-    return strcmp(runner->up.instance, heartbeat->instance) == 0 &&
-           (heartbeat->born_ms == runner->up.born_ms ||
-            runner->up.born_ms == 0);
+    return strcmp(runner->upstream.instance, heartbeat->instance) == 0 &&
+           (heartbeat->born_ms == runner->upstream.born_ms ||
+            runner->upstream.born_ms == 0);
 }
 
 /* Returns the reason to ignore a heartbeat, or NULL. An upstream that has
@@ -235,18 +239,18 @@
                                   heartbeat->instance, heartbeat->born_ms)) {
         return "this incarnation is known to be gone";
     }
-    if (strcmp(runner->up.instance, heartbeat->instance) == 0 &&
-        heartbeat->born_ms == 0 && runner->up.born_ms != 0) {
+    if (strcmp(runner->upstream.instance, heartbeat->instance) == 0 &&
+        heartbeat->born_ms == 0 && runner->upstream.born_ms != 0) {
         return "has no start time, unlike the current incarnation";
     }
     if (!is_current(runner, heartbeat)) {
         return NULL;
     }
-    if (heartbeat->sequence <= runner->up.sequence) {
+    if (heartbeat->sequence <= runner->upstream.sequence) {
         return "its sequence number is not above the last one";
     }
-    if (runner->up.known &&
-        strcmp(runner->up.service, heartbeat->service) != 0) {
+    if (runner->upstream.known &&
+        strcmp(runner->upstream.service, heartbeat->service) != 0) {
         return "names another service than the current incarnation";
     }
     return NULL;
@@ -262,20 +266,21 @@
         ignore_heartbeat(runner, heartbeat, reason);
     }
     else if (!is_current(runner, heartbeat)) {
-        take_other_heartbeat(runner, now_ms, heartbeat);
+        handle_other_heartbeat(runner, now_ms, heartbeat);
     }
     else {
-        runner->up.born_ms = heartbeat->born_ms;
-        take_state(runner, now_ms, heartbeat);
+        runner->upstream.born_ms = heartbeat->born_ms;
+        apply_heartbeat(runner, now_ms, heartbeat);
     }
 }
 
 static void
-lose_upstream(Runner *runner, int64_t now_ms, const char *reason, bool crashed)
+on_upstream_lost(Runner *runner, int64_t now_ms, const char *reason,
+                 bool crashed)
 {
     RunnerUpstream_Log(runner, EVENT_UPSTREAM_LOST, reason);
-    RunnerTask_LoseAll(runner, now_ms, crashed);
-    runner->up.known = false;
+    RunnerTask_EndAllLost(runner, now_ms, crashed);
+    runner->upstream.known = false;
     runner->version++;
 }
 
@@ -285,17 +290,18 @@
 static bool
 may_be_earlier_incarnation(const Runner *runner, int64_t born_ms)
 {
-    return born_ms == 0 && runner->up.born_ms != 0 && !runner->up.draining;
+    return born_ms == 0 && runner->upstream.born_ms != 0 &&
+           !runner->upstream.draining;
 }
 
 void
 Runner_OnUpstreamGone(Runner *runner, int64_t now_ms, const char *instance,
                       int64_t born_ms)
 {
-    bool same = strcmp(runner->up.instance, instance) == 0;
+    bool same = strcmp(runner->upstream.instance, instance) == 0;
 
     if (born_ms == 0 && same && !may_be_earlier_incarnation(runner, born_ms)) {
-        born_ms = runner->up.born_ms;
+        born_ms = runner->upstream.born_ms;
     }
     if (same && may_be_earlier_incarnation(runner, born_ms)) {
         RunnerUpstream_Suspect(runner,
@@ -304,29 +310,30 @@
         return;
     }
     DeadIncarnations_Add(&runner->dead_incarnations, instance, born_ms);
-    if (runner->up.known && same && born_ms == runner->up.born_ms) {
-        lose_upstream(runner, now_ms, "the upstream has left", false);
+    if (runner->upstream.known && same &&
+        born_ms == runner->upstream.born_ms) {
+        on_upstream_lost(runner, now_ms, "the upstream has left", false);
     }
 }
 
 void
 RunnerUpstream_Suspect(Runner *runner, const char *reason)
 {
-    if (runner->up.doubtful) {
+    if (runner->upstream.doubtful) {
         return;
     }
-    if (runner->up.known) {
+    if (runner->upstream.known) {
         RunnerUpstream_Log(runner, EVENT_UPSTREAM_LOST, reason);
     }
-    runner->up.doubtful = true;
+    runner->upstream.doubtful = true;
     runner->version++;
 }
 
 void
-RunnerUpstream_NoteRefused(Runner *runner)
+RunnerUpstream_RecordRefused(Runner *runner)
 {
     RunnerUpstream_Suspect(runner, "connection failed");
-    runner->up.refused = true;
+    runner->upstream.refused = true;
 }
 
 void
@@ -336,7 +343,7 @@
     int64_t least_ms = RunnerUpstream_Clock(runner, now_ms) -
                        (now_ms - sent_ms) - CLOCK_BACK_MS;
 
-    if (clock_ms > 0 && clock_ms < least_ms && runner->up.born_ms != 0) {
+    if (clock_ms > 0 && clock_ms < least_ms && runner->upstream.born_ms != 0) {
         RunnerUpstream_Suspect(runner, "upstream clock has gone back");
     }
 }
@@ -344,22 +351,22 @@
 bool
 RunnerUpstream_CheckStartTime(Runner *runner, int64_t now_ms, int64_t born_ms)
 {
-    Runner_Successor *next = &runner->successor;
+    Runner_Candidate *next = &runner->candidate;
 
-    if (born_ms == 0 || born_ms == runner->up.born_ms) {
+    if (born_ms == 0 || born_ms == runner->upstream.born_ms) {
         return false;
     }
-    if (runner->up.born_ms == 0) {
-        runner->up.born_ms = born_ms;
+    if (runner->upstream.born_ms == 0) {
+        runner->upstream.born_ms = born_ms;
         return false;
     }
-    DeadIncarnations_Add(&runner->dead_incarnations, runner->up.instance,
-                         runner->up.born_ms);
+    DeadIncarnations_Add(&runner->dead_incarnations, runner->upstream.instance,
+                         runner->upstream.born_ms);
     restart_instance(runner, now_ms, born_ms);
     if (next->pending && next->heartbeat.born_ms == born_ms &&
-        strcmp(next->instance, runner->up.instance) == 0) {
-        take_state(runner, now_ms, &next->heartbeat);
-        drop_successor(runner);
+        strcmp(next->instance, runner->upstream.instance) == 0) {
+        apply_heartbeat(runner, now_ms, &next->heartbeat);
+        clear_candidate(runner);
     }
     return true;
 }
@@ -367,22 +374,23 @@
 void
 RunnerUpstream_OnOtherIncarnation(Runner *runner, int64_t now_ms)
 {
-    Runner_Successor next = runner->successor;
+    Runner_Candidate next = runner->candidate;
 
-    if (!runner->up.known) {
-        g_free(runner->up.instance);
-        runner->up.instance = g_strdup("");
+    if (!runner->upstream.known) {
+        g_free(runner->upstream.instance);
+        runner->upstream.instance = g_strdup("");
         return;
     }
-    lose_upstream(runner, now_ms, "another incarnation answers",
-                  !runner->up.draining);
-    DeadIncarnations_Add(&runner->dead_incarnations, runner->up.instance,
-                         runner->up.born_ms);
-    if (next.pending && strcmp(next.instance, runner->up.instance) != 0) {
+    on_upstream_lost(runner, now_ms, "another incarnation answers",
+                     !runner->upstream.draining);
+    DeadIncarnations_Add(&runner->dead_incarnations, runner->upstream.instance,
+                         runner->upstream.born_ms);
+    if (next.pending &&
+        strcmp(next.instance, runner->upstream.instance) != 0) {
         switch_instance(runner, now_ms, &next.heartbeat);
-        take_state(runner, now_ms, &next.heartbeat);
+        apply_heartbeat(runner, now_ms, &next.heartbeat);
     }
-    drop_successor(runner);
+    clear_candidate(runner);
 }
 
 void
@@ -394,9 +402,9 @@
 void
 RunnerUpstream_Clear(Runner *runner)
 {
-    drop_successor(runner);
+    clear_candidate(runner);
     DeadIncarnations_Clear(&runner->dead_incarnations);
-    g_free(runner->up.instance);
-    g_free(runner->up.service);
-    g_strfreev(runner->up.labels);
+    g_free(runner->upstream.instance);
+    g_free(runner->upstream.service);
+    g_strfreev(runner->upstream.labels);
 }
