--- a/cli/http_exchange.c
+++ b/cli/http_exchange.c
@@ -38,7 +38,7 @@
         [HTTP_CLIENT_DISCONNECTED] = "connection lost",
         [HTTP_CLIENT_TIMEOUT] = "request timed out",
     };
-    static Http_Client *client;
+    static HttpClient *client;
     uv_loop_t *loop = uv_default_loop();
     HttpClient_Request sent = {.to = request->to,
                                .method = request->method,
--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -329,7 +329,7 @@
 static void
 update_companion(Blackboard *board, Peer *peer, const lc_start_res *reply)
 {
-    Membership_NotePosition(board, peer, &reply->position);
+    Membership_UpdatePosition(board, peer, &reply->position);
     Placement_UpdateFreeSlots(peer, reply->free);
     if (reply->status == LC_START_BUSY) {
         Placement_MarkQueued(board, peer);
--- a/core/membership.c
+++ b/core/membership.c
@@ -134,8 +134,8 @@
 }
 
 void
-Membership_NotePosition(Blackboard *board, Peer *peer,
-                        const lc_position *position)
+Membership_UpdatePosition(Blackboard *board, Peer *peer,
+                          const lc_position *position)
 {
     if (position->offset > peer->position.offset || position->offset == 0) {
         peer->position = *position;
@@ -208,7 +208,7 @@
     peer->draining = reply->draining;
     peer->complied = reply->complied;
     peer->slots = reply->slots;
-    Membership_NotePosition(board, peer, &reply->position);
+    Membership_UpdatePosition(board, peer, &reply->position);
     if (is_entry(peer)) {
         extend_evidence(board, call, peer, reply);
     }
@@ -226,7 +226,7 @@
 
     peer->role = LC_ROLE_ENTRY;
     if (Node_Same(&peer->node, &args->from)) {
-        Membership_NotePosition(board, peer, &args->position);
+        Membership_UpdatePosition(board, peer, &args->position);
     }
     reply.u.ping.node = board->config.self;
     reply.u.ping.role = LC_ROLE_ENTRY;
@@ -292,7 +292,7 @@
     if (reply == NULL || peer->node.incarnation != call->incarnation) {
         return;
     }
-    Membership_NotePosition(board, peer, &reply->position);
+    Membership_UpdatePosition(board, peer, &reply->position);
 }
 
 void
--- a/core/membership.h
+++ b/core/membership.h
@@ -42,8 +42,8 @@
                             const lc_relay_args *args);
 
 /** Records how far a peer has applied the log. */
-void Membership_NotePosition(Blackboard *board, Peer *peer,
-                             const lc_position *position);
+void Membership_UpdatePosition(Blackboard *board, Peer *peer,
+                               const lc_position *position);
 
 /** Handles the end of an append of this controller. */
 void Membership_OnAppend(Blackboard *board, uint64_t append_id,
--- a/daemon/leased_companion.c
+++ b/daemon/leased_companion.c
@@ -49,12 +49,12 @@
 typedef struct {
     Process process; /* first, see Process */
     Runner *runner;
-    Http_Client *http;
+    HttpClient *http;
     Http_Server *heartbeats;
     Peers peers;
     Seeds seeds;
     Registry_Sync registry;
-    Store_Follower *halls_follower; /* NULL if no store is known */
+    StoreFollower *halls_follower; /* NULL if no store is known */
     uv_timer_t report_timer;
     uv_timer_t overdue_timer; /* at overdue_check_ms, unless INT64_MAX */
     int64_t overdue_check_ms;
@@ -456,7 +456,7 @@
         handle_heartbeat(self, request, instance);
         break;
     case UPSTREAM_API_DEREGISTER:
-        Runner_OnUpstreamGone(
+        Runner_OnUpstreamExit(
             self->runner, now_ms(self), instance,
             UpstreamApi_ParseStartTime(request->body, request->length));
         HttpServer_RespondJson(self->heartbeats, request->id, STATUS_OK, 0,
--- a/daemon/leased_durable.c
+++ b/daemon/leased_durable.c
@@ -13,7 +13,7 @@
 /* ---- the log ---- */
 
 static void
-on_record(void *context, const Keyed_Record *read)
+on_record(void *context, const KeyedRecord *read)
 {
     Leased_Entry *self = context;
     DurableLog_Record record = {read->offset, read->key, read->key_length,
--- a/daemon/leased_entry_state.h
+++ b/daemon/leased_entry_state.h
@@ -34,7 +34,7 @@
     Process process; /* first, see Process */
     Dispatcher *dispatcher;
     DurableJobs *durable_jobs;
-    Keyed_Log *durable_log;
+    KeyedLog *durable_log;
     GHashTable *relayed_calls; /* call id -> relayed_call */
     bool store_unreachable;    /* a request of this entry failed, and no probe
                               succeeded since */
@@ -42,11 +42,11 @@
     int64_t probe_interval_ms;
     int64_t store_recovered_ms; /* when a probe last succeeded */
     Route_Table *routes;
-    Store_Follower *follower; /* of the operators' records in the store */
+    StoreFollower *follower; /* of the operators' records in the store */
     uint64_t random;
     RoutesFetch fetch;             /* of newer routes from other entries */
     uint64_t routes_fetch_call_id; /* call without a reply yet, or 0 */
-    Http_Client *http;
+    HttpClient *http;
     Http_Server *callers;
     Http_Server *ready;
     Peers peers;
--- a/daemon/leased_jobs_api.c
+++ b/daemon/leased_jobs_api.c
@@ -257,8 +257,8 @@
 {
     Leased_Entry *self = context;
 
-    Dispatcher_OnCallerGone(self->dispatcher, LeasedEntry_OnInput(self),
-                            request);
+    Dispatcher_OnCallerDisconnect(self->dispatcher, LeasedEntry_OnInput(self),
+                                  request);
     DurableJobs_OnCallerDisconnect(self->durable_jobs, request);
 }
 
--- a/daemon/owned_companion.c
+++ b/daemon/owned_companion.c
@@ -12,7 +12,7 @@
 typedef struct {
     Process process; /* first, see Process */
     Companion *companion;
-    Http_Client *http;
+    HttpClient *http;
 } owned_companion;
 
 /* A task that is running at the upstream. */
--- a/daemon/owned_entry.c
+++ b/daemon/owned_entry.c
@@ -16,7 +16,7 @@
 typedef struct {
     Process process; /* first, see Process */
     Entry *entry;
-    Http_Client *http;
+    HttpClient *http;
     Http_Server *callers;
     Log_Client log;
     Hosts_Client hosts;
--- a/daemon/registry_sync.h
+++ b/daemon/registry_sync.h
@@ -12,7 +12,7 @@
 /** A process's access to the registry of entries. */
 typedef struct {
     EntryRegistry state;
-    Registry_Client *client; /**< NULL without a store: only seeds are used */
+    RegistryClient *client; /**< NULL without a store: only seeds are used */
     Peers *peers;
     const char *hall; /**< of this process; must outlive the registry */
     void (*on_entries)(void *context); /**< the list of entries was read;
--- a/lease/dispatcher.c
+++ b/lease/dispatcher.c
@@ -185,7 +185,8 @@
 }
 
 void
-Dispatcher_OnCallerGone(Dispatcher *self, int64_t now_ms, uint64_t request)
+Dispatcher_OnCallerDisconnect(Dispatcher *self, int64_t now_ms,
+                              uint64_t request)
 {
     Active_Job *job = g_hash_table_lookup(self->by_request, &request);
     guint i;
--- a/lease/dispatcher.h
+++ b/lease/dispatcher.h
@@ -125,8 +125,8 @@
                          Dispatcher_Submit *submit);
 
 /** Handles a caller's disconnect: its job is stopped and not answered. */
-void Dispatcher_OnCallerGone(Dispatcher *self, int64_t now_ms,
-                             uint64_t request_id);
+void Dispatcher_OnCallerDisconnect(Dispatcher *self, int64_t now_ms,
+                                   uint64_t request_id);
 
 /** Cancels a job; returns false if it is not known here. */
 bool Dispatcher_OnCancel(Dispatcher *self, int64_t now_ms, uint64_t job,
--- a/lease/dispatcher_origin.c
+++ b/lease/dispatcher_origin.c
@@ -322,7 +322,7 @@
             uint64_t request = g_array_index(job->requests, uint64_t, j);
             if ((request & ORIGIN_REQUEST) != 0) {
                 g_hash_table_remove(self->origin_replies, &request);
-                Dispatcher_OnCallerGone(self, now_ms, request);
+                Dispatcher_OnCallerDisconnect(self, now_ms, request);
                 return;
             }
         }
--- a/lease/health.c
+++ b/lease/health.c
@@ -57,7 +57,7 @@
 }
 
 bool
-Health_NoteSuccess(Health *health, uint32_t ran_ms, uint32_t estimate_ms)
+Health_RecordSuccess(Health *health, uint32_t ran_ms, uint32_t estimate_ms)
 {
     health->consecutive_failures = 0;
     if (estimate_ms > 0) {
@@ -76,7 +76,7 @@
 }
 
 bool
-Health_NoteFailure(Health *health, int64_t now_ms, uint64_t job)
+Health_RecordFailure(Health *health, int64_t now_ms, uint64_t job)
 {
     if (health->consecutive_failures > 0 && health->last_failed_job == job) {
         return false;
@@ -90,7 +90,7 @@
 }
 
 bool
-Health_NoteStall(Health *health, int64_t now_ms)
+Health_RecordStall(Health *health, int64_t now_ms)
 {
     health->consecutive_failures++;
     if (health->trial || health->consecutive_failures >= STALL_LIMIT) {
@@ -106,7 +106,7 @@
 }
 
 void
-Health_NoteStart(Health *health, int64_t now_ms)
+Health_RecordStart(Health *health, int64_t now_ms)
 {
     if (health->trial) {
         health->next_trial_ms = now_ms + TRIAL_INTERVAL_MS;
@@ -164,7 +164,7 @@
 }
 
 uint32_t
-Health_TakeProgress(Health *health, Health_Progress *runs, uint32_t count)
+Health_ApplyProgress(Health *health, Health_Progress *runs, uint32_t count)
 {
     GArray *paces = paces_by_job(runs, count);
     uint32_t slow = 0;
--- a/lease/health.h
+++ b/lease/health.h
@@ -39,27 +39,28 @@
 
 /** Records that a task succeeded after @p ran_ms. Returns whether this ends
  * the trial. */
-bool Health_NoteSuccess(Health *health, uint32_t ran_ms, uint32_t estimate_ms);
+bool Health_RecordSuccess(Health *health, uint32_t ran_ms,
+                          uint32_t estimate_ms);
 
 /** Records that a task of @p job failed. Returns whether this begins a trial.
  */
-bool Health_NoteFailure(Health *health, int64_t now_ms, uint64_t job);
+bool Health_RecordFailure(Health *health, int64_t now_ms, uint64_t job);
 
 /** Records that a task made no progress. Returns whether this begins a trial.
  */
-bool Health_NoteStall(Health *health, int64_t now_ms);
+bool Health_RecordStall(Health *health, int64_t now_ms);
 
 /** Whether one more task may start beside @p running others. */
 bool Health_Admits(const Health *health, int64_t now_ms, uint32_t running);
 
 /** Records the start of a task; while on trial, delays the next one. */
-void Health_NoteStart(Health *health, int64_t now_ms);
+void Health_RecordStart(Health *health, int64_t now_ms);
 
 /** Updates the pace from the progress of all @p runs, which it reorders.
  * Returns the pace in percent of the estimate if different jobs agree that the
  * upstream is slow, or 0. */
-uint32_t Health_TakeProgress(Health *health, Health_Progress *runs,
-                             uint32_t count);
+uint32_t Health_ApplyProgress(Health *health, Health_Progress *runs,
+                              uint32_t count);
 
 /** Moves the pace towards HEALTH_PACE_PERCENT as time passes. */
 void Health_Decay(Health *health, int64_t now_ms);
--- a/lease/runner.c
+++ b/lease/runner.c
@@ -233,7 +233,7 @@
     Resources_Add(&runner->used, &row->need);
     runner->active_tasks++;
     runner->version++;
-    Health_NoteStart(&runner->health, now_ms);
+    Health_RecordStart(&runner->health, now_ms);
     Counter_Add(&runner->counters, COUNTER_TASKS_STARTED, 1);
     RunnerOrder_Start(runner, now_ms, row, args->valid_until_ms);
 }
--- a/lease/runner.h
+++ b/lease/runner.h
@@ -34,7 +34,7 @@
     X(DONE, "done")                                                           \
     X(FAILED, "failed")                                                       \
     X(STOPPED, "stopped")                                                     \
-    X(LAPSED, "lapsed")
+    X(HOLD_EXPIRED, "lapsed")
 
 /** Results of runs, in the order of RUNNER_END_LIST. */
 typedef enum {
@@ -123,7 +123,7 @@
     uint32_t running_count;
     const Runner_EndedRun *ended;
     uint32_t ended_count;
-} Runner_Listing;
+} Runner_PollAnswer;
 
 /** Output functions of a runner; none may call it back. */
 typedef struct {
@@ -164,7 +164,7 @@
 
 /** Handles the upstream's announcement that it terminates; @p born_ms as in
  * Runner_Heartbeat. */
-void Runner_OnUpstreamGone(Runner *runner, int64_t now_ms,
+void Runner_OnUpstreamExit(Runner *runner, int64_t now_ms,
                            const char *instance, int64_t born_ms);
 
 /** Adjusts for a suspension of the machine that lasted @p suspended_ms and
@@ -189,7 +189,7 @@
 
 /** Handles the result of a poll. */
 void Runner_OnPollAnswer(Runner *runner, int64_t now_ms, uint64_t poll_id,
-                         const Runner_Listing *listing);
+                         const Runner_PollAnswer *listing);
 
 /** Performs periodic work; must be called every `LeaseTiming.tick_ms`. */
 void Runner_Tick(Runner *runner, int64_t now_ms);
--- a/lease/runner_orders.c
+++ b/lease/runner_orders.c
@@ -278,7 +278,7 @@
         on_start_superseded(runner, now_ms, row);
         break;
     case RUNNER_ORDER_UNHEALTHY:
-        Health_NoteFailure(&runner->health, now_ms, row->id.job);
+        Health_RecordFailure(&runner->health, now_ms, row->id.job);
         refuse_copy(runner, now_ms, row, LC_RUN_REJECTED);
         break;
     case RUNNER_ORDER_UNSENT:
--- a/lease/runner_poll.c
+++ b/lease/runner_poll.c
@@ -126,7 +126,7 @@
         [RUNNER_END_DONE] = LC_RUN_DONE,
         [RUNNER_END_FAILED] = LC_RUN_FAILED,
         [RUNNER_END_STOPPED] = LC_RUN_STOPPED,
-        [RUNNER_END_LAPSED] = LC_RUN_LOST,
+        [RUNNER_END_HOLD_EXPIRED] = LC_RUN_LOST,
     };
 
     if (row->state == TASK_STOPPING && end != RUNNER_END_DONE) {
@@ -155,13 +155,13 @@
 
     if (end == RUNNER_END_DONE) {
         Histogram_Add(&runner->run_times, row->ran_ms);
-        if (Health_NoteSuccess(&runner->health, row->ran_ms,
-                               row->estimate_ms)) {
+        if (Health_RecordSuccess(&runner->health, row->ran_ms,
+                                 row->estimate_ms)) {
             log_trial(runner, false);
         }
     }
     else if (end == RUNNER_END_FAILED && row->state != TASK_STOPPING) {
-        begins = Health_NoteFailure(&runner->health, now_ms, row->id.job);
+        begins = Health_RecordFailure(&runner->health, now_ms, row->id.job);
     }
     if (begins) {
         log_trial(runner, true);
@@ -234,7 +234,7 @@
     }
     else if (row->state == TASK_RUNNING && row->estimate_ms > 0 &&
              Health_IsHung(now_ms - row->progress_ms, row->estimate_ms)) {
-        if (Health_NoteStall(&runner->health, now_ms)) {
+        if (Health_RecordStall(&runner->health, now_ms)) {
             log_trial(runner, true);
         }
         stop_stalled(runner, now_ms, row, "it hangs");
@@ -272,7 +272,7 @@
             g_array_append_val(runs, progress);
         }
     }
-    slow = Health_TakeProgress(
+    slow = Health_ApplyProgress(
         &runner->health, (Health_Progress *)(void *)runs->data, runs->len);
     for (item = rows; slow > 0 && item != NULL; item = item->next) {
         Runner_Task *row = item->data;
@@ -288,7 +288,7 @@
 }
 
 static bool
-is_listed(const Runner_Listing *listing, const lc_run_id *id)
+is_listed(const Runner_PollAnswer *listing, const lc_run_id *id)
 {
     uint32_t i;
 
@@ -322,7 +322,7 @@
 
 static void
 end_unlisted(Runner *runner, int64_t now_ms, const Runner_PendingPoll *poll,
-             const Runner_Listing *listing)
+             const Runner_PollAnswer *listing)
 {
     GList *rows = RunnerTask_All(runner);
     GList *item;
@@ -354,7 +354,7 @@
 
 static void
 apply_listing(Runner *runner, int64_t now_ms, const Runner_PendingPoll *poll,
-              const Runner_Listing *listing)
+              const Runner_PollAnswer *listing)
 {
     uint64_t last_seen_before = runner->upstream.last_seen;
     uint32_t i;
@@ -451,7 +451,7 @@
 
 void
 Runner_OnPollAnswer(Runner *runner, int64_t now_ms, uint64_t poll_id,
-                    const Runner_Listing *listing)
+                    const Runner_PollAnswer *listing)
 {
     Runner_PendingPoll poll;
 
--- a/lease/runner_upstream.c
+++ b/lease/runner_upstream.c
@@ -295,7 +295,7 @@
 }
 
 void
-Runner_OnUpstreamGone(Runner *runner, int64_t now_ms, const char *instance,
+Runner_OnUpstreamExit(Runner *runner, int64_t now_ms, const char *instance,
                       int64_t born_ms)
 {
     bool same = strcmp(runner->upstream.instance, instance) == 0;
--- a/tests/fleet_sim.c
+++ b/tests/fleet_sim.c
@@ -212,9 +212,9 @@
     GArray *rows;
     GHashTableIter iter;
     gpointer value;
-    Runner_Listing listing = {.end = RUNNER_ORDER_ACCEPTED,
-                              .clock_ms = upstream_clock_ms(sim),
-                              .born_ms = 1 + node->born_ms};
+    Runner_PollAnswer listing = {.end = RUNNER_ORDER_ACCEPTED,
+                                 .clock_ms = upstream_clock_ms(sim),
+                                 .born_ms = 1 + node->born_ms};
 
     if (node->poll_id != answer->id || node->runner == NULL) {
         return;
--- a/tests/forward_rules.c
+++ b/tests/forward_rules.c
@@ -241,7 +241,7 @@
     open_congested(&fix, HEADROOM);
     EntryFix_Submit(&fix, 100, 8, 0);
     EntryFix_Submit(&fix, 101, 8, 0);
-    Dispatcher_OnCallerGone(fix.dispatcher, fix.now_ms, 100);
+    Dispatcher_OnCallerDisconnect(fix.dispatcher, fix.now_ms, 100);
     EntryFix_Advance(&fix, 100);
     g_assert_cmpint(EntryFix_CountCalls(&fix, MSG_EXTEND), ==, 2);
     g_assert_cmpuint(EntryFix_LastCall(&fix, MSG_EXTEND)->gone, ==, 1);
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -105,7 +105,7 @@
 }
 
 static void
-apply_record(void *context, const Keyed_Record *record)
+apply_record(void *context, const KeyedRecord *record)
 {
     HallRecords_Apply(context, record);
 }
@@ -115,7 +115,7 @@
 static void
 decode_records(const char *bytes, size_t length)
 {
-    Hall_Records *halls = HallRecords_New();
+    HallRecords *halls = HallRecords_New();
     json_t *page = json_loadb(bytes, length, 0, NULL);
     lc_closures closures;
 
--- a/tests/heartbeat_rules.c
+++ b/tests/heartbeat_rules.c
@@ -127,7 +127,7 @@
     runner_fixture fix;
 
     RunnerFix_NewReady(&fix);
-    Runner_OnUpstreamGone(fix.runner, fix.now_ms, "i-1", 0);
+    Runner_OnUpstreamExit(fix.runner, fix.now_ms, "i-1", 0);
     RunnerFix_HeartbeatOf(&fix, "i-1", 9, RUNNER_UPSTREAM_READY);
     g_assert_false(RunnerFix_TakesTask(&fix, 1));
     RunnerFix_HeartbeatOf(&fix, "i-2", 1, RUNNER_UPSTREAM_READY);
@@ -141,7 +141,7 @@
 static void
 test_current_incarnation_silent(void)
 {
-    Runner_Listing none = {.end = RUNNER_ORDER_UNSENT};
+    Runner_PollAnswer none = {.end = RUNNER_ORDER_UNSENT};
     runner_fixture fix;
 
     RunnerFix_NewReady(&fix);
@@ -200,7 +200,7 @@
 static void
 test_wrong_incarnation_adopted(void)
 {
-    Runner_Listing none = {.end = RUNNER_ORDER_UNSENT};
+    Runner_PollAnswer none = {.end = RUNNER_ORDER_UNSENT};
     runner_fixture fix;
 
     new_with_task(&fix);
--- a/tests/lease_cases.c
+++ b/tests/lease_cases.c
@@ -279,7 +279,7 @@
         g_strfreev(parts);
     }
     g_string_append_printf(output, "slow %u\n",
-                           Health_TakeProgress(health, runs, count));
+                           Health_ApplyProgress(health, runs, count));
 }
 
 /*
@@ -298,18 +298,18 @@
         char **words = g_strsplit(lines[i], " ", 0);
         const char *verb = words[0];
         if (strcmp(verb, "good") == 0) {
-            Health_NoteSuccess(&health, (uint32_t)number(words, 1),
-                               (uint32_t)number(words, 2));
+            Health_RecordSuccess(&health, (uint32_t)number(words, 1),
+                                 (uint32_t)number(words, 2));
         }
         else if (strcmp(verb, "bad") == 0) {
-            Health_NoteFailure(&health, number(words, 1),
-                               (uint64_t)number(words, 2));
+            Health_RecordFailure(&health, number(words, 1),
+                                 (uint64_t)number(words, 2));
         }
         else if (strcmp(verb, "stalled") == 0) {
-            Health_NoteStall(&health, number(words, 1));
+            Health_RecordStall(&health, number(words, 1));
         }
         else if (strcmp(verb, "started") == 0) {
-            Health_NoteStart(&health, number(words, 1));
+            Health_RecordStart(&health, number(words, 1));
         }
         else if (strcmp(verb, "admits") == 0) {
             bool admits = Health_Admits(&health, number(words, 1),
@@ -393,7 +393,7 @@
 }
 
 static void
-print_halls(Hall_Records *halls, int end, GString *output)
+print_halls(HallRecords *halls, int end, GString *output)
 {
     lc_closures message;
     u_int i;
@@ -416,7 +416,7 @@
 run_halls(const char *input, GString *output)
 {
     char **lines = CaseTable_Lines(input);
-    Hall_Records *halls = HallRecords_New();
+    HallRecords *halls = HallRecords_New();
     guint i;
 
     /* Invalid records log warnings, which must not abort the test. */
@@ -426,11 +426,11 @@
         const char *verb = words[0];
         if (strcmp(verb, "put") == 0 || strcmp(verb, "drop") == 0) {
             const char *value = words[3] == NULL ? "" : words[3];
-            Keyed_Record record = {.offset = (uint64_t)number(words, 1),
-                                   .key = words[2],
-                                   .key_length = strlen(words[2]),
-                                   .value = (const uint8_t *)value,
-                                   .length = strlen(value)};
+            KeyedRecord record = {.offset = (uint64_t)number(words, 1),
+                                  .key = words[2],
+                                  .key_length = strlen(words[2]),
+                                  .value = (const uint8_t *)value,
+                                  .length = strlen(value)};
             if (!HallRecords_Apply(halls, &record)) {
                 g_string_append_printf(output, "not about a hall: %s\n",
                                        words[2]);
--- a/tests/lease_rules.c
+++ b/tests/lease_rules.c
@@ -295,7 +295,7 @@
     Dispatcher_Pause(fix.dispatcher);
     submit_job(&fix, 1, 1);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
-    Dispatcher_OnCallerGone(fix.dispatcher, fix.now_ms, 1);
+    Dispatcher_OnCallerDisconnect(fix.dispatcher, fix.now_ms, 1);
     Dispatcher_Resume(fix.dispatcher);
     Dispatcher_DispatchWaiting(fix.dispatcher, fix.now_ms);
     g_assert_cmpint(count_calls(&fix, MSG_RUN), ==, 0);
@@ -381,7 +381,7 @@
 
     new_dispatcher(&fix);
     submit_job(&fix, 1, 2);
-    Dispatcher_OnCallerGone(fix.dispatcher, fix.now_ms, 1);
+    Dispatcher_OnCallerDisconnect(fix.dispatcher, fix.now_ms, 1);
     g_assert_cmpint(count_calls(&fix, MSG_HALT), ==, 2);
     g_assert_cmpint(fix.answers, ==, 0);
     g_assert_false(Dispatcher_IsIdle(fix.dispatcher));
--- a/tests/lease_sim_callers.cc
+++ b/tests/lease_sim_callers.cc
@@ -102,7 +102,7 @@
             return;
         }
         when_thawed(entry, [this, entry, request] {
-            Dispatcher_OnCallerGone(entry->dispatcher, now, request);
+            Dispatcher_OnCallerDisconnect(entry->dispatcher, now, request);
         });
     });
     resubmit_later(&job, RESUBMIT_MS);
--- a/tests/lease_sim_messages.cc
+++ b/tests/lease_sim_messages.cc
@@ -419,13 +419,13 @@
         },
         [this, from, id, running, ended, born_ms](Runner_OrderResult end,
                                                   int64_t clock) {
-            Runner_Listing listing = {end,
-                                      clock,
-                                      *born_ms,
-                                      running->data(),
-                                      (uint32_t)running->size(),
-                                      ended->data(),
-                                      (uint32_t)ended->size()};
+            Runner_PollAnswer listing = {end,
+                                         clock,
+                                         *born_ms,
+                                         running->data(),
+                                         (uint32_t)running->size(),
+                                         ended->data(),
+                                         (uint32_t)ended->size()};
             uint64_t boot_id = from->boot_id;
             /* One poll per 10 ms stands for a long poll. */
             schedule(now + 9, [this, from, boot_id, id, running, ended,
--- a/tests/load.c
+++ b/tests/load.c
@@ -39,7 +39,7 @@
 
 typedef struct {
     uv_loop_t *loop;
-    Http_Client *http;
+    HttpClient *http;
     uv_timer_t timer;
     GRand *rand;
     Address entries[MAX_ENTRIES];
--- a/tests/order_rules.c
+++ b/tests/order_rules.c
@@ -249,10 +249,10 @@
 {
     runner_fixture fix;
     Runner_EndedRun ended = {1, RunnerFix_Run(1, 1), RUNNER_END_DONE};
-    Runner_Listing late = {.end = RUNNER_ORDER_ACCEPTED,
-                           .clock_ms = CLOCK_MS,
-                           .ended = &ended,
-                           .ended_count = 1};
+    Runner_PollAnswer late = {.end = RUNNER_ORDER_ACCEPTED,
+                              .clock_ms = CLOCK_MS,
+                              .ended = &ended,
+                              .ended_count = 1};
     uint64_t first;
 
     new_with_run(&fix);
@@ -271,10 +271,10 @@
     runner_fixture fix;
     Runner_ActiveRun running = {RunnerFix_Run(1, 1), 50};
     Runner_EndedRun ended = {1, RunnerFix_Run(1, 1), RUNNER_END_DONE};
-    Runner_Listing late = {.end = RUNNER_ORDER_ACCEPTED,
-                           .clock_ms = CLOCK_MS,
-                           .running = &running,
-                           .running_count = 1};
+    Runner_PollAnswer late = {.end = RUNNER_ORDER_ACCEPTED,
+                              .clock_ms = CLOCK_MS,
+                              .running = &running,
+                              .running_count = 1};
     uint64_t first;
 
     new_with_run(&fix);
--- a/tests/rebirth_rules.c
+++ b/tests/rebirth_rules.c
@@ -438,16 +438,16 @@
 
     begin_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
-    Runner_OnUpstreamGone(fix.runner, fix.now_ms, "i-1", FIRST_BORN_MS - 1);
+    Runner_OnUpstreamExit(fix.runner, fix.now_ms, "i-1", FIRST_BORN_MS - 1);
     g_assert_true(RunnerFix_TakesTask(&fix, 2));
     fix.replies = 0;
-    Runner_OnUpstreamGone(fix.runner, fix.now_ms, "i-1", 0);
+    Runner_OnUpstreamExit(fix.runner, fix.now_ms, "i-1", 0);
     g_assert_cmpint(fix.replies, ==, 0);
     g_assert_false(RunnerFix_TakesTask(&fix, 3));
     RunnerFix_AnswerRunning(&fix, 1);
     RunnerFix_AnswerRunning(&fix, 1);
     g_assert_true(RunnerFix_TakesTask(&fix, 4));
-    Runner_OnUpstreamGone(fix.runner, fix.now_ms, "i-1", FIRST_BORN_MS);
+    Runner_OnUpstreamExit(fix.runner, fix.now_ms, "i-1", FIRST_BORN_MS);
     g_assert_false(RunnerFix_TakesTask(&fix, 5));
     g_assert_cmpint(fix.status, ==, LC_RUN_NOT_READY);
     Runner_Free(fix.runner);
@@ -499,7 +499,7 @@
 test_lease_after_a_suspension(void)
 {
     runner_fixture fix;
-    Runner_Listing none = {.end = RUNNER_ORDER_UNSENT};
+    Runner_PollAnswer none = {.end = RUNNER_ORDER_UNSENT};
 
     begin_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
@@ -647,7 +647,7 @@
 test_crash_without_restart(void)
 {
     runner_fixture fix;
-    Runner_Listing none = {.end = RUNNER_ORDER_UNSENT};
+    Runner_PollAnswer none = {.end = RUNNER_ORDER_UNSENT};
 
     begin_task(&fix);
     RunnerFix_AnswerRunning(&fix, 1);
--- a/tests/runner_fixture.c
+++ b/tests/runner_fixture.c
@@ -91,7 +91,7 @@
 void
 RunnerFix_AnswerPollOther(runner_fixture *fix)
 {
-    Runner_Listing listing = {.end = RUNNER_ORDER_OTHER_INCARNATION};
+    Runner_PollAnswer listing = {.end = RUNNER_ORDER_OTHER_INCARNATION};
 
     Runner_OnPollAnswer(fix->runner, fix->now_ms, fix->poll_id, &listing);
 }
@@ -101,14 +101,14 @@
                      uint32_t count, const Runner_EndedRun *ended,
                      uint32_t ended_count)
 {
-    Runner_Listing listing = {.end = RUNNER_ORDER_ACCEPTED,
-                              .clock_ms = fix->clock_ms + fix->now_ms -
-                                          START_MS,
-                              .born_ms = fix->born_ms,
-                              .running = running,
-                              .running_count = count,
-                              .ended = ended,
-                              .ended_count = ended_count};
+    Runner_PollAnswer listing = {.end = RUNNER_ORDER_ACCEPTED,
+                                 .clock_ms = fix->clock_ms + fix->now_ms -
+                                             START_MS,
+                                 .born_ms = fix->born_ms,
+                                 .running = running,
+                                 .running_count = count,
+                                 .ended = ended,
+                                 .ended_count = ended_count};
 
     Runner_OnPollAnswer(fix->runner, fix->now_ms, fix->poll_id, &listing);
 }
--- a/tests/runner_rules.c
+++ b/tests/runner_rules.c
@@ -313,7 +313,7 @@
 test_other_incarnation(void)
 {
     runner_fixture fix;
-    Runner_Listing other = {.end = RUNNER_ORDER_OTHER_INCARNATION};
+    Runner_PollAnswer other = {.end = RUNNER_ORDER_OTHER_INCARNATION};
 
     RunnerFix_NewReady(&fix);
     RunnerFix_CallRun(&fix, 1, 1, 1000, 500);
--- a/tests/soak/cluster.h
+++ b/tests/soak/cluster.h
@@ -146,7 +146,7 @@
 
     int64_t begin_ms;
     uint64_t random_state;
-    Http_Client *client;
+    HttpClient *client;
     std::vector<std::unique_ptr<Proxy>> entry_proxies;
     std::vector<std::unique_ptr<Proxy>> companion_proxies;
     std::vector<std::unique_ptr<Proxy>> upstream_proxies;
--- a/tests/soak/upstream.cc
+++ b/tests/soak/upstream.cc
@@ -57,7 +57,7 @@
 
 } // namespace
 
-Upstream::Upstream(uv_loop_t *event_loop, Http_Client *http_client,
+Upstream::Upstream(uv_loop_t *event_loop, HttpClient *http_client,
                    std::string upstream_name, Address address,
                    Address companion_address)
     : model(upstream_name, 0.98 + 0.0001 * (rand() % 200)),
--- a/tests/soak/upstream.h
+++ b/tests/soak/upstream.h
@@ -29,7 +29,7 @@
     lease::Upstream model;
 
     /** Serves orders at @p address and sends heartbeats to @p companion. */
-    Upstream(uv_loop_t *loop, Http_Client *client, std::string name,
+    Upstream(uv_loop_t *loop, HttpClient *client, std::string name,
              Address address, Address companion);
 
     void crash();
@@ -69,7 +69,7 @@
     }
 
     uv_loop_t *loop;
-    Http_Client *client;
+    HttpClient *client;
     Http_Server *server;
     Address companion;
     uv_timer_t tick;
--- a/tests/upstream_model.cc
+++ b/tests/upstream_model.cc
@@ -106,7 +106,7 @@
     std::map<TaskKey, RunningTask> lost = running;
 
     for (auto &pair : lost) {
-        on_end(pair.second.id, RUNNER_END_LAPSED);
+        on_end(pair.second.id, RUNNER_END_HOLD_EXPIRED);
     }
     running.clear();
     up = false;
@@ -143,7 +143,7 @@
     for (auto &pair : now_running) {
         const RunningTask &task = pair.second;
         if (clock(now_ms) >= deadline_clock_ms) {
-            end(task.id, RUNNER_END_LAPSED);
+            end(task.id, RUNNER_END_HOLD_EXPIRED);
         }
         else if (task.stop_at_ms != 0 && now_ms >= task.stop_at_ms) {
             end(task.id, RUNNER_END_STOPPED);
