--- a/scripts/ablations.sh
+++ b/scripts/ablations.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Switches off one mechanism after the other, each in a scratch copy, and plays
-# days of a site with several seeds on the users' bench (scripts/seeds.sh).
-# tests/ablations/NAME.patch removes a mechanism; its first line tells it.
+# Ablation study: removes one mechanism at a time, each in a scratch copy, and
+# runs days of a site with several seeds on the users' bench (scripts/seeds.sh).
+# tests/ablations/NAME.patch removes a mechanism; its first line describes it.
 # Usage: FLEETBENCH=PROGRAM scripts/ablations.sh FOLDER SITE "DAY..." "SEED..." [NAME...]
-# FOLDER takes the copies, with their journals. WORKERS: copies side by side (4)
+# FOLDER holds the copies with their journals. WORKERS: parallel copies (4)
 set -eu
 [ $# -ge 4 ] || { echo "usage: ablations.sh FOLDER SITE \"DAY...\" \"SEED...\" [NAME...]" >&2; exit 2; }
 cd "$(dirname "$0")/.."
@@ -14,8 +14,8 @@
 [ $# -gt 0 ] || set -- none $(basename -s .patch tests/ablations/*.patch)
 mkdir -p "$FOLDER"
 
-# try_one NAME: prints a line a day
-try_one() {
+# run_ablation NAME: prints one line per day
+run_ablation() {
     local name=$1 copy=$FOLDER/$1
     [ -d "$copy" ] || git clone -q "$ROOT" "$copy"
     cd "$copy"
@@ -30,7 +30,7 @@
 
 running=0
 for name in "$@"; do
-    try_one "$name" &
+    run_ablation "$name" &
     running=$((running + 1))
     [ "$running" -lt "$WORKERS" ] || { wait -n || true; running=$((running - 1)); }
 done
--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,7 +1,9 @@
 #!/usr/bin/env bash
-# Both measures of the brief, for baselines and the chosen policy in one run.
-# 3 entries, 10 companions with 8 slots each. Figures are ratios.
-# SECONDS_EACH (20), UTILISATION ("50 90 130"), SEED (1), ONLY (policies)
+# Compares the baseline policies and the chosen one on response time over ideal
+# and on wasted messages: 3 entries, 10 companions with 8 slots each. Figures
+# are ratios.
+# SECONDS_EACH (20), UTILISATION in percent ("50 90 130"), SEED (1),
+# ONLY (names of policies; all)
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
@@ -13,10 +15,10 @@
 . scripts/measure.sh
 trap 'cluster_stop; rm -rf "$DIR"' EXIT
 
-# run NAME PLACEMENT ORDER PERCENT
-run() {
+# run_policy NAME PLACEMENT ORDER PERCENT
+run_policy() {
     local tasks
-    PLACEMENT=$2 ORDER=$3 cluster_start 3 10 || { echo "no cluster"; exit 1; }
+    PLACEMENT=$2 ORDER=$3 cluster_start 3 10 || { echo "the cluster did not start"; exit 1; }
     for row in "gold weight=6" "silver weight=3" "bronze weight=1"; do
         # shellcheck disable=SC2086
         "$BUILD/cli/levercove" -e "127.0.0.1:${ENTRY_HTTP[0]}" table set $row >/dev/null
@@ -37,7 +39,7 @@
 for percent in $UTILISATION; do
     while read -r name placement order; do
         [ -z "${ONLY:-}" ] || [[ " $ONLY " = *" $name "* ]] || continue
-        run "$name" "$placement" "$order" "$percent"
+        run_policy "$name" "$placement" "$order" "$percent"
     done <<EOF
 baseline random fifo
 two-choices two_choices fifo
--- a/scripts/bench_burst.sh
+++ b/scripts/bench_burst.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# A burst of ten times the usual load with callers that send again every 3 s,
-# between two stretches of usual load; 3 entries, 80 slots.
+# Measures a burst of ten times the usual load, with callers that resubmit every
+# 3 s, between two phases of the usual load; 3 entries, 80 slots.
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
@@ -16,8 +16,8 @@
 done
 sleep 1.5
 
-# stretch NAME SECONDS PERCENT
-stretch() {
+# run_phase NAME SECONDS PERCENT
+run_phase() {
     local tasks
     counters >"$DIR/before"
     # shellcheck disable=SC2046
@@ -30,7 +30,7 @@
     waste "$DIR/delta" "$tasks"
     awk '/^jobs_(attached|not_run|done|failed|submitted)/ {printf "%s %d ", $1, $2} END {print ""}' "$DIR/delta"
 }
-stretch before 10 50
-LOAD_RESEND_MS=3000 stretch burst 6 500
-stretch after 10 50
-echo "starts of the same task twice: $(all_starts | sort | uniq -d | wc -l)"
+run_phase before 10 50
+LOAD_RESEND_MS=3000 run_phase burst 6 500
+run_phase after 10 50
+echo "tasks started twice: $(all_starts | sort | uniq -d | wc -l)"
--- a/scripts/bench_fairness.sh
+++ b/scripts/bench_fairness.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Shares of slot time against weights while every group has work waiting, the
-# lightest group ten times as much as the others. 3 entries, 80 slots.
+# Compares the groups' shares of slot time with their weights while every group
+# has tasks waiting, the lightest group ten times as many as the others.
+# 3 entries, 80 slots.
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
@@ -8,8 +9,8 @@
 . scripts/cluster.sh
 trap 'cluster_stop; rm -rf "$DIR"' EXIT
 
-# post GROUP TASKS: one job through each entry, unanswered
-post() {
+# submit_group GROUP TASKS: submits one job at each entry; ignores the answers
+submit_group() {
     local port
     jq -cn --arg g "$1" --argjson n "$2" '{group: $g, repeatable: true,
         tasks: [range($n) | {ms: (100 + (. * 37) % 200)} | tojson]}' >"$DIR/$1.json"
@@ -17,6 +18,7 @@
         curl -s -X POST "http://127.0.0.1:$port/v1/jobs" --data-binary "@$DIR/$1.json" >/dev/null 2>&1 &
     done
 }
+# usage: lines "GROUP SLOT_TIME", summed over the upstreams
 usage() {
     local i
     for ((i = 0; i < COMPANIONS; i++)); do http GET "${UPSTREAM[$i]}" /usage; done |
@@ -30,10 +32,10 @@
         "$BUILD/cli/levercove" -e "127.0.0.1:${ENTRY_HTTP[0]}" table set $row >/dev/null
     done
     sleep 1.5
-    for ((i = 0; i < 10; i++)); do post bronze 400; done
+    for ((i = 0; i < 10; i++)); do submit_group bronze 400; done
     sleep 1
-    post gold 1500
-    post silver 1500
+    submit_group gold 1500
+    submit_group silver 1500
     sleep 0.5
     usage >"$DIR/0"
     for t in 1 2 4; do
--- a/scripts/bench_faults.sh
+++ b/scripts/bench_faults.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Half load with one bad upstream of ten: slow, hung, or dying every 3 s.
-# 3 entries, 80 slots; tasks may take 5 s. Response over ideal against none.
+# Measures half load with one of ten upstreams faulty: hung, or killed every 3 s,
+# and without a fault for comparison. 3 entries, 80 slots, task timeout 6 s.
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
@@ -14,7 +14,7 @@
     start u0 "$BUILD/tests/standin_upstream" "127.0.0.1:${UPSTREAM[0]}" "$SLOTS"
 }
 
-# measure NAME: under load, with the background job of that name
+# measure NAME: a run under load, during which the function NAME injects faults
 measure() {
     local tasks
     cluster_start 3 10 || exit 1
@@ -45,7 +45,7 @@
     for ((i = 0; i < 3; i++)); do
         sleep 2
         kill -KILL "${PIDS[u0]}"
-        forget u0
+        reap u0
         sleep 1
         start_upstream
     done
--- a/scripts/bench_quiet.sh
+++ b/scripts/bench_quiet.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# A lone job on idle hosts against the ideal: one task of 50 ms, and 200 tasks
-# of 100 ms on 80 slots (three rounds, 300 ms). Medians as ratios, and what a
-# task costs in messages and bytes.
+# Compares the response time of a single job on idle hosts with the ideal: one
+# task of 50 ms, and 200 tasks of 100 ms on 80 slots (three rounds, 300 ms).
+# Prints ratios to the ideal, and messages and bytes per task.
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
@@ -14,8 +14,8 @@
 "$BUILD/cli/levercove" -e "127.0.0.1:${ENTRY_HTTP[0]}" table set gold weight=1 >/dev/null
 sleep 1.5
 
-# quiet NAME TASKS MS IDEAL_MS RUNS
-quiet() {
+# measure_idle NAME TASKS MS IDEAL_MS RUNS
+measure_idle() {
     local i
     jq -cn --argjson n "$2" --argjson ms "$3" '{group: "gold", repeatable: true,
         tasks: [range($n) | {ms: $ms} | tojson]}' >"$DIR/job.json"
@@ -30,5 +30,5 @@
     delta "$DIR/before" "$DIR/after" >"$DIR/delta"
     waste "$DIR/delta" "$(($2 * $5))"
 }
-quiet "1 task of 50 ms" 1 50 50 101
-quiet "200 tasks of 100 ms on 80 slots" 200 100 300 21
+measure_idle "1 task of 50 ms" 1 50 50 101
+measure_idle "200 tasks of 100 ms on 80 slots" 200 100 300 21
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Measures real processes for docs/CAPACITY.md: processor time, memory and
-# bytes of idle processes by the number of companions, and processor time of
-# a task by load. Then the slopes of tests/slopes.
+# Measures real processes for docs/CAPACITY.md: CPU time, memory and bytes sent
+# of idle processes by the number of companions, and CPU time per task by load.
+# Then runs tests/slopes, which measures how the costs of one node grow.
+# IDLE: seconds of each idle measurement (10)
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
@@ -14,9 +15,9 @@
 
 bytes_out() { http GET "$1" /metrics | awk '/rpc_bytes_out/ {print $2}'; }
 
-echo "== idle: 2 entries and N companions, each figure for one process"
+echo "== idle: 2 entries and N companions, figures per process"
 for n in 10 20 40 80; do
-    SLOTS=8 cluster_start 2 "$n" || { echo "no cluster"; exit 1; }
+    SLOTS=8 cluster_start 2 "$n" || { echo "the cluster did not start"; exit 1; }
     sleep 3
     e0=$(cpu_seconds e0) c0=$(cpu_seconds c0)
     eb=$(bytes_out "${ENTRY_ADMIN[0]}") cb=$(bytes_out "${COMPANION_ADMIN[0]}")
@@ -30,9 +31,9 @@
     cluster_stop
 done
 
-echo "== load: 1 entry, 20 companions of 8 slots, each figure for one task"
+echo "== load: 1 entry, 20 companions of 8 slots, figures per task"
 for percent in 20 40 60 80; do
-    SLOTS=8 cluster_start 1 20 || { echo "no cluster"; exit 1; }
+    SLOTS=8 cluster_start 1 20 || { echo "the cluster did not start"; exit 1; }
     "$BUILD/cli/levercove" -e "127.0.0.1:${ENTRY_HTTP[0]}" table set gold weight=1 >/dev/null
     sleep 1
     e0=$(cpu_seconds e0) c0=0
--- a/scripts/check_events.sh
+++ b/scripts/check_events.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Compares docs/EVENTS.md and docs/MANUAL.md with the lists in the code.
+# Checks that docs/EVENTS.md and docs/MANUAL.md list the events and errors that
+# the code defines, and that the code uses each of them.
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${1:-build}
--- a/scripts/check_platform_names.sh
+++ b/scripts/check_platform_names.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The platform's names stand only in platform/, in deploy/ and in tests and
-# pages that are about the translation.
+# Checks that names of the platform's interface occur only in platform/, in
+# deploy/, and in the tests and pages about their translation.
 set -u
 cd "$(dirname "$0")/.."
 NAMES='fencing_token|run-start|run-stop|best_effort|last_seen"|clock_ms"|deregister|path_prefix"|target_latency_ms|log-append|log-read|log-newest|log-join|keyed\.|op/config|x-deadline|X-Expect-Instance|anti_affinity|depends_on"|estimate_ms"|minion|checkpointing|heartbeat_url|run_start|retransmit_ms|evacuat'
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -1,6 +1,6 @@
 # Starts a small cluster on loopback; sourced by the demo, the process tests
 # and the benchmarks. Needs BUILD (build folder) and DIR (an empty folder).
-# Every process started here is ended by its pid in cluster_stop.
+# cluster_stop kills every process that was started here, by its pid.
 
 set -o pipefail
 
@@ -18,7 +18,7 @@
     PORT_AT=$((PORT_AT + 1))
 }
 
-# start NAME COMMAND...: runs in the background, output into DIR/NAME.log
+# start NAME COMMAND...: runs it in the background, with output to DIR/NAME.log
 start() {
     local name=$1
     shift
@@ -33,7 +33,8 @@
     curl -sS --max-time 60 -X "$method" "http://127.0.0.1:$port$path" "$@"
 }
 
-# wait_for SECONDS COMMAND...: until it succeeds
+# wait_for SECONDS COMMAND...: retries the command until it succeeds, and fails
+# after SECONDS
 wait_for() {
     local end=$((SECONDS + $1))
     shift
@@ -87,20 +88,21 @@
 start_entry() { start "e$1" "$BUILD/daemon/levercoved" "$DIR/e$1.json"; }
 start_companion() { start "c$1" "$BUILD/daemon/levercoved" "$DIR/c$1.json"; }
 
-# entry_ready I COMPANIONS: settled, with that many companions to use
+# entry_ready I COMPANIONS: whether entry I has settled and has at least that many
+# usable companions
 entry_ready() {
     http GET "${ENTRY_ADMIN[$1]}" /state 2>/dev/null |
         jq -e --argjson n "$2" '.settled and .evidence and
             ([.peers[] | select(.usable)] | length) >= $n' >/dev/null
 }
 
-# cluster_start ENTRIES COMPANIONS
+# cluster_start ENTRIES COMPANIONS: fails if the entries do not become ready
 cluster_start() {
     local i
     ENTRIES=$1
     COMPANIONS=$2
     local upstream_slots=$SLOTS
-    # One upstream may stand for all, to spare processes.
+    # ONE_UPSTREAM: all companions share one upstream, which saves processes.
     [ -z "${ONE_UPSTREAM:-}" ] || upstream_slots=$((SLOTS * COMPANIONS))
     declare -gA HOST_STATE=()
     declare -ga ENTRY_RPC=() ENTRY_ADMIN=() ENTRY_HTTP=()
@@ -139,7 +141,7 @@
     done
 }
 
-# all_starts: lines "KEY INDEX" of every upstream
+# all_starts: a line "KEY INDEX" for each task start at any upstream
 all_starts() {
     local i
     for ((i = 0; i < COMPANIONS; i++)); do
@@ -147,8 +149,8 @@
     done
 }
 
-# forget NAME: it was ended on purpose
-forget() {
+# reap NAME: waits for a process that was killed on purpose
+reap() {
     wait "${PIDS[$1]}" 2>/dev/null
     unset "PIDS[$1]"
 }
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Starts stand-ins, 3 entries and 10 companions in 3 halls, submits a job of
-# several tasks, shows the verdicts and ends what it started.
+# several tasks, shows the results and stops everything it started.
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
@@ -30,9 +30,9 @@
 "$CLI" submit "$DIR/job.json" >"$DIR/answer.json" || fail "submit: $(cat "$DIR/answer.json")"
 jq -r '"outcome: \(.outcome)", (.results[] | "  \(.code) \(.text)")' "$DIR/answer.json"
 [ "$(jq -r '[.results[] | select(.code == 200)] | length' "$DIR/answer.json")" = 12 ] ||
-    fail "a verdict is missing"
+    fail "a result is missing"
 
-echo "== the same key through another entry gets the same answer, and runs nothing"
+echo "== the same key through another entry gets the same answer, and starts no task"
 KEY=$(jq -r .key "$DIR/answer.json")
 "$CLI" -e "127.0.0.1:${ENTRY_HTTP[1]}" --key "$KEY" submit "$DIR/job.json" >"$DIR/again.json" ||
     fail "submit again: $(cat "$DIR/again.json")"
@@ -45,8 +45,8 @@
 echo "== a leased job on stand-ins of the users' platform, explained from its logs"
 mkdir "$DIR/leased"
 JOB=$("$BUILD/tests/scenario" calm "$PWD/$BUILD/daemon/levercoved" "$DIR/leased" $((20000 + $$ % 100 * 100)) 2>/dev/null) ||
-    fail "leased job"
-"$CLI" explain "$JOB" "$DIR"/leased/*.log >"$DIR/life" || fail "explain"
-grep -E 'LC50[89]|sent|ended' "$DIR/life"
-[ "$(grep -c 'ended task .*: done' "$DIR/life")" = 5 ] || fail "a task is missing"
+    fail "the leased job was not submitted"
+"$CLI" explain "$JOB" "$DIR"/leased/*.log >"$DIR/trace" || fail "explain"
+grep -E 'LC50[89]|sent|ended' "$DIR/trace"
+[ "$(grep -c 'ended task .*: done' "$DIR/trace")" = 5 ] || fail "a task is missing"
 echo "== done"
--- a/scripts/install.sh
+++ b/scripts/install.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs what the build and the checks need and is missing (Debian).
+# Installs the missing packages that the build and the checks need (Debian).
 set -eu
 PACKAGES="build-essential cmake pkg-config libuv1-dev libh2o-dev libtirpc-dev
 libglib2.0-dev libjansson-dev libxxhash-dev libssl-dev librapidcheck-dev
--- a/scripts/large_site.sh
+++ b/scripts/large_site.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Writes a site of the users' bench with so many queues that nobody uses, made
-# of a given one. Usage: scripts/large_site.sh SITE.toml TARGET.toml QUEUES
+# Derives a site of the users' bench with QUEUES unused queues from another one.
+# Usage: scripts/large_site.sh SITE.toml TARGET.toml QUEUES
 set -eu
 sed "s/^idle_routes = [0-9]*/idle_routes = $3/" "$1" >"$2"
 cp "$(dirname "$1")/wire.json" "$(dirname "$2")/"
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Format and linters. Fails on any finding.
+# Checks formatting and runs the linters. Fails on any finding.
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${1:-build}
--- a/scripts/lost.sh
+++ b/scripts/lost.sh
@@ -1,14 +1,15 @@
 #!/usr/bin/env bash
-# Where a day lost worth: the parts of its score, prices, and by class, hall,
-# window and last answer what was asked, late, refused and failed.
+# Shows where a day of the users' bench lost worth: the parts of its score, the
+# prices, and the counts of requests that were asked, late, refused and failed,
+# by class, hall, time window and last answer.
 # Usage: scripts/lost.sh REPORT
-# REPORT: what the users' bench wrote with --report.
+# REPORT: a file that the users' bench wrote with --report.
 set -eu
 [ $# = 1 ] || { echo "usage: lost.sh REPORT" >&2; exit 2; }
-[ -r "$1" ] || { echo "lost.sh: $1: can't be read" >&2; exit 1; }
+[ -r "$1" ] || { echo "lost.sh: $1: cannot be read" >&2; exit 1; }
 
-# rows FIELD: the rows of a table that lost something, the most first
-rows() {
+# lossy_rows FIELD: rows of a table whose worth is below 0.995, lowest first
+lossy_rows() {
     jq -r --arg field "$1" '
         .[$field][] | select(.worth != null and .worth < 0.995)
         | [.name, .n, .in_aim, .late, .refused, .failed, .worth] | @tsv' "$REPORT" |
@@ -18,7 +19,7 @@
 # table TITLE FIELD
 table() {
     printf '\n%-16s %7s %7s %6s %7s %6s %6s\n' "$1" asked in-time late refused failed worth
-    rows "$2" | awk -F '\t' '{printf "%-16s %7d %7d %6d %7d %6d %6.3f\n", $1, $2, $3, $4, $5, $6, $7}'
+    lossy_rows "$2" | awk -F '\t' '{printf "%-16s %7d %7d %6d %7d %6d %6.3f\n", $1, $2, $3, $4, $5, $6, $7}'
 }
 
 REPORT=$1
--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -1,6 +1,6 @@
-# Measures one cluster under load; sourced by the benchmarks.
+# Functions that measure one cluster under load; sourced by the benchmarks.
 
-# counters NAME...: sum of each counter over all processes, "name value"
+# counters: lines "NAME VALUE" with each counter summed over all processes
 counters() {
     local port
     for port in "${ENTRY_ADMIN[@]}" "${COMPANION_ADMIN[@]}"; do
@@ -9,15 +9,15 @@
         END {for (name in sum) print name, sum[name]}' | sort
 }
 
-# delta BEFORE AFTER: difference of two outputs of counters
+# delta BEFORE AFTER: differences between two outputs of counters
 delta() {
     join "$1" "$2" | awk '{print $1, $3 - $2}'
 }
 
-# value FILE NAME
+# value FILE NAME: value of one counter
 value() { awk -v name="$2" '$1 == name {print $2}' "$1"; }
 
-# waste FILE TASKS: messages per task, wasted ones by reason
+# waste FILE TASKS: messages and bytes per task, and wasted messages by reason
 waste() {
     awk -v tasks="$2" '
         /^calls_sent/ || /^replies_sent/ {messages += $2}
@@ -40,12 +40,12 @@
     done
 }
 
-# cpu_seconds NAME: user and system time of a process so far
+# cpu_seconds NAME: user and system time that a process has used
 cpu_seconds() {
     awk -v hz="$(getconf CLK_TCK)" '{print ($14 + $15) / hz}' "/proc/${PIDS[$1]}/stat"
 }
 
-# resident_kb NAME
+# resident_kb NAME: resident set size of a process in kB
 resident_kb() {
     awk '/^VmRSS/ {print $2}' "/proc/${PIDS[$1]}/status"
 }
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Breaks each mechanism in a scratch copy and checks that its proof fails.
-# tests/mutations/NAME.patch removes the mechanism; its first lines tell it.
+# Mutation testing: breaks each mechanism in a scratch copy and checks that a test
+# fails. tests/mutations/NAME.patch breaks it; its first lines describe how.
 # Usage: scripts/mutations.sh [NAME...]
-# SCHEDULES: of each property (400); WORKERS: scratch copies side by side (4)
+# SCHEDULES: random schedules per property (400); WORKERS: parallel copies (4)
 set -u
 cd "$(dirname "$0")/.."
 ROOT=$PWD
@@ -12,15 +12,16 @@
 trap 'rm -rf "$SCRATCH"' EXIT
 [ $# -gt 0 ] || set -- $(basename -s .patch tests/mutations/*.patch)
 
-# Names that begin with "lease-" concern leased jobs, the others owned ones.
+# Names that begin with "lease-" are about leased jobs, the others about jobs
+# owned by key.
 is_leased() { [ "${1#lease-}" != "$1" ]; }
 
 targets_of() {
     if is_leased "$1"; then echo "lease_rules runner_rules order_rules heartbeat_rules rebirth_rules view_rules link_rules forward_rules rpc_rules routes_rules registry_rules choice_rules halls_rules lease_cases kept_rules prop_lease"; else echo "cases rules prop_cluster"; fi
 }
 
-# prove FOLDER NAME: the tests from the fastest to the slowest, until one fails
-prove() {
+# run_tests FOLDER NAME: runs the tests, fastest first, until one fails
+run_tests() {
     local folder=$1 name=$2 test
     for test in $(targets_of "$name"); do
         if ! RC_PARAMS="seed=20261202 max_success=$SCHEDULES noshrink=1" \
@@ -33,8 +34,8 @@
     echo "MISSED $name: no test failed"
 }
 
-# try_one FOLDER NAME: prints one line
-try_one() {
+# test_mutation FOLDER NAME: prints one line
+test_mutation() {
     local folder=$1 name=$2 patch=$ROOT/tests/mutations/$2.patch
     if ! patch -s -p1 -d "$folder" <"$patch" >/dev/null; then
         echo "MISSED $name: the patch does not apply"
@@ -43,25 +44,25 @@
     if ! cmake --build "$folder/build" --target $(targets_of "$name") -j 2 >"$folder/log" 2>&1; then
         echo "MISSED $name: does not build: $(grep -m 1 error: "$folder/log")"
     else
-        prove "$folder" "$name"
+        run_tests "$folder" "$name"
     fi
     patch -s -R -p1 -d "$folder" <"$patch"
 }
 
-# work NUMBER NAME...: every WORKERS-th name
-work() {
+# run_worker NUMBER NAME...: tests every WORKERS-th mutation
+run_worker() {
     local folder=$SCRATCH/$1 at=0 name
     mkdir "$folder"
     cp -r base core lease wire platform daemon cli tests CMakeLists.txt "$folder"
     cmake -S "$folder" -B "$folder/build" >/dev/null
     for name in "${@:2}"; do
-        [ $((at % WORKERS)) = "$1" ] && try_one "$folder" "$name"
+        [ $((at % WORKERS)) = "$1" ] && test_mutation "$folder" "$name"
         at=$((at + 1))
     done
 }
 
 for ((worker = 0; worker < WORKERS; worker++)); do
-    work "$worker" "$@" 2>/dev/null &
+    run_worker "$worker" "$@" 2>/dev/null &
 done | tee "$SCRATCH/result"
 wait
 caught=$(grep -c '^caught' "$SCRATCH/result")
--- a/scripts/regression.sh
+++ b/scripts/regression.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# What is played on the users' bench before each landing, on the final code: the
-# score of every deployment and a hunt (40 days, 8 on those of 60 machines or
-# more), one after the other. Prints the gate, the worth of each day and the
-# days on which a rule was broken; whole outputs stay in OUT.
+# Regression run on the users' bench, before each merge and on the final code: the
+# score of every deployment and a hunt (40 days, 8 for deployments of 60 machines
+# or more), one after the other. Prints the gate, the worth of each day and the
+# days on which a rule was broken; the full outputs stay in OUT.
 # Usage: FLEETBENCH=PROGRAM scripts/regression.sh FOLDER WHY [DEPLOYMENT...]
-# FOLDER: the users' folder of deployments. OUT: a new folder; JOBS: days side by
-# side (4). The large deployment stands in place of the two oldest (sites/).
+# FOLDER: the users' folder of deployments. OUT: folder for outputs (a new one);
+# JOBS: parallel days (4). The large deployment replaces the two oldest (sites/).
 set -u
 [ $# -ge 2 ] || { echo "usage: regression.sh FOLDER WHY [DEPLOYMENT...]" >&2; exit 2; }
 FOLDER=$1 WHY=$2
@@ -17,8 +17,8 @@
 LARGE='-(large|grown)$'
 status=0
 
-# play VERB NAME OPTION...: prints what matters of a run
-play() {
+# run_bench VERB NAME OPTION...: prints the relevant lines of a run
+run_bench() {
     local verb=$1 name=$2
     shift 2
     "$FLEETBENCH" "$verb" "$FOLDER/$name.toml" --jobs "$JOBS" --why "$WHY, $verb" "$@" \
@@ -28,11 +28,11 @@
 }
 
 for name in "$@"; do
-    [ -r "$FOLDER/$name.toml" ] || { echo "regression.sh: $FOLDER/$name.toml: can't be read" >&2; exit 1; }
+    [ -r "$FOLDER/$name.toml" ] || { echo "regression.sh: $FOLDER/$name.toml: cannot be read" >&2; exit 1; }
     days=40
     [[ $name =~ $LARGE ]] && days=8
-    play score "$name"
-    play hunt "$name" --days "$days" | grep 'rule broken'
+    run_bench score "$name"
+    run_bench hunt "$name" --days "$days" | grep 'rule broken'
 done
 echo "outputs: $OUT"
 exit $status
--- a/scripts/report.sh
+++ b/scripts/report.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Turns the figures of a soak (JSON lines by second) into one page to open in a
-# browser: what callers saw, response over ideal and faults on one time axis.
+# Renders the figures of a soak (JSON lines, one per second) as an HTML page:
+# callers' answers, response time over ideal and faults on one time axis.
 # Usage: scripts/report.sh FIGURES >page.html
 set -eu
 [ $# = 1 ] || { echo "usage: report.sh FIGURES >page.html" >&2; exit 2; }
@@ -13,10 +13,10 @@
 svg { display: block; margin: 4px 0 20px; }
 .key span { display: inline-block; width: 10px; height: 10px; margin: 0 4px 0 14px; }
 </style>
-<h1>levercove: a soak by the second</h1>
+<h1>levercove: soak by second</h1>
 <p class="key" id="key"></p>
-<h2>What callers saw, by the second in which they sent</h2><svg id="answers"></svg>
-<h2>Response over ideal, mean of jobs done</h2><svg id="response"></svg>
+<h2>Callers' answers, by the second of the request</h2><svg id="answers"></svg>
+<h2>Response time over ideal, mean over jobs done</h2><svg id="response"></svg>
 <h2>Faults</h2><svg id="faults"></svg>
 <script>
 const rows = `
--- a/scripts/seeds.sh
+++ b/scripts/seeds.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Plays days of a site with several seeds on the users' bench and prints one
-# line a day: worth by seed, mean and worst, so that two versions of the code
-# can be compared. Every run leaves its entry in journal/.
+# Runs days of a site with several seeds on the users' bench and prints one line
+# per day: worth by seed, mean and worst, for comparing two versions of the code.
+# Every run adds its entry to journal/.
 # Usage: FLEETBENCH=PROGRAM scripts/seeds.sh SITE "DAY..." "SEED..." WHY [OPTION...]
-# WORKERS: runs side by side (4). OPTION goes to the bench, such as --no-cpu.
+# WORKERS: parallel runs (4). OPTION is passed to the bench, such as --no-cpu.
 set -eu
 [ $# -ge 4 ] || { echo "usage: seeds.sh SITE \"DAY...\" \"SEED...\" WHY [OPTION...]" >&2; exit 2; }
 SITE=$1 DAYS=$2 SEEDS=$3 WHY=$4
@@ -14,8 +14,8 @@
 
 "$FLEETBENCH" build >"$SCRATCH/build.log" 2>&1 || { cat "$SCRATCH/build.log" >&2; exit 1; }
 
-# play DAY SEED OPTION...: leaves the day's report, or its error
-play() {
+# run_day DAY SEED OPTION...: writes the report of the day, or prints its error
+run_day() {
     local day=$1 seed=$2 name
     name=$(basename "$day" .toml)-$seed
     shift 2
@@ -27,7 +27,7 @@
 running=0
 for day in $DAYS; do
     for seed in $SEEDS; do
-        play "$day" "$seed" "$@" &
+        run_day "$day" "$seed" "$@" &
         running=$((running + 1))
         [ "$running" -lt "$WORKERS" ] || { wait -n || true; running=$((running - 1)); }
     done
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,6 +1,8 @@
 #!/usr/bin/env bash
-# Runs the soak: SEEDS="1 2 3" (fresh ones by default), SECONDS_EACH with faults,
-# LINK of the first entry in Mbit/s, which then hands jobs on, WORKERS side by side. Keeps the logs of a seed that failed and prints where.
+# Runs the soak with SEEDS="1 2 3" (COUNT new ones by default) and SECONDS_EACH
+# with faults; LINK: bandwidth of the first entry in Mbit/s, which then forwards
+# jobs; WORKERS: parallel runs. Keeps the logs of failed seeds and prints their
+# folder (in KEEP).
 # Usage: BUILD=build scripts/soak.sh
 set -u
 cd "$(dirname "$0")/.."
@@ -14,8 +16,8 @@
 KEEP=${KEEP:-$(mktemp -d)}
 mkdir -p "$KEEP"
 
-# one SEED WORKER
-one() {
+# run_seed SEED WORKER
+run_seed() {
     local folder="$KEEP/seed-$1"
     mkdir -p "$folder"
     if timeout $((SECONDS_EACH + 60)) "$BUILD/tests/soak" --seed "$1" --seconds "$SECONDS_EACH" \
@@ -31,7 +33,7 @@
 
 number=0
 for seed in $SEEDS; do
-    one "$seed" $((number % WORKERS)) &
+    run_seed "$seed" $((number % WORKERS)) &
     number=$((number + 1))
     [ $((number % WORKERS)) = 0 ] && wait
 done >"$KEEP/summary"
--- a/scripts/sources.sh
+++ b/scripts/sources.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Lists the sources that are held to the style; generated code is not.
+# Lists the sources that the style check covers: all but generated code.
 cd "$(dirname "$0")/.."
 find base cli core daemon lease platform tests wire \
     \( -name '*.c' -o -name '*.h' -o -name '*.cc' \) |
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Runs every test; `make test` builds first. BUILD and SANITIZED are folders.
+# Runs all tests; `make test` builds first. BUILD and SANITIZED are the folders of
+# the plain and the sanitized build.
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
@@ -15,7 +16,8 @@
     [ -e KNOWN-RED.txt ] && grep -q "^$1," KNOWN-RED.txt
 }
 
-# check NAME COMMAND...
+# check NAME COMMAND...: runs a test; failures listed in KNOWN-RED.txt are only
+# printed
 check() {
     local name=$1 log
     shift
@@ -34,7 +36,7 @@
     rm -f "$log"
 }
 
-# process_test NAME: with the sanitized programs
+# process_test NAME: runs a process test with the sanitized programs
 process_test() { check "process/$1" env BUILD="$SANITIZED" PLAIN_BUILD="$BUILD" "tests/process/$1.sh"; }
 
 check cases "$SANITIZED/tests/cases"
--- a/scripts/test_long.sh
+++ b/scripts/test_long.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Many random schedules of faults on several seeds at once.
-# SCHEDULES (2000) of each property, SEEDS ("1 2 3 4 5 6")
+# Runs many random fault schedules, with several seeds in parallel.
+# SCHEDULES: per property (2000); SEEDS ("1 2 3 4 5 6")
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
--- a/tests/http_cases.sh
+++ b/tests/http_cases.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Sends the cases of tests/cases/http.txt to an entry and compares.
+# Sends the requests of tests/cases/http.txt to an entry and compares the answers.
 . "$(dirname "$0")/process/lib.sh"
-up 1 1
+start_ready_cluster 1 1
 
 run_case() {
     local name=$1 request=$2 expected=$3 method path body="" line got
@@ -14,7 +14,7 @@
         esac
     done <<<"${request#*$'\n'}"
     if [ -n "$body" ]; then
-        expand "$body" >"$DIR/body"
+        expand_body "$body" >"$DIR/body"
         options+=(--data-binary "@$DIR/body")
     fi
     got=$(http "$method" "${ENTRY_HTTP[0]}" "$path" "${options[@]}" \
@@ -28,8 +28,8 @@
     return 1
 }
 
-# "@N" stands for N times "x", "@tasksN" for N tasks.
-expand() {
+# expand_body TEXT: replaces "@N" by N times "x", and "@tasksN" by N tasks
+expand_body() {
     local text=$1 count
     if [[ $text =~ @tasks([0-9]+) ]]; then
         count=${BASH_REMATCH[1]}
@@ -49,7 +49,7 @@
 passed=0
 failed=0
 name="" input="" expected="" part=""
-end_case() {
+finish_case() {
     [ -z "$name" ] && return
     if run_case "$name" "${input%$'\n'}" "${expected%$'\n'}"; then
         passed=$((passed + 1))
@@ -61,16 +61,16 @@
     case $line in
     "# "*) ;;
     "== "*)
-        end_case
+        finish_case
         name=${line#== } input="" expected="" part=input
         ;;
     --) part=expected ;;
     *) [ "$part" = input ] && input+="$line"$'\n' || expected+="$line"$'\n' ;;
     esac
 done <tests/cases/http.txt
-end_case
-# Nothing of all that started anything, and the entry still works.
+finish_case
+# None of the requests may have started a task, and the entry must still work.
 [ "$(all_starts | wc -l)" = 0 ] || fail "a refused request started a task"
-is_whole "$(post 0 "$(new_key)" "$(job 2 10)")" 2 || fail "no answer after the bad requests"
+is_complete "$(post 0 "$(new_key)" "$(job 2 10)")" 2 || fail "no complete answer after the bad requests"
 echo "http cases: $passed passed, $failed failed"
 [ "$failed" = 0 ]
--- a/tests/process/closed_hall.sh
+++ b/tests/process/closed_hall.sh
@@ -1,21 +1,22 @@
 #!/usr/bin/env bash
-# Operators close a hall while no entry reaches the store: its companion asks
-# there itself, and nothing starts in the hall. Then everything is killed, and
-# the hall is opened as the store drops its history: all know within a second.
+# Operators close a hall while no entry reaches the store: its companion must
+# learn of it from the store itself, and no task may start in the hall. Then all
+# processes are killed, and the hall is opened as the store expires its history:
+# all processes must know within a second.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
 DIR=$(mktemp -d)
 trap 'rm -rf "$DIR"' EXIT
-OPENED_S=12 # second of the scenario's clock
+OPENED_S=12 # second of the scenario in which the hall is opened
 
 "$BUILD/tests/scenario" closed_hall "$PWD/$BUILD/daemon/levercoved" "$DIR" $((20000 + $$ % 1000 * 12)) >"$DIR/out" 2>&1
 grep '^violation' "$DIR/out" && exit 1
 grep -h LC405 "$DIR"/companion-*.log | grep -q '"source":"the store","own_hall_closed":true' ||
-    { echo "no companion learnt of its closed hall from the store"; exit 1; }
+    { echo "no companion learned of its closed hall from the store"; exit 1; }
 for log in "$DIR"/*.log; do
     grep LC405 "$log" | tail -n 1 | grep -q '"closed":""' ||
-        { echo "$(basename "$log"): the hall is not opened again"; exit 1; }
+        { echo "$(basename "$log"): the hall was not opened again"; exit 1; }
 done
 awk -v from=$((OPENED_S + 1)) '
     $1 == "second" && $2 + 0 >= from && $4 + 0 != $6 + 0 { print; wrong = 1 }
--- a/tests/process/hall_command.sh
+++ b/tests/process/hall_command.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Operators empty a hall by the command line, see that it is empty, and take it
-# back, under load: no job is lost, and what is shown is true.
+# Operators close a hall by the command line under load, wait until it is empty,
+# and open it again: no job may be lost, and `hall show` must show the state.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
@@ -12,14 +12,15 @@
 
 fail() {
     echo "$1"
-    kill "$PLAY" 2>/dev/null
-    wait "$PLAY"
+    kill "$SCENARIO" 2>/dev/null
+    wait "$SCENARIO"
     rm -rf "$DIR"
     exit 1
 }
 hall() { "$BUILD/cli/levercove" hall "$@" >"$DIR/shown" 2>&1; }
-# until_shown PATTERN COUNT: within two seconds so many processes are shown so
-until_shown() {
+# wait_until_shown PATTERN COUNT: waits up to 2 s until `hall show` has COUNT
+# lines that match
+wait_until_shown() {
     for _ in $(seq 20); do
         hall show $ALL
         [ "$(grep -cE "$1" "$DIR/shown")" = "$2" ] && return
@@ -29,18 +30,18 @@
 }
 
 "$BUILD/tests/scenario" steady "$PWD/$BUILD/daemon/levercoved" "$DIR" "$PORT" >"$DIR/out" 2>&1 &
-PLAY=$!
+SCENARIO=$!
 sleep 3.5
-until_shown '(entry|companion) .* -$' 5
-hall close 'hall 0' && fail "a name with a blank was taken"
+wait_until_shown '(entry|companion) .* -$' 5
+hall close 'hall 0' && fail "a name with a space was accepted"
 hall --by "night shift" close hall-0 || fail "close: $(cat "$DIR/shown")"
-until_shown '(entry|companion) .* hall-0$' 5
+wait_until_shown '(entry|companion) .* hall-0$' 5
 grep -qE '^hall-0 +20.* night shift ' "$DIR/shown" || fail "show: $(cat "$DIR/shown")"
-until_shown "^$COMPANION .* 0 +[1-9][0-9]* hall-0\$" 1
+wait_until_shown "^$COMPANION .* 0 +[1-9][0-9]* hall-0\$" 1
 hall open hall-0 || fail "open: $(cat "$DIR/shown")"
-until_shown '(entry|companion) .* -$' 5
-until_shown "^$COMPANION +companion +hall-0 +[0-9]+ +[0-9]+ +[1-9]" 1
-wait "$PLAY"
+wait_until_shown '(entry|companion) .* -$' 5
+wait_until_shown "^$COMPANION +companion +hall-0 +[0-9]+ +[0-9]+ +[1-9]" 1
+wait "$SCENARIO"
 grep '^violation' "$DIR/out" && fail "violations"
 awk '$1 == "second" { sent += $4; done += $6 }
      END { if (sent < 200 || done != sent) { print done + 0 " of " sent + 0 " done"; exit 1 } }' "$DIR/out" || fail "$(cat "$DIR/out")"
--- a/tests/process/kept.sh
+++ b/tests/process/kept.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Kept jobs survive the death of their entry, the loss of all power, and a
-# store that does not answer one entry; none runs twice, each has its outcome.
+# Durable jobs must survive a crash of their entry, a power loss of all processes,
+# and a store that does not answer one entry: no task may run twice, and each job
+# must be done.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
@@ -8,8 +9,8 @@
 trap 'rm -rf "$DIR"' EXIT
 port=$((20000 + $$ % 100 * 100))
 
-# play NAME: all twelve jobs are accepted and done, nothing is violated
-play() {
+# play_scenario NAME: all 12 jobs must be accepted and done without a violation
+play_scenario() {
     mkdir "$DIR/$1"
     "$BUILD/tests/scenario" "$1" "$PWD/$BUILD/daemon/levercoved" "$DIR/$1" "$port" >"$DIR/$1/out" 2>&1 ||
         { cat "$DIR/$1/out"; exit 1; }
@@ -17,7 +18,7 @@
         { echo "$1: $(cat "$DIR/$1/out")"; exit 1; }
 }
 
-play kept_owner_dies
+play_scenario kept_owner_dies
 grep -q '"event":"LC311"' "$DIR/kept_owner_dies/entry-1.log" || { echo "no takeover"; exit 1; }
-play kept_power_loss
-play kept_store_away
+play_scenario kept_power_loss
+play_scenario kept_store_away
--- a/tests/process/late_retries.sh
+++ b/tests/process/late_retries.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Guards against a kept job's task running at two upstreams at once, or again
+# Guards against a durable job's task running at two upstreams at once, or again
 # after its end was acknowledged: as late_starts, with upstreams that fail tasks
 # intermittently, so that tasks are retried while earlier starts are unanswered.
 set -u
--- a/tests/process/late_starts.sh
+++ b/tests/process/late_starts.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Guards against a kept job's task being executed again after its end was
+# Guards against a durable job's task being executed again after its end was
 # acknowledged: upstreams crash and restart under the same names while unanswered
 # starts are executed seconds late, some of them by the next incarnation.
 set -u
--- a/tests/process/leased_stop.sh
+++ b/tests/process/leased_stop.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# A planned stop of an entry of leased jobs under load cuts off nothing: every
-# request it took has its result, and it exits by itself.
+# A planned stop of an entry of leased jobs under load must not abort anything:
+# every request that it accepted gets its result, and it exits by itself.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
@@ -9,7 +9,7 @@
 "$BUILD/tests/scenario" planned_stop "$PWD/$BUILD/daemon/levercoved" "$DIR" $((20000 + $$ % 100 * 100)) >"$DIR/out" 2>&1 ||
     { cat "$DIR/out"; exit 1; }
 grep -qE 'answers: 2xx [0-9]+, 5xx 0, none 0' "$DIR/out" ||
-    { echo "cut off or refused: $(cat "$DIR/out")"; exit 1; }
+    { echo "aborted or refused: $(cat "$DIR/out")"; exit 1; }
 for event in LC101 LC102; do
     grep -q "\"event\":\"$event\"" "$DIR/entry-0.log" || { echo "no $event"; exit 1; }
 done
--- a/tests/process/many_entries.sh
+++ b/tests/process/many_entries.sh
@@ -1,38 +1,39 @@
 #!/usr/bin/env bash
-# 46 entries and 12 companions: each companion reports to 40 entries, all jobs
-# are done, and as soon as kept jobs are open every entry hears every companion.
+# 46 entries and 12 companions: each companion must report to 40 entries, and to
+# all as soon as durable jobs are open; almost all jobs must be done.
 set -u
 cd "$(dirname "$0")/../.."
-# Some sixty processes: without the sanitizers.
+# Some 60 processes: too many for the sanitized build.
 BUILD=${PLAIN_BUILD:-build}
 COMPANIONS=12
-MOST=40
+MAX_ENTRIES=40
 DIR=$(mktemp -d)
 trap 'rm -rf "$DIR"' EXIT
 
-# open_at FILE: companions that are open at the entry of those settings
+# open_at FILE: number of schedulable companions at the entry with these settings
 open_at() {
     curl -s "http://$(jq -r .admin "$1")/metrics" |
         awk '$1 == "levercove_companions_open" { open = $2 } END { print open + 0 }'
 }
 
-# few_heard SECONDS: waits until all entries together hear 40 times the
-# companions, or one less of each
-few_heard() {
+# wait_limited_reports SECONDS: waits until all entries together have 40 times the
+# companions schedulable, or one less per companion
+wait_limited_reports() {
     local until=$(($(date +%s) + $1)) sum=0 file
     while [ "$(date +%s)" -lt "$until" ]; do
         sum=0
         for file in "$DIR"/entry-*.json; do
             sum=$((sum + $(open_at "$file")))
         done
-        [ "$sum" -ge $((COMPANIONS * (MOST - 1))) ] && [ "$sum" -le $((COMPANIONS * MOST)) ] && return 0
+        [ "$sum" -ge $((COMPANIONS * (MAX_ENTRIES - 1))) ] && [ "$sum" -le $((COMPANIONS * MAX_ENTRIES)) ] && return 0
     done
-    echo "entries hear $sum companions together, expected $COMPANIONS times $MOST"
+    echo "entries have $sum schedulable companions together, expected $COMPANIONS times $MAX_ENTRIES"
     return 1
 }
 
-# all_heard SECONDS: waits until each entry has heard every companion
-all_heard() {
+# wait_all_reports SECONDS: waits until each entry has had every companion
+# schedulable
+wait_all_reports() {
     local until=$(($(date +%s) + $1)) file left=("$DIR"/entry-*.json) still
     while [ "$(date +%s)" -lt "$until" ] && [ "${#left[@]}" -gt 0 ]; do
         still=()
@@ -41,14 +42,14 @@
         done
         left=("${still[@]}")
     done
-    [ "${#left[@]}" = 0 ] || { echo "${#left[@]} entries never heard all companions"; return 1; }
+    [ "${#left[@]}" = 0 ] || { echo "${#left[@]} entries never had all companions schedulable"; return 1; }
 }
 
 "$BUILD/tests/scenario" many_entries "$PWD/$BUILD/daemon/levercoved" "$DIR" $((20000 + $$ % 100 * 100)) >"$DIR/out" 2>&1 &
 SCENARIO=$!
 sleep 4
 status=0
-few_heard 6 && all_heard 12 || status=1
+wait_limited_reports 6 && wait_all_reports 12 || status=1
 wait "$SCENARIO"
 [ "$status" = 0 ] || exit 1
 if grep '^violation' "$DIR/out"; then exit 1; fi
--- a/tests/process/seeds_gone.sh
+++ b/tests/process/seeds_gone.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Nobody is at the addresses of the seeds: entries and companions find each
-# other by the register in the store, at their first start and after all power
-# was lost.
+# Nothing listens at the addresses of the seeds: entries and companions must find
+# each other by the registry in the store, at their first start and after a power
+# loss of all processes.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
@@ -10,8 +10,8 @@
 
 "$BUILD/tests/scenario" seeds_gone "$PWD/$BUILD/daemon/levercoved" "$DIR" $((20000 + $$ % 1000 * 12)) >"$DIR/out" 2>&1
 grep '^violation' "$DIR/out" && exit 1
-# Power is lost at 3.5 s for 100 ms, and upstreams are heard within 500 ms more;
-# all that is sent from 5 s on is done.
+# All processes lose power at 3.5 s for 100 ms, and heartbeats of the upstreams
+# arrive within 500 ms more: all jobs sent from 5 s on must be done.
 awk '$1 == "second" && $2 + 0 >= 5 && ($4 + 0 == 0 || $4 + 0 != $6 + 0) { print; wrong = 1 }
      $1 == "second" && $2 + 0 == 2 && $6 + 0 < 0.9 * $4 { print; wrong = 1 }
      $1 == "second" { sent += $4; done += $6 }
--- a/tests/process/silent_connections.sh
+++ b/tests/process/silent_connections.sh
@@ -1,22 +1,22 @@
 #!/usr/bin/env bash
-# All connections that are open go silent for good under load, of every kind
-# together and of each kind alone, both ways and one way; new ones work. Two
-# seconds later every job is done again, and a change of the routes is in force.
+# Under load, all open connections are black-holed for good: of all kinds together
+# in both directions and in each alone, and of each kind alone; new ones work. Two
+# seconds later every job must be done again, and new routes must be in force.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
 DIR=$(mktemp -d)
 trap 'rm -rf "$DIR"' EXIT
 PORT=$((20000 + $$ % 100 * 100))
-SILENT_S=4 # second of the scenario's clock
+SILENT_S=4 # second of the scenario in which connections are black-holed
 
-# play NAME NUMBER
-play() {
+# play_scenario NAME NUMBER
+play_scenario() {
     mkdir "$DIR/$1"
     "$BUILD/tests/scenario" "silent_$1" "$PWD/$BUILD/daemon/levercoved" "$DIR/$1" $((PORT + $2 * 12)) >"$DIR/$1/out" 2>&1
 }
 
-# check NAME: prints what is wrong
+# check NAME: prints everything that is wrong
 check() {
     grep -H '^violation' "$DIR/$1/out"
     awk -v name="$1" -v from=$((SILENT_S + 2)) '
@@ -27,7 +27,7 @@
 
 number=0
 for name in both in out entries companions upstreams store; do
-    play "$name" "$number" &
+    play_scenario "$name" "$number" &
     number=$((number + 1))
     [ $((number % 3)) = 0 ] && wait
 done
--- a/tests/process/stalled_log.sh
+++ b/tests/process/stalled_log.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Nobody reads an entry's log under load: every request is answered as soon as
-# ever, what was dropped is counted, and lines of failures are kept first.
+# Nobody reads an entry's log under load: requests must be answered as fast as
+# usual, dropped log lines must be counted, and lines about failures must be kept
+# in preference to others.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
@@ -11,4 +12,4 @@
 grep -qE 'answers: 2xx [0-9]+, 5xx [1-9][0-9]+, none 0' "$DIR/out" ||
     { echo "requests without an answer: $(cat "$DIR/out")"; exit 1; }
 grep -q '"event":"LC107"' "$DIR/entry-0.log" ||
-    { echo "no line tells of dropped lines; $(wc -c <"$DIR/entry-0.log") bytes"; cat "$DIR/out"; exit 1; }
+    { echo "dropped lines were not logged; $(wc -c <"$DIR/entry-0.log") bytes"; cat "$DIR/out"; exit 1; }
--- a/tests/process/stop_store_silent.sh
+++ b/tests/process/stop_store_silent.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# A planned stop ends by itself within the grace time (3 s here) while the store
-# is silent and kept jobs are open.
+# A planned stop must end within the grace time (3 s here) even if the store does
+# not answer and durable jobs are open.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
@@ -9,12 +9,12 @@
 trap 'rm -rf "$DIR"' EXIT
 "$BUILD/tests/scenario" stop_store_silent "$PWD/$BUILD/daemon/levercoved" "$DIR" $((20000 + $$ % 100 * 100)) >"$DIR/out" 2>&1
 
-# time_of EVENT: milliseconds, of the first line of that event
+# time_of EVENT: time in ms of the first log line with that event
 time_of() {
     local line
     line=$(grep -m 1 "\"event\":\"$1\"" "$DIR/entry-0.log") || { echo "no $1" >&2; exit 1; }
     date -d "$(echo "$line" | jq -r .time)" +%s%3N
 }
-begun=$(time_of LC101) || exit 1
-ended=$(time_of LC102) || exit 1
-[ $((ended - begun)) -lt "$GRACE_MS" ] || { echo "took $((ended - begun)) ms"; exit 1; }
+stop_started_ms=$(time_of LC101) || exit 1
+stop_ended_ms=$(time_of LC102) || exit 1
+[ $((stop_ended_ms - stop_started_ms)) -lt "$GRACE_MS" ] || { echo "took $((stop_ended_ms - stop_started_ms)) ms"; exit 1; }
--- a/tests/process/suspended.sh
+++ b/tests/process/suspended.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Machines of companions are suspended under load: their steady clocks stand
-# still, everybody else goes on. Calls that waited in their buffers start
-# nothing, no task runs twice at once, and service goes on.
+# Machines of companions are suspended under load: their steady clocks stop while
+# all other processes run on. Calls that waited in their socket buffers must not
+# start tasks, no task may have two runs at once, and service must go on.
 set -u
 cd "$(dirname "$0")/../.."
-# A library is preloaded, which the sanitizers do not bear.
+# Preloads a library, which the sanitizers do not support.
 BUILD=${PLAIN_BUILD:-build}
 DIR=$(mktemp -d)
 trap 'rm -rf "$DIR"' EXIT
@@ -13,7 +13,7 @@
     "$BUILD/tests/scenario" suspended "$PWD/$BUILD/daemon/levercoved" "$DIR" $((20000 + $$ % 100 * 100)) >"$DIR/out" 2>&1
 if grep '^violation' "$DIR/out"; then exit 1; fi
 for companion in 0 1; do
-    grep -q '"event":"LC317"' "$DIR/companion-$companion.log" || { echo "companion $companion noticed nothing"; exit 1; }
+    grep -q '"event":"LC317"' "$DIR/companion-$companion.log" || { echo "companion $companion did not notice its suspension"; exit 1; }
 done
 awk '$1 == "second" { sent += $4; done += $6 }
     END { if (sent < 100 || done < 0.9 * sent) { print done " of " sent " done"; exit 1 } }' "$DIR/out" || { cat "$DIR/out"; exit 1; }
--- a/tests/process/upstream_dies.sh
+++ b/tests/process/upstream_dies.sh
@@ -1,17 +1,17 @@
 #!/usr/bin/env bash
-# An upstream that refuses connections costs no job: its tasks go elsewhere.
+# An upstream refuses connections: no job may fail, as its tasks start elsewhere.
 . "$(dirname "$0")/lib.sh"
-up 2 3
+start_ready_cluster 2 3
 kill -KILL "${PIDS[u0]}"
-forget u0
+reap u0
 for ((i = 0; i < 6; i++)); do
-    is_whole "$(post 0 "$(new_key)" "$(job 10 20)")" 10 || fail "a job was not whole"
+    is_complete "$(post 0 "$(new_key)" "$(job 10 20)")" 10 || fail "incomplete answer"
 done
 start u0 "$BUILD/tests/standin_upstream" "127.0.0.1:${UPSTREAM[0]}" "$SLOTS"
-used() { [ "$(http GET "${UPSTREAM[0]}" /starts | wc -l)" -gt 0 ]; }
-again() {
+upstream_used() { [ "$(http GET "${UPSTREAM[0]}" /starts | wc -l)" -gt 0 ]; }
+submit_and_check_used() {
     post 0 "$(new_key)" "$(job 30 20)" >/dev/null
-    used
+    upstream_used
 }
-wait_for 20 again || fail "the upstream that came back is not used"
-no_double_starts
+wait_for 20 submit_and_check_used || fail "the restarted upstream is not used"
+check_starts
