--- a/scripts/ablations.sh
+++ b/scripts/ablations.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
 # Ablation study: removes one mechanism at a time, each in a scratch copy, and
-# runs days of a site with several seeds on the users' bench (scripts/seeds.sh).
+# runs days of a site with several seeds on the users' bench
+# (scripts/seeds.sh).
 # tests/ablations/NAME.patch removes a mechanism; its first line describes it.
 # Usage: FLEETBENCH=PROGRAM scripts/ablations.sh FOLDER SITE "DAY..." "SEED..." [NAME...]
 # FOLDER holds the copies with their journals. WORKERS: parallel copies (4)
--- a/scripts/bench_burst.sh
+++ b/scripts/bench_burst.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures a burst of ten times the usual load, with callers that resubmit every
-# 3 s, between two phases of the usual load; 3 entries, 80 slots.
+# Measures a burst of ten times the usual load, with callers that resubmit
+# every 3 s, between two phases of the usual load; 3 entries, 80 slots.
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
--- a/scripts/bench_faults.sh
+++ b/scripts/bench_faults.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Measures half load with one of ten upstreams faulty: hung, or killed every 3 s,
-# and without a fault for comparison. 3 entries, 80 slots; tasks may take 5 s.
+# Measures half load with one of ten upstreams faulty (hung, or killed every
+# 3 s), and without a fault for comparison. 3 entries, 80 slots; tasks may take
+# 5 s.
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -88,8 +88,8 @@
 start_entry() { start "e$1" "$BUILD/daemon/levercoved" "$DIR/e$1.json"; }
 start_companion() { start "c$1" "$BUILD/daemon/levercoved" "$DIR/c$1.json"; }
 
-# entry_ready I COMPANIONS: whether entry I has settled and has at least that many
-# usable companions
+# entry_ready I COMPANIONS: whether entry I has settled and has at least that
+# many usable companions
 entry_ready() {
     http GET "${ENTRY_ADMIN[$1]}" /state 2>/dev/null |
         jq -e --argjson n "$2" '.settled and .evidence and
--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Mutation testing: breaks each mechanism in a scratch copy and checks that a test
-# fails. tests/mutations/NAME.patch breaks it; its first lines describe how.
+# Mutation testing: breaks each mechanism in a scratch copy and checks that a
+# test fails. tests/mutations/NAME.patch breaks it; its first lines describe
+# how.
 # Usage: scripts/mutations.sh [NAME...]
 # SCHEDULES: random schedules per property (400); WORKERS: parallel copies (4)
 set -u
--- a/scripts/regression.sh
+++ b/scripts/regression.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# Regression run on the users' bench, before each merge and on the final code: the
-# score of every deployment and a hunt (40 days, 8 for deployments of 60 machines
-# or more), one after the other. Prints the gate, the worth of each day and the
-# days on which a rule was broken; the full outputs stay in OUT.
+# Regression run on the users' bench, before each merge and on the final code:
+# the score of every deployment and a hunt (40 days, 8 for deployments of 60
+# machines or more), one after the other. Prints the gate, the worth of each
+# day and the days on which a rule was broken; the full outputs stay in OUT.
 # Usage: FLEETBENCH=PROGRAM scripts/regression.sh FOLDER WHY [DEPLOYMENT...]
-# FOLDER: the users' folder of deployments. OUT: folder for outputs (a new one);
-# JOBS: parallel days (4). The large deployment replaces the two oldest (sites/).
+# FOLDER: the users' folder of deployments. OUT: folder for outputs (a new one).
+# JOBS: parallel days (4). The large deployment replaces the two oldest (in
+# sites/).
 set -u
 [ $# -ge 2 ] || { echo "usage: regression.sh FOLDER WHY [DEPLOYMENT...]" >&2; exit 2; }
 FOLDER=$1 WHY=$2
--- a/scripts/seeds.sh
+++ b/scripts/seeds.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs days of a site with several seeds on the users' bench and prints one line
-# per day: worth by seed, mean and worst, for comparing two versions of the code.
-# Every run adds its entry to journal/.
+# Runs days of a site with several seeds on the users' bench and prints one
+# line per day: worth by seed, mean and worst, for comparing two versions of
+# the code. Every run adds its entry to journal/.
 # Usage: FLEETBENCH=PROGRAM scripts/seeds.sh SITE "DAY..." "SEED..." WHY [OPTION...]
 # WORKERS: parallel runs (4). OPTION is passed to the bench, such as --no-cpu.
 set -eu
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Runs the soak with SEEDS="1 2 3" (COUNT new ones by default) and SECONDS_EACH
-# with faults; LINK: bandwidth of the first entry in Mbit/s, which then forwards
-# jobs; WORKERS: parallel runs. Keeps the logs of failed seeds and prints their
-# folder (in KEEP).
+# with faults; LINK: bandwidth of the first entry in Mbit/s, which then
+# forwards jobs; WORKERS: parallel runs. Keeps the logs of failed seeds and
+# prints their folder (in KEEP).
 # Usage: BUILD=build scripts/soak.sh
 set -u
 cd "$(dirname "$0")/.."
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs all tests; `make test` builds first. BUILD and SANITIZED are the folders of
-# the plain and the sanitized build.
+# Runs all tests; `make test` builds first. BUILD and SANITIZED are the folders
+# of the plain and the sanitized build.
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
--- a/tests/http_cases.sh
+++ b/tests/http_cases.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Sends the requests of tests/cases/http.txt to an entry and compares the answers.
+# Sends the requests of tests/cases/http.txt to an entry and compares the
+# answers.
 . "$(dirname "$0")/process/lib.sh"
 start_ready_cluster 1 1
 
--- a/tests/process/bad_rpc.sh
+++ b/tests/process/bad_rpc.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Malformed bytes sent to the RPC ports of both roles: the process must close the
-# connection or refuse the call, and go on working.
+# Malformed bytes sent to the RPC ports of both roles: the process must close
+# the connection or refuse the call, and go on working.
 . "$(dirname "$0")/lib.sh"
 start_ready_cluster 1 1
 
--- a/tests/process/closed_hall.sh
+++ b/tests/process/closed_hall.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Operators close a hall while no entry reaches the store: its companion must
-# learn of it from the store itself, and no task may start in the hall. Then all
-# processes are killed, and the hall is opened as the store expires its history:
-# all processes must know within a second.
+# learn of it from the store itself, and no task may start in the hall. Then
+# all processes are killed, and the hall is opened as the store expires its
+# history: all processes must know within a second.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
--- a/tests/process/explain.sh
+++ b/tests/process/explain.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# For three kinds of failed request, `levercove explain` must find the cause from
-# the job's id and the logs alone.
+# For three kinds of failed request, `levercove explain` must find the cause
+# from the job's id and the logs alone.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
--- a/tests/process/freeze_entry.sh
+++ b/tests/process/freeze_entry.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The entry that runs a job is stopped (SIGSTOP) until it is no longer in the view,
-# then continued (SIGCONT): it must not start tasks that its successor started.
+# The entry that runs a job is stopped (SIGSTOP) until it is no longer in the
+# view, then continued (SIGCONT): it must not start tasks that its successor
+# started.
 . "$(dirname "$0")/lib.sh"
 TIMES='"suspect_ms": 1000, "evidence_ms": 1000, "ping_entry_ms": 200'
 start_ready_cluster 3 1
--- a/tests/process/hall_command.sh
+++ b/tests/process/hall_command.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Operators close a hall by the command line under load, wait until it is empty,
-# and open it again: no job may be lost, and `hall show` must show the state.
+# Operators close a hall by the command line under load, wait until it is
+# empty, and open it again: no job may be lost, and `hall show` must show the
+# state.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
--- a/tests/process/handed_on.sh
+++ b/tests/process/handed_on.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# All callers submit at one entry whose link has bandwidth for less than half of
-# their jobs. It must forward jobs so that almost all are done. No task may run
-# twice when the delegates are killed, or when the origin is frozen until all
-# leases have expired.
+# All callers submit at one entry whose link has bandwidth for less than half
+# of their jobs. It must forward jobs so that almost all are done. No task may
+# run twice when the delegates are killed, or when the origin is frozen until
+# all leases have expired.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${PLAIN_BUILD:-build}
@@ -18,7 +18,8 @@
     cat "$DIR/$1"/entry-[12].log | grep -q '"event":"LC519"' || { echo "$1: no forwarded job was received"; exit 1; }
 }
 
-# expect_done NAME PERCENT: fails if less than PERCENT of the sent jobs are done
+# expect_done NAME PERCENT: fails if less than PERCENT of the sent jobs are
+# done
 expect_done() {
     awk -v least="$2" '$1 == "second" { sent += $4; done += $6 }
         END { if (sent < 150 || 100 * done < least * sent) { print done " of " sent " done"; exit 1 } }' "$DIR/$1/out" ||
--- a/tests/process/hang_up.sh
+++ b/tests/process/hang_up.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# A caller disconnects during its job and later resubmits the key, which a second
-# caller has submitted in the meantime: all must get the one result. Also checks
-# a reused key, an expired deadline and a failed task.
+# A caller disconnects during its job and later resubmits the key, which a
+# second caller has submitted in the meantime: all must get the one result.
+# Also checks a reused key, an expired deadline and a failed task.
 . "$(dirname "$0")/lib.sh"
 start_ready_cluster 3 2
 KEY=$(new_key)
--- a/tests/process/kept.sh
+++ b/tests/process/kept.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Durable jobs must survive a crash of their entry, a power loss of all processes,
-# and a store that does not answer one entry: no task may run twice, and each job
-# must be done.
+# Durable jobs must survive a crash of their entry, a power loss of all
+# processes, and a store that does not answer one entry: no task may run twice,
+# and each job must be done.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
--- a/tests/process/kill_companion.sh
+++ b/tests/process/kill_companion.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# A companion is killed (SIGKILL) while it runs a job that is not repeatable: the
-# whole job must fail as soon as the companion's new incarnation is known, and no
-# task may start twice.
+# A companion is killed (SIGKILL) while it runs a job that is not repeatable:
+# the whole job must fail as soon as the companion's new incarnation is known,
+# and no task may start twice.
 . "$(dirname "$0")/lib.sh"
 start_ready_cluster 3 1
 KEY=$(new_key)
--- a/tests/process/kill_entry.sh
+++ b/tests/process/kill_entry.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The entry that runs a job is killed (SIGKILL), and the caller resubmits the key
-# at the other entries: it must get a complete answer without double starts.
+# The entry that runs a job is killed (SIGKILL), and the caller resubmits the
+# key at the other entries: it must get a complete answer without double
+# starts.
 . "$(dirname "$0")/lib.sh"
 TIMES='"suspect_ms": 1000, "evidence_ms": 1000, "ping_entry_ms": 200'
 start_ready_cluster 3 4
--- a/tests/process/large_configuration.sh
+++ b/tests/process/large_configuration.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # A configuration of 0.8 MB must be in force in time at an entry whose link
-# transmits it in 0.4 s, although it changes four times in a row and other entries
-# offer it, too.
+# transmits it in 0.4 s, although it changes four times in a row and other
+# entries offer it, too.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
--- a/tests/process/late_retries.sh
+++ b/tests/process/late_retries.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Guards against a durable job's task running at two upstreams at once, or again
-# after its end was acknowledged: as late_starts, with upstreams that fail tasks
-# intermittently, so that tasks are retried while earlier starts are unanswered.
+# Guards against a durable job's task running at two upstreams at once, or
+# again after its end was acknowledged: as late_starts, with upstreams that
+# fail tasks intermittently, so that tasks are retried while earlier starts are
+# unanswered.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${PLAIN_BUILD:-build}
--- a/tests/process/late_starts.sh
+++ b/tests/process/late_starts.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
 # Guards against a durable job's task being executed again after its end was
-# acknowledged: upstreams crash and restart under the same names while unanswered
-# starts are executed seconds late, some of them by the next incarnation.
+# acknowledged: upstreams crash and restart under the same names while
+# unanswered starts are executed seconds late, some of them by the next
+# incarnation.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${PLAIN_BUILD:-build}
--- a/tests/process/leased_stop.sh
+++ b/tests/process/leased_stop.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
 # The graceful shutdown of an entry of leased jobs under load must not abort
-# anything: every request that it accepted gets its result, and it exits by itself.
+# anything: every request that it accepted gets its result, and it exits by
+# itself.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
--- a/tests/process/lib.sh
+++ b/tests/process/lib.sh
@@ -1,5 +1,5 @@
-# Shared by the process tests. A test is a script tests/process/NAME.sh that exits
-# with 0 if it passed.
+# Shared by the process tests. A test is a script tests/process/NAME.sh that
+# exits with 0 if it passed.
 
 cd "$(dirname "${BASH_SOURCE[0]}")/../.."
 BUILD=${BUILD:-build}
@@ -57,8 +57,8 @@
         --data-binary "$3"
 }
 
-# post_until_done ENTRIES KEY JOB: resubmits, as a client does, until the outcome
-# is known, and prints the answer
+# post_until_done ENTRIES KEY JOB: resubmits, as a client does, until the
+# outcome is known, and prints the answer
 post_until_done() {
     local entry answer outcome try
     for ((try = 0; try < 60; try++)); do
@@ -84,8 +84,8 @@
         ([.results[].text] == [range($n) | "r\(.)"])' <<<"$1" >/dev/null
 }
 
-# check_starts: fails if an upstream got more tasks at once than its slots, or if
-# any task was started twice, by the upstreams' own lists
+# check_starts: fails if an upstream got more tasks at once than its slots, or
+# if any task was started twice, by the upstreams' own lists
 check_starts() {
     local doubles i
     for ((i = 0; i < COMPANIONS; i++)); do
--- a/tests/process/many_entries.sh
+++ b/tests/process/many_entries.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# 46 entries and 12 companions: each companion must report to 40 entries, and to
-# all as soon as durable jobs are open; almost all jobs must be done.
+# 46 entries and 12 companions: each companion must report to 40 entries, and
+# to all as soon as durable jobs are open; almost all jobs must be done.
 set -u
 cd "$(dirname "$0")/../.."
 # Some 60 processes: too many for the sanitized build.
@@ -10,14 +10,15 @@
 DIR=$(mktemp -d)
 trap 'rm -rf "$DIR"' EXIT
 
-# open_at FILE: number of schedulable companions at the entry with these settings
+# open_at FILE: number of schedulable companions at the entry with these
+# settings
 open_at() {
     curl -s "http://$(jq -r .admin "$1")/metrics" |
         awk '$1 == "levercove_companions_open" { open = $2 } END { print open + 0 }'
 }
 
-# wait_limited_reports SECONDS: waits until all entries together have 40 times the
-# companions schedulable, or one less per companion
+# wait_limited_reports SECONDS: waits until all entries together have 40 times
+# the companions schedulable, or one less per companion
 wait_limited_reports() {
     local until=$(($(date +%s) + $1)) sum=0 file
     while [ "$(date +%s)" -lt "$until" ]; do
--- a/tests/process/seeds_gone.sh
+++ b/tests/process/seeds_gone.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Nothing listens at the addresses of the seeds: entries and companions must find
-# each other by the registry in the store, at their first start and after a power
-# loss of all processes.
+# Nothing listens at the addresses of the seeds: entries and companions must
+# find each other by the registry in the store, at their first start and after
+# a power loss of all processes.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
--- a/tests/process/silent_connections.sh
+++ b/tests/process/silent_connections.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Under load, all open connections are black-holed for good: of all kinds together
-# in both directions and in each alone, and of each kind alone; new ones work. Two
-# seconds later every job must be done again, and new routes must be in force.
+# Under load, all open connections are black-holed for good: of all kinds
+# together in both directions and in each alone, and of each kind alone; new
+# ones work. Two seconds later every job must be done again, and new routes
+# must be in force.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
--- a/tests/process/stalled_log.sh
+++ b/tests/process/stalled_log.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Nobody reads an entry's log under load: requests must be answered as fast as
-# usual, dropped log lines must be counted, and lines about failures must be kept
-# in preference to others.
+# usual, dropped log lines must be counted, and lines about failures must be
+# kept in preference to others.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
--- a/tests/process/stop_companion.sh
+++ b/tests/process/stop_companion.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# SIGTERM of a companion under load: its tasks must run to their end, and new ones
-# must start elsewhere.
+# SIGTERM of a companion under load: its tasks must run to their end, and new
+# ones must start elsewhere.
 . "$(dirname "$0")/lib.sh"
 start_ready_cluster 2 2
 post 0 "$(new_key)" "$(job 40 200)" >"$DIR/answer" &
--- a/tests/process/stop_store_silent.sh
+++ b/tests/process/stop_store_silent.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# A graceful shutdown must end within the grace time (3 s here) even if the store does
-# not answer and durable jobs are open.
+# A graceful shutdown must end within the grace time (3 s here) even if the
+# store does not answer and durable jobs are open.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
--- a/tests/process/suspended.sh
+++ b/tests/process/suspended.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Machines of companions are suspended under load: their steady clocks stop while
-# all other processes run on. Calls that waited in their socket buffers must not
-# start tasks, no task may have two runs at once, and service must go on.
+# Machines of companions are suspended under load: their steady clocks stop
+# while all other processes run on. Calls that waited in their socket buffers
+# must not start tasks, no task may have two runs at once, and service must go
+# on.
 set -u
 cd "$(dirname "$0")/../.."
 # Preloads a library, which the sanitizers do not support.
--- a/tests/process/table_race.sh
+++ b/tests/process/table_race.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Operators edit one row through different entries at once: exactly one edit must
-# win. Then the log loses the confirmation of an edit: the edit must be in force
-# at all processes and must have been sent once.
+# Operators edit one row through different entries at once: exactly one edit
+# must win. Then the log loses the confirmation of an edit: the edit must be in
+# force at all processes and must have been sent once.
 . "$(dirname "$0")/lib.sh"
 start_ready_cluster 3 2
 VERSION=$(http GET "${ENTRY_HTTP[0]}" /v1/table/groups/contest | jq .version)
--- a/tests/process/upstream_dies.sh
+++ b/tests/process/upstream_dies.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# An upstream refuses connections: no job may fail, as its tasks start elsewhere.
+# An upstream refuses connections: no job may fail, as its tasks start
+# elsewhere.
 . "$(dirname "$0")/lib.sh"
 start_ready_cluster 2 3
 kill -KILL "${PIDS[u0]}"
